--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -4,7 +4,7 @@
 import random
 
 from toucanspring import resources
-from toucanspring.coordinator import catalogue, work
+from toucanspring.coordinator import catalogue, job_specs
 
 END_S = 60.0
 WORKERS = 24
@@ -82,7 +82,7 @@
 class Arrival:
     """Hold a job with what only the simulation knows of it."""
 
-    spec: work.Job
+    spec: job_specs.Job
     kind: str
     at: float
     seconds: list[list[float]]  # of each task by step
@@ -124,7 +124,7 @@
             slots = WORKERS * kind.approved * (32_000 // cpus)
             count = min(count, max(1, int(slots * WIDEST_GANG)))
         steps.append(
-            work.Step(
+            job_specs.Step(
                 count=count,
                 demand=resources.Resources(cpus, kind.memory, 0),
                 estimate_ms=round(1000 * base * off),
@@ -140,7 +140,7 @@
     mean_cost = kind.steps * kind.width * kind.seconds * kind.cpus / 1000
     size = min(4.0, 0.3 + 0.7 * cost / mean_cost)
     chain_s = sum(max(times) for times in seconds)
-    spec = work.Job(
+    spec = job_specs.Job(
         id=f"{number:016x}", queue=name, organisation="o", payload="",
         steps=tuple(steps),
     )  # fmt: skip
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -16,10 +16,10 @@
 import random
 
 from bench import arrivals
-from bench import work as measured
+from bench import job_specs as measured
 from toucanspring import resources
 from toucanspring.coordinator import (
-    book,
+    cell_state,
     planner,
     plans,
     ports,
@@ -104,7 +104,7 @@
     def __init__(self, load: str, seed: int, make_planner) -> None:
         self.load = load
         self.rng = random.Random(seed)
-        self.book = book.Book()
+        self.book = cell_state.Book()
         self.book.catalogue = arrivals.make_catalogue()
         self.planner = make_planner(self.book)
         self.machines: dict[str, Machine] = {}
@@ -260,7 +260,7 @@
                         step.task_id(other.index), None
                     )
 
-    def _stop(self, stop: book.Stop, now: float) -> None:
+    def _stop(self, stop: cell_state.Stop, now: float) -> None:
         machine = self.machines[stop.worker]
         run = machine.runs.get(stop.task)
         if run is None or run.run != stop.run or run.stopping:
@@ -307,7 +307,7 @@
 class FirstFit:
     """Start jobs in order of arrival on the first workers with room."""
 
-    def __init__(self, records: book.Book) -> None:
+    def __init__(self, records: cell_state.Book) -> None:
         self._book = records
         self._planner = planner.Planner(records)
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -11,7 +11,7 @@
 from soak import cell, promises
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange
-from toucanspring.coordinator import work
+from toucanspring.coordinator import job_specs
 
 TRIES = 5
 RETRY_S = 0.3
@@ -52,9 +52,9 @@
             self._group.add(greenlet)
             greenlet.rawlink(self._group.discard)
 
-    def _draw(self) -> work.Job:
+    def _draw(self) -> job_specs.Job:
         steps = tuple(
-            work.Step(
+            job_specs.Step(
                 count=self._rng.randrange(1, 5),
                 demand=resources.Resources(self._rng.randrange(200, 4000), 512, 0),
                 estimate_ms=self._rng.randrange(100, 1500),
@@ -63,12 +63,12 @@
             for number in range(self._rng.choice((1, 1, 2)))
         )
         job_id = f"{self._rng.getrandbits(64):016x}"
-        return work.Job(
+        return job_specs.Job(
             id=job_id, queue="jobs", organisation="team", payload=f"work {job_id}",
             steps=steps,
         )  # fmt: skip
 
-    def _live(self, spec: work.Job) -> None:
+    def _live(self, spec: job_specs.Job) -> None:
         """Hand one job in and follow it to its end."""
         ordered = self._cell.promises.expect(spec)
         self._hand_in(ordered)
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -16,7 +16,7 @@
 from standins import lease_workers, ports, processes, rowstore
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange
-from toucanspring.coordinator import catalogue, work
+from toucanspring.coordinator import catalogue, job_specs
 from toucanspring.coordinator import ports as types
 
 PLATFORM = processes.ROOT / "platform"
@@ -182,7 +182,7 @@
         )
 
     def call(
-        self, name: str, method: str, job: work.Job, timeout_s: float
+        self, name: str, method: str, job: job_specs.Job, timeout_s: float
     ) -> exchange.Reply | errors.Failure:
         """Send a caller's request about a job to a process, on its own connection."""
         place = exchange.parse_address(self.proxies[f"callers of {name}"].address)
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -7,7 +7,7 @@
 import time
 
 from standins import lease_workers
-from toucanspring.coordinator import state, work
+from toucanspring.coordinator import job_specs, state
 
 CANCEL_S = 3.0  # after the answer to a cancellation nothing of the job starts
 ZONE_S = 5.0  # after a zone is taken out nothing starts there
@@ -28,7 +28,7 @@
 class Ordered:
     """Hold a job as its caller sees it; times are monotonic seconds."""
 
-    spec: work.Job
+    spec: job_specs.Job
     acceptance: Acceptance = Acceptance.SENDING
     told: str = ""
     cancelling: bool = False  # a cancellation was sent, and may have taken effect
@@ -53,7 +53,7 @@
         """Take note of a broken promise."""
         self._workers.violations.append(text)
 
-    def expect(self, spec: work.Job) -> Ordered:
+    def expect(self, spec: job_specs.Job) -> Ordered:
         """Take in a job that is about to be handed in."""
         self._workers.jobs[spec.id] = spec
         ordered = self.jobs[spec.id] = Ordered(spec)
@@ -119,7 +119,7 @@
         return self._workers.done
 
 
-def _tasks(spec: work.Job) -> list[str]:
+def _tasks(spec: job_specs.Job) -> list[str]:
     return [
         f"{spec.id}.0.{number}.{index}"
         for number, step in enumerate(spec.steps)
--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -3,8 +3,8 @@
 A step that no coordinator takes models a pause. A claim may come at any time, as a
 takeover before the lease is over does. A write under way takes effect or fails at any
 later time, once more if its answer was lost; an order arrives at any time. Workers run,
-end and lapse. The rules are those of `ledger`, `tenure`, `orders` and `reports` of the
-coordinator, restated here, since these perform I/O; `ACTIONS` names them.
+end and lapse. The rules are those of `ledger`, `tenure`, `dispatch` and `reports` of
+the coordinator, restated here, since these perform I/O; `ACTIONS` names them.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 import minicheck
 
 ACTIONS = {
-    "claim": "toucanspring.coordinator.seat.claim",
-    "expire": "toucanspring.coordinator.tenure.Tenure.may_renew",
-    "intend": "toucanspring.coordinator.book.Book.begin",
-    "write": "toucanspring.coordinator.ledger.Ledger.commit",
-    "write fails": "toucanspring.coordinator.ledger.Ledger.commit",
-    "late copy": "toucanspring.coordinator.ledger.Ledger.commit",
-    "order": "toucanspring.coordinator.orders.Desk.start",
+    "claim": "toucanspring.coordinator.leader_lease.claim",
+    "expire": "toucanspring.coordinator.leadership.Tenure.may_renew",
+    "intend": "toucanspring.coordinator.cell_state.Book.begin",
+    "write": "toucanspring.coordinator.fenced_writer.Ledger.commit",
+    "write fails": "toucanspring.coordinator.fenced_writer.Ledger.commit",
+    "late copy": "toucanspring.coordinator.fenced_writer.Ledger.commit",
+    "order": "toucanspring.coordinator.dispatch.Desk.start",
     "arrive": "standins.lease_workers.LeaseWorkers.start",
     "end": "standins.lease_workers.LeaseWorkers.look",
     "lapse": "standins.lease_workers.LeaseWorkers.look",
     "look": "toucanspring.coordinator.reports.take_look",
-    "note": "toucanspring.coordinator.tenure.Tenure.note",
+    "note": "toucanspring.coordinator.leadership.Tenure.note",
     "give up": "toucanspring.coordinator.reports.lapse",
 }
 NOWHERE = -1
--- a/standins/lease_workers.py
+++ b/standins/lease_workers.py
@@ -8,7 +8,7 @@
 import gevent
 
 from toucanspring import errors, resources
-from toucanspring.coordinator import ports, state, work
+from toucanspring.coordinator import job_specs, ports, state
 
 MAX_LEASE_MS = 6000
 
@@ -54,7 +54,7 @@
     def __init__(self, run_s: float = 0.02) -> None:
         self.run_s = run_s
         self.lives: dict[str, Life] = {}
-        self.jobs: dict[str, work.Job] = {}
+        self.jobs: dict[str, job_specs.Job] = {}
         self.silent: set[str] = set()
         self.lose = 0
         self.hold_back = 0
@@ -118,7 +118,7 @@
         )
         return ports.Done(life.clock_ms())
 
-    def _check(self, life: Life, order: ports.Start, step: work.Step) -> None:
+    def _check(self, life: Life, order: ports.Start, step: job_specs.Step) -> None:
         used = step.occupied()
         for run in life.runs.values():
             used = used + run.demand
--- a/test/coordinator_case.py
+++ b/test/coordinator_case.py
@@ -2,12 +2,12 @@
 
 from toucanspring import resources
 from toucanspring.coordinator import (
-    book,
     catalogue,
+    cell_state,
+    job_specs,
     ports,
     reports,
     state,
-    work,
 )
 
 QUEUE = "builds"
@@ -51,7 +51,7 @@
 
 def step(count=1, cpus=1000, memory=1024, **changes):
     demand = resources.Resources(cpus, memory, 0)
-    return work.Step(count=count, demand=demand, estimate_ms=1000, **changes)
+    return job_specs.Step(count=count, demand=demand, estimate_ms=1000, **changes)
 
 
 def job(job_id="0" * 16, *steps, **changes):
@@ -62,12 +62,12 @@
         "payload": "",
         "steps": steps or (step(),),
     }
-    return work.Job(**{**values, **changes})
+    return job_specs.Job(**{**values, **changes})
 
 
 def new_book(*entries, now=0.0, catalogue_=None):
     """Return a book whose workers have answered once."""
-    records = book.Book()
+    records = cell_state.Book()
     records.catalogue = catalogue_ or configure()
     for each in entries or (entry(),):
         worker = records.take_entry(each)
--- a/test/test_coordinator_tenure.py
+++ b/test/test_coordinator_leadership.py
@@ -8,7 +8,7 @@
 
 from standins import lease_workers, rowstore
 from test import coordinator_case as case
-from toucanspring.coordinator import ports, rows, seat, state, tenure
+from toucanspring.coordinator import leader_lease, leadership, ports, rows, state
 
 JOB = "0" * 16
 MAX_LEASE_MS = 6000
@@ -54,11 +54,11 @@
 
     def coordinate(self, process="one"):
         """Start a tenure; one of another process waits for no lease to expire."""
-        taken = seat.claim(self.store, process, "10.0.0.1", process)
-        self.assertIsInstance(taken, seat.Tenure)
-        store_clock = seat.StoreClock()
-        store_clock.take(self.store.moment().store_ms, tenure.time.monotonic())
-        held = tenure.Tenure(
+        taken = leader_lease.claim(self.store, process, "10.0.0.1", process)
+        self.assertIsInstance(taken, leader_lease.Tenure)
+        store_clock = leader_lease.StoreClock()
+        store_clock.take(self.store.moment().store_ms, leadership.time.monotonic())
+        held = leadership.Tenure(
             self.store,
             self.workers,
             self.directory,
@@ -180,8 +180,8 @@
         self.wait_for(lambda: self.workers.starts > 0)
         held.release()
         self.assertTrue(held.ended.is_set())
-        taken = seat.claim(self.store, "two", "10.0.0.2", "two")
-        self.assertIsInstance(taken, seat.Tenure)
+        taken = leader_lease.claim(self.store, "two", "10.0.0.2", "two")
+        self.assertIsInstance(taken, leader_lease.Tenure)
         self.assertFalse(taken.predecessor_may_live)
 
     def test_a_successor_goes_on_with_what_runs(self):
--- a/test/test_coordinator_processes.py
+++ b/test/test_coordinator_processes.py
@@ -5,17 +5,17 @@
 
 from standins import lease_workers, rowstore
 from test import coordinator_case as case
-from test import test_coordinator_tenure as tenures
+from test import test_coordinator_leadership
 from toucanspring import errors, metrics
 from toucanspring.coordinator import (
-    approval_desk,
+    approval_dispatcher,
+    failover,
+    leader_lease,
     metered,
     plans,
     rows,
-    seat,
     service,
     state,
-    succession,
 )
 
 JOB = "0" * 16
@@ -119,7 +119,7 @@
             self.store,
             self.workers,
             Approvals(),
-            tenures.Directory(self.entry),
+            test_coordinator_leadership.Directory(self.entry),
             metered.Meters(metrics.Service(None, None)),
         )
         self.processes[name].start()
@@ -201,7 +201,7 @@
     def test_nobody_takes_the_seat_while_no_process_reaches_the_store(self):
         first, _ = self.start_cell("one", "two")
         self.store.reachable = False
-        gevent.sleep(succession.HAND_OVER_AFTER_S * 2)
+        gevent.sleep(failover.HAND_OVER_AFTER_S * 2)
         self.store.reachable = True
         self.wait_for(lambda: self.coordinates(first))
         self.assertEqual((first, 1), (self.holder().process, self.holder().epoch))
@@ -214,13 +214,13 @@
         for each in (watcher, witness):
             each.targets = {"one": 0, "two": 0, "three": 0}
         watches = [
-            succession.Succession(name, peers, self.store, given_up.append, None)
+            failover.Succession(name, peers, self.store, given_up.append, None)
             for name, peers in (("two", watcher), ("three", witness))
         ]
         held = rows.Seat("one", "10.0.0.1", 4, 1, 0, "life")
         for each in watches:
             each.follow(held)
-            each._since -= succession.YOUNG_S
+            each._since -= failover.YOUNG_S
             each.__enter__()
             self.addCleanup(each.__exit__)
         network.cut.add("one")
@@ -228,16 +228,16 @@
         self.assertEqual({4}, set(given_up))
 
     def test_only_a_coordinator_of_some_standing_that_is_heard_is_quiet(self):
-        watch = succession.Succession(
+        watch = failover.Succession(
             "two", Network().join("two"), self.store, None, None
         )
         self.assertFalse(watch.is_quiet())
         watch.follow(rows.Seat("one", "10.0.0.1", 4, 1, 0, "life"))
         self.assertFalse(watch.is_quiet())
-        watch._since -= succession.YOUNG_S
+        watch._since -= failover.YOUNG_S
         watch.heard("one")
         self.assertTrue(watch.is_quiet())
-        watch._heard_at -= succession.SILENT_AFTER_S
+        watch._heard_at -= failover.SILENT_AFTER_S
         self.assertFalse(watch.is_quiet())
 
     def test_a_coordinator_that_another_process_reaches_is_kept(self):
@@ -247,18 +247,16 @@
         network.join("one")
         watcher.targets = {"three": 0}  # its own stream to the coordinator is cut
         witness.targets = {"one": 0, "two": 0}
-        watch = succession.Succession("two", watcher, self.store, given_up.append, None)
-        other = succession.Succession(
-            "three", witness, self.store, given_up.append, None
-        )
+        watch = failover.Succession("two", watcher, self.store, given_up.append, None)
+        other = failover.Succession("three", witness, self.store, given_up.append, None)
         held = rows.Seat("one", "10.0.0.1", 4, 1, 0, "life")
         for each in (watch, other):
             each.follow(held)
-            each._since -= succession.YOUNG_S
+            each._since -= failover.YOUNG_S
             each.__enter__()
             self.addCleanup(each.__exit__)
         other._heard_at = float("inf")  # it hears the coordinator all the while
-        gevent.sleep(succession.DEAD_AFTER_S * 2)
+        gevent.sleep(failover.DEAD_AFTER_S * 2)
         self.assertEqual([], given_up)
 
 
@@ -274,10 +272,10 @@
             peers.targets = dict.fromkeys(["one", "two", "three", "four"], 0)
             peers.targets.pop(name)
             self.approvals[name] = Approvals()
-            self.desks[name] = approval_desk.Desk(
+            self.desks[name] = approval_dispatcher.Desk(
                 Kernel(peers), self.approvals[name], self.answered.append
             )
-            peers.handle(approval_desk.METHOD, self.desks[name].serve)
+            peers.handle(approval_dispatcher.METHOD, self.desks[name].serve)
 
     def question(self, cost_s, priority=1):
         records = case.new_book()
@@ -303,9 +301,10 @@
         for _ in range(5):
             self.desks["one"].ask(self.question(0.5))
         busy = sum(
-            cost > approval_desk.LONG_S for cost in self.desks["one"]._busy.values()
+            cost > approval_dispatcher.LONG_S
+            for cost in self.desks["one"]._busy.values()
         )
-        self.assertEqual(4 - approval_desk.KEPT_FOR_SHORT, busy)
+        self.assertEqual(4 - approval_dispatcher.KEPT_FOR_SHORT, busy)
         self.desks["one"].ask(self.question(0.01, priority=0))
         self.assertEqual(busy + 1, len(self.desks["one"]._busy))
         self.wait_for_answers(6)
@@ -323,4 +322,4 @@
 
 class SeatTest(testtools.TestCase):
     def test_the_lease_outlasts_two_renewals_that_fail(self):
-        self.assertGreater(seat.LEASE_MS / 1000, 3 * seat.RENEW_S)
+        self.assertGreater(leader_lease.LEASE_MS / 1000, 3 * leader_lease.RENEW_S)
--- a/test/test_coordinator_reports.py
+++ b/test/test_coordinator_reports.py
@@ -4,8 +4,8 @@
 
 from test import coordinator_case as case
 from toucanspring.coordinator import (
-    book,
-    orders,
+    cell_state,
+    dispatch,
     planner,
     ports,
     reports,
@@ -64,7 +64,7 @@
         end = case.ended(2, f"{JOB}.0.0.0", run=2, how="failed")
         case.look(records, "w1", [other], [end], now=6.0)
         self.assertEqual(state.JobState.FAILED, records.jobs[JOB].state)
-        self.assertEqual([book.Stop("w1", f"{JOB}.0.1.0", 1)], records.stops)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.1.0", 1)], records.stops)
 
     def test_ends_that_are_no_fault_cost_no_attempt(self):
         records = self.begin(case.step(1))
@@ -124,7 +124,7 @@
     def test_an_unknown_task_is_stopped_and_nothing_starts_beside_it(self):
         other = case.running("f" * 16 + ".0.0.0")
         case.look(self.records, "w1", running=[other], now=1.0)
-        stop = book.Stop("w1", "f" * 16 + ".0.0.0", 1)
+        stop = cell_state.Stop("w1", "f" * 16 + ".0.0.0", 1)
         self.assertEqual([stop], self.records.stops)
         self.assertEqual([], planner.Planner(self.records).plan(1.1).starts)
 
@@ -152,7 +152,7 @@
         worker = self.records.workers["w1"]
         standing = case.running(f"{JOB}.0.0.0", percent=7)
         case.look(self.records, "w1", [standing], now=2.0)
-        now = 2.0 + orders.LOOK_WAIT_MS / 1000
+        now = 2.0 + dispatch.LOOK_WAIT_MS / 1000
         case.look(self.records, "w1", [standing], now=now)
         self.assertEqual(1, len(reports.find_stuck(worker, now)))
 
@@ -184,7 +184,7 @@
         records.accept(case.job(JOB, case.step(2)), 1.0)
         start_all(records)
         records.cancel(JOB, 2.0)
-        self.assertEqual([book.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
         self.assertEqual([], planner.Planner(records).plan(2.1).starts)
         records.cancel(JOB, 3.0)
         self.assertEqual(state.JobState.CANCELLED, records.jobs[JOB].state)
@@ -195,7 +195,7 @@
         plan = planner.Planner(records).plan(1.0)
         records.cancel(JOB, 1.1)
         case.confirm(records, plan, 1.2)
-        self.assertEqual([book.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
 
 
 class RestoreTest(testtools.TestCase):
@@ -246,7 +246,7 @@
     def test_a_run_of_before_that_was_given_up_is_stopped(self):
         records = self.restored(self.progress())
         case.look(records, "w1", running=[case.running(f"{JOB}.0.0.1", 1)], now=11.0)
-        self.assertIn(book.Stop("w1", f"{JOB}.0.0.1", 1), records.stops)
+        self.assertIn(cell_state.Stop("w1", f"{JOB}.0.0.1", 1), records.stops)
 
     def test_what_is_written_is_what_is_restored(self):
         records = self.restored(self.progress())
@@ -271,7 +271,7 @@
         self.assertEqual([], planner.Planner(records).plan(1.0).starts)
 
     def test_a_worker_named_by_an_intent_only_is_expected(self):
-        records = book.Book()
+        records = cell_state.Book()
         records.catalogue = case.configure()
         tasks = (rows.TaskRow(0, 1, worker="w9", born=1),)
         progress = rows.Progress("active", (rows.StepRow(0, 0, tasks),))
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -6,7 +6,15 @@
 from standins import rowstore
 from test import coordinator_case as case
 from toucanspring import errors
-from toucanspring.coordinator import feeds, intake, ledger, ports, rows, seat, work
+from toucanspring.coordinator import (
+    job_specs,
+    job_writer,
+    ledger,
+    ports,
+    rows,
+    seat,
+    table_cache,
+)
 
 
 class Clock:
@@ -21,14 +29,14 @@
     def setUp(self):
         super().setUp()
         self.store = rowstore.MemoryStore()
-        self.intake = intake.Intake(self.store)
+        self.intake = job_writer.Intake(self.store)
         self.intake.__enter__()
         self.addCleanup(self.intake.__exit__)
 
     def stored(self):
         """Return the IDs of the stored jobs; one may be in several places."""
         found = {
-            rows.decode(work.Job, row.value).id for row in self.store.rows.values()
+            rows.decode(job_specs.Job, row.value).id for row in self.store.rows.values()
         }
         return sorted(found)
 
@@ -87,7 +95,7 @@
         super().setUp()
         self.store = rowstore.MemoryStore()
         self.seen = []
-        self.feed = feeds.Feed(self.store, "t", self.seen.append)
+        self.feed = table_cache.Feed(self.store, "t", self.seen.append)
 
     def put(self, key, part=""):
         self.store.put(ports.Place("t", part, key), key.encode())
@@ -145,7 +153,7 @@
             return follow(*arguments)
 
         self.store.follow = count
-        with feeds.Feed(self.store, "t", self.seen.append, pause_s=0.2) as feed:
+        with table_cache.Feed(self.store, "t", self.seen.append, pause_s=0.2) as feed:
             for number in range(30):
                 self.put(f"{number}")
                 gevent.sleep(0.01)
@@ -155,7 +163,7 @@
 
     def test_an_outage_makes_the_copy_age(self):
         clock = Clock()
-        feed = feeds.Feed(self.store, "t", self.seen.append, clock)
+        feed = table_cache.Feed(self.store, "t", self.seen.append, clock)
         feed.step()
         self.store.reachable = False
         clock.now += 5
@@ -170,22 +178,22 @@
         self.store = rowstore.MemoryStore(self.clock)
 
     def claim(self, process="one"):
-        return seat.claim(self.store, process, "10.0.0.1", f"life of {process}")
+        return leader_lease.claim(self.store, process, "10.0.0.1", f"life of {process}")
 
     def ledger(self, taken):
-        store_clock = seat.StoreClock()
+        store_clock = leader_lease.StoreClock()
         store_clock.take(self.store.moment().store_ms, self.clock.now)
-        return ledger.Ledger(self.store, taken, store_clock, self.clock)
+        return fenced_writer.Ledger(self.store, taken, store_clock, self.clock)
 
 
 class SeatTest(SeatCase):
     def test_the_first_claim_takes_the_seat(self):
         self.assertEqual(1, self.claim().seat.epoch)
-        self.assertIsInstance(self.claim("two"), seat.Held)
+        self.assertIsInstance(self.claim("two"), leader_lease.Held)
 
     def test_an_expired_seat_is_taken_under_a_later_epoch(self):
         self.claim()
-        self.clock.now += (seat.LEASE_MS + seat.MARGIN_MS) / 1000 + 0.01
+        self.clock.now += (leader_lease.LEASE_MS + leader_lease.MARGIN_MS) / 1000 + 0.01
         taken = self.claim("two")
         self.assertEqual(2, taken.seat.epoch)
         self.assertTrue(taken.predecessor_may_live)
@@ -203,15 +211,16 @@
 
     def test_a_holder_that_is_given_up_is_replaced_at_once(self):
         holder = self.ledger(self.claim())
-        taken = seat.claim(self.store, "two", "10.0.0.2", "two", vacated=1)
+        taken = leader_lease.claim(self.store, "two", "10.0.0.2", "two", vacated=1)
         self.assertEqual(2, taken.seat.epoch)
         self.assertTrue(taken.predecessor_may_live)
         # It may renew leases of workers for as long as it believes in its own.
-        self.assertEqual(seat.LEASE_MS / 1000, taken.predecessor_holds_s)
+        self.assertEqual(leader_lease.LEASE_MS / 1000, taken.predecessor_holds_s)
         place = ports.Place("progress", rows.COORDINATOR_PART, "job")
         self.assertIsInstance(holder.commit({place: b"old"}), errors.Fenced)
         self.assertIsInstance(
-            seat.claim(self.store, "three", "10.0.0.3", "three", vacated=1), seat.Held
+            leader_lease.claim(self.store, "three", "10.0.0.3", "three", vacated=1),
+            leader_lease.Held,
         )
 
     def test_a_released_seat_is_free_at_once(self):
@@ -232,7 +241,7 @@
         self.assertIsNone(book.commit({self.PLACE: b"1"}))
         self.clock.now += 2
         self.assertTrue(book.holds(self.clock.now))
-        self.assertIsInstance(self.claim("two"), seat.Held)
+        self.assertIsInstance(self.claim("two"), leader_lease.Held)
 
     def test_a_commit_whose_answer_was_lost_counts_once(self):
         book = self.ledger(self.claim())
--- a/test/test_coordinator_speeds.py
+++ b/test/test_coordinator_stragglers.py
@@ -3,7 +3,7 @@
 import testtools
 
 from test import coordinator_case as case
-from toucanspring.coordinator import planner, speeds
+from toucanspring.coordinator import planner, stragglers
 
 JOB = "0" * 16
 
@@ -32,26 +32,26 @@
 
     def test_a_slow_worker_gets_nothing_new_for_a_while(self):
         self.run_steps(case.step(5, cpus=1500))
-        [slow] = speeds.find_slow(self.records.workers.values(), 4.0)
+        [slow] = stragglers.find_slow(self.records.workers.values(), 4.0)
         self.assertEqual("w0", slow.id)
         self.records.accept(case.job("1" * 16, case.step(5, cpus=500)), 4.1)
         starts = self.chooser.plan(4.1).starts
         self.assertNotIn("w0", {start.worker.id for start in starts})
-        later = 4.1 + speeds.SLOW_S
+        later = 4.1 + stragglers.SLOW_S
         self.assertTrue(slow.is_usable(later, frozenset()))
 
     def test_tasks_that_would_end_sooner_elsewhere_are_moved(self):
         self.run_steps(case.step(5, cpus=1500))
-        [slow] = speeds.find_slow(self.records.workers.values(), 4.0)
-        [held] = speeds.find_movable(slow, 4.0)
+        [slow] = stragglers.find_slow(self.records.workers.values(), 4.0)
+        [held] = stragglers.find_movable(slow, 4.0)
         # Near its end it stays.
         held.task.percent = 90
-        self.assertEqual([], speeds.find_movable(slow, 4.0))
+        self.assertEqual([], stragglers.find_movable(slow, 4.0))
 
     def test_equal_workers_are_not_slow(self):
         self.run_steps(case.step(5, cpus=1500), slow=())
-        self.assertEqual([], speeds.find_slow(self.records.workers.values(), 4.0))
+        self.assertEqual([], stragglers.find_slow(self.records.workers.values(), 4.0))
 
     def test_members_of_gangs_say_nothing_of_their_workers(self):
         self.run_steps(case.step(5, cpus=1500, gang=True))
-        self.assertEqual([], speeds.find_slow(self.records.workers.values(), 4.0))
+        self.assertEqual([], stragglers.find_slow(self.records.workers.values(), 4.0))
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -11,8 +11,8 @@
 from standins import lease_workers, ports
 from test import coordinator_case as case
 from toucanspring import resources
+from toucanspring.coordinator import job_specs
 from toucanspring.coordinator import ports as coordinator_ports
-from toucanspring.coordinator import work
 
 JOB = "0" * 16
 TASK = f"{JOB}.0.0.0"
@@ -88,7 +88,7 @@
         self.workers = lease_workers.LeaseWorkers(run_s=0.0)
         self.entry = case.entry("w1")
         self.workers.add(self.entry)
-        step = work.Step(count=1, demand=resources.Resources(100, 100, 0))
+        step = job_specs.Step(count=1, demand=resources.Resources(100, 100, 0))
         self.workers.jobs[JOB] = case.job(JOB, step)
 
     def run_once(self):
@@ -126,8 +126,8 @@
         super().setUp()
         self.workers = lease_workers.LeaseWorkers()
         self.promises = promises.Promises(self.workers)
-        step = work.Step(count=1, demand=resources.Resources(100, 100, 0))
-        self.spec = work.Job(
+        step = job_specs.Step(count=1, demand=resources.Resources(100, 100, 0))
+        self.spec = job_specs.Job(
             id=JOB, queue="jobs", organisation="team", payload="p", steps=(step,)
         )
         self.ordered = self.promises.expect(self.spec)
--- a/toucanspring/coordinator/book.py
+++ b/toucanspring/coordinator/cell_state.py
@@ -13,7 +13,15 @@
 
 from toucanspring import log as structured
 from toucanspring import resources
-from toucanspring.coordinator import catalogue, ports, rates, rows, state, work, workers
+from toucanspring.coordinator import (
+    catalogue,
+    job_specs,
+    ports,
+    rate_limits,
+    rows,
+    state,
+    workers,
+)
 
 log = logbook.Logger(__name__)
 
@@ -47,12 +55,12 @@
         self.dirty: dict[str, state.JobRecord] = {}
         self.stops: list[Stop] = []
         self.capacity_version = 0
-        self._rates = rates.Rates()
+        self._rates = rate_limits.Rates()
         self._pools: dict[str, list[workers.Worker]] = {}
 
     # Jobs
 
-    def accept(self, spec: work.Job, now: float, age_s: float = 0.0) -> None:
+    def accept(self, spec: job_specs.Job, now: float, age_s: float = 0.0) -> None:
         """Take in an accepted job; a known one is left alone."""
         if spec.id in self.jobs:
             return
@@ -60,7 +68,11 @@
         self.open_steps(record, now)
 
     def restore(
-        self, spec: work.Job, progress: rows.Progress | None, now: float, age_s: float
+        self,
+        spec: job_specs.Job,
+        progress: rows.Progress | None,
+        now: float,
+        age_s: float,
     ) -> None:
         """Take in a job with its durable progress, after a takeover."""
         record = self._add(spec, now, age_s)
@@ -78,7 +90,7 @@
         record.ended_at = now
         self._stop_all(record)
 
-    def _add(self, spec: work.Job, now: float, age_s: float) -> state.JobRecord:
+    def _add(self, spec: job_specs.Job, now: float, age_s: float) -> state.JobRecord:
         record = state.JobRecord(spec, now - age_s)
         queue = self.catalogue.queue(spec.queue)
         chain_s = sum(step.estimate_ms for step in spec.steps) / 1000
@@ -115,7 +127,7 @@
                             self.queue(state.new_step(record, occurrence, number, now))
 
     def may_open(
-        self, record: state.JobRecord, occurrence: int, step: work.Step
+        self, record: state.JobRecord, occurrence: int, step: job_specs.Step
     ) -> bool:
         """Return whether all steps before a step are done."""
         if record.spec.repeats and not step.after:
--- a/toucanspring/coordinator/orders.py
+++ b/toucanspring/coordinator/dispatch.py
@@ -12,7 +12,7 @@
 
 from toucanspring import errors
 from toucanspring import log as structured
-from toucanspring.coordinator import book, plans, ports, reports, workers
+from toucanspring.coordinator import cell_state, plans, ports, reports, workers
 
 log = logbook.Logger(__name__)
 
@@ -36,7 +36,7 @@
 class Owner(Protocol):
     """What the orders need of the coordinator that gives them."""
 
-    book: book.Book
+    cell_state: cell_state.Book
     epoch: int
 
     def may_renew(self, now: float) -> bool:
@@ -257,18 +257,18 @@
             worker.penalty_until = now + workers.PENALTY_S
         elif reason == ports.INVALID:
             start.task.avoided = start.task.avoided | {worker.id}
-            start.task.avoid_until = now + book.AVOID_S
+            start.task.avoid_until = now + cell_state.AVOID_S
         if repeated or reason == ports.OLD_RUN:
             # The first order may have been carried out, or its run has ended.
             records.start_unanswered(run, start.task, start.run)
         else:
             records.not_started(run, start.task, start.run, now)
 
-    def stop(self, order: book.Stop) -> None:
+    def stop(self, order: cell_state.Stop) -> None:
         """Order a stop, and repeat it until it is confirmed or without object."""
         self._orders.spawn(self._stop, order)
 
-    def _stop(self, order: book.Stop) -> None:
+    def _stop(self, order: cell_state.Stop) -> None:
         while True:
             worker = self._owner.book.workers.get(order.worker)
             if worker is None or not worker.entry.address:
--- a/toucanspring/coordinator/succession.py
+++ b/toucanspring/coordinator/failover.py
@@ -1,6 +1,6 @@
 """Takeovers of the seat from a holder that cannot write, is dead or leaves.
 
-To give a live holder up by mistake does no harm but the takeover; see `seat.claim`.
+To give a live holder up by mistake does no harm but the takeover; see `leader_lease.claim`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from toucanspring import errors
 from toucanspring import log as structured
 from toucanspring.cell import peers
-from toucanspring.coordinator import ports, rows, seat
+from toucanspring.coordinator import leader_lease, ports, rows
 
 log = logbook.Logger(__name__)
 
@@ -118,7 +118,7 @@
         """Claim the seat of a coordinator that cannot write."""
         if self.closing:
             return errors.Refused(reason="this process is stopping")
-        found = seat.read(self._store)
+        found = leader_lease.read(self._store)
         if isinstance(found, errors.Failure):
             return found
         structured.decide(log, "seat_offered", by=sender, epoch=body.decode())
--- a/toucanspring/coordinator/ledger.py
+++ b/toucanspring/coordinator/fenced_writer.py
@@ -13,7 +13,7 @@
 import logbook
 
 from toucanspring import errors
-from toucanspring.coordinator import ports, rows, seat
+from toucanspring.coordinator import leader_lease, ports, rows
 
 log = logbook.Logger(__name__)
 
@@ -30,8 +30,8 @@
     def __init__(
         self,
         store: ports.Store,
-        tenure: seat.Tenure,
-        store_clock: seat.StoreClock,
+        tenure: leader_lease.Tenure,
+        store_clock: leader_lease.StoreClock,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._store = store
@@ -111,7 +111,7 @@
         began = self._clock()
         while not self.lost:
             sent = self._clock()
-            wanted = self._next(self._store_clock.latest(sent) + seat.LEASE_MS)
+            wanted = self._next(self._store_clock.latest(sent) + leader_lease.LEASE_MS)
             answer = self._store.transact(
                 {rows.SEAT_PLACE: self._version},
                 {**puts, rows.SEAT_PLACE: rows.encode(wanted)},
--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -5,7 +5,14 @@
 from typing import Protocol
 
 from toucanspring import resources
-from toucanspring.coordinator import book, catalogue, fitting, plans, state, workers
+from toucanspring.coordinator import (
+    catalogue,
+    cell_state,
+    placement,
+    plans,
+    state,
+    workers,
+)
 
 # A blocked gang keeps other work off the workers that it needs after this time, and
 # stops less urgent work there after that one, if the work does not end by itself.
@@ -60,7 +67,7 @@
 class Gangs:
     """Plan the gangs of one book."""
 
-    def __init__(self, records: book.Book, rounds: Rounds) -> None:
+    def __init__(self, records: cell_state.Book, rounds: Rounds) -> None:
         self._book = records
         self._rounds = rounds
 
@@ -83,9 +90,9 @@
             worker
             for worker in eligible
             if worker.id not in plan.reserved
-            and all(fitting.is_tried(task, worker, now) for task in run.tasks)
+            and all(placement.is_tried(task, worker, now) for task in run.tasks)
         ]
-        chosen = fitting.place_gang(run, open_workers, {})
+        chosen = placement.place_gang(run, open_workers, {})
         if chosen is None:
             plan.wait(run, plans.NO_ROOM)
             if now - run.ready_at >= GANG_PATIENCE_S:
@@ -172,10 +179,10 @@
         }
         if now < run.reserved_until:
             kept = [each for each in open_workers if each.id in run.reserved]
-            chosen = fitting.place_gang(run, kept, extra)
+            chosen = placement.place_gang(run, kept, extra)
             if chosen is not None:
                 return chosen
-        chosen = fitting.place_gang(run, open_workers, extra)
+        chosen = placement.place_gang(run, open_workers, extra)
         if chosen is not None:
             run.reserved = frozenset(worker.id for worker, _ in chosen)
             run.reserved_until = now + RESERVATION_S
--- a/toucanspring/coordinator/intake.py
+++ b/toucanspring/coordinator/job_writer.py
@@ -10,7 +10,7 @@
 from gevent import event
 
 from toucanspring import errors
-from toucanspring.coordinator import ports, rows, work
+from toucanspring.coordinator import job_specs, ports, rows
 
 log = logbook.Logger(__name__)
 
@@ -23,7 +23,7 @@
 class Waiting:
     """Hold one job until its row is written or certainly not."""
 
-    def __init__(self, spec: work.Job, give_up_at: float) -> None:
+    def __init__(self, spec: job_specs.Job, give_up_at: float) -> None:
         self.spec = spec
         self.value = rows.encode(spec)
         self.give_up_at = give_up_at
@@ -58,7 +58,7 @@
     def __exit__(self, *_exc: object) -> None:
         gevent.killall(self._greenlets, block=False)
 
-    def accept(self, spec: work.Job, timeout_s: float) -> None | errors.Failure:
+    def accept(self, spec: job_specs.Job, timeout_s: float) -> None | errors.Failure:
         """Return once a job is stored; a repeat of the same job is accepted again.
 
         `Unavailable` means that it was not accepted and never will be by this call,
@@ -154,8 +154,8 @@
             if row is None:
                 left.append(each)
                 continue
-            known = rows.decode(work.Job, row.value)
-            same = isinstance(known, work.Job) and (
+            known = rows.decode(job_specs.Job, row.value)
+            same = isinstance(known, job_specs.Job) and (
                 known.organisation,
                 known.queue,
                 known.payload,
--- a/toucanspring/coordinator/tenure.py
+++ b/toucanspring/coordinator/leadership.py
@@ -13,19 +13,19 @@
 from toucanspring import errors
 from toucanspring import log as structured
 from toucanspring.coordinator import (
-    book,
-    feeds,
-    ledger,
-    orders,
+    cell_state,
+    dispatch,
+    fenced_writer,
+    job_specs,
+    leader_lease,
     planner,
     plans,
     ports,
-    restoring,
+    recovery,
     rows,
-    seat,
-    speeds,
     state,
-    work,
+    stragglers,
+    table_cache,
     workers,
 )
 
@@ -61,14 +61,14 @@
         store: ports.Store,
         client: ports.Workers,
         directory: ports.Directory,
-        taken: seat.Tenure,
-        store_clock: seat.StoreClock,
+        taken: leader_lease.Tenure,
+        store_clock: leader_lease.StoreClock,
         ask: Callable[[plans.Question], None],
         max_lease_ms: int,
         on_failing: Callable[[float], None] = lambda _for_s: None,
         on_round: Callable[[int, float], None] = lambda _starts, _took_s: None,
     ) -> None:
-        self.book = book.Book()
+        self.book = cell_state.Book()
         self.epoch = taken.seat.epoch
         self.ready = event.Event()
         self.ended = event.Event()
@@ -76,18 +76,18 @@
         self._directory = directory
         self._taken = taken
         self._claimed_at = time.monotonic()
-        self._ledger = ledger.Ledger(store, taken, store_clock)
+        self._ledger = fenced_writer.Ledger(store, taken, store_clock)
         self._ledger.on_failing = on_failing
         self._on_round = on_round
         self._planner = planner.Planner(self.book)
-        self._desk = orders.Desk(self, client, max_lease_ms)
+        self._desk = dispatch.Desk(self, client, max_lease_ms)
         self._max_lease_s = max_lease_ms / 1000
         self._ask = ask
         self._woken = event.Event()
         self._committed = event.Event()
         self._notes: list[Note] = []
         self._waiters: list[event.AsyncResult] = []
-        self._jobs = feeds.Feed(store, rows.JOBS, self._take_job)
+        self._jobs = table_cache.Feed(store, rows.JOBS, self._take_job)
         self._removals: list[ports.Place] = []
         self._housekept_at = 0.0
         self._releasing = False
@@ -111,7 +111,7 @@
                     self.epoch, len(self.book.jobs), len(self.book.workers),
                 )  # fmt: skip
                 while not self._ledger.lost:
-                    self._woken.wait(seat.RENEW_S / 4)
+                    self._woken.wait(leader_lease.RENEW_S / 4)
                     self._woken.clear()
                     self._round()
                     if self._releasing:
@@ -143,7 +143,7 @@
     def may_renew(self, now: float) -> bool:
         """Return whether leases of workers may be renewed."""
         lost = self._ledger.lost
-        return not lost and self._ledger.overdue_s(now) < orders.OUTAGE_HOLD_S
+        return not lost and self._ledger.overdue_s(now) < dispatch.OUTAGE_HOLD_S
 
     def note(self, worker: workers.Worker, last_end: int) -> None:
         """Forget ends at the worker once the next write is durable."""
@@ -248,7 +248,7 @@
 
     def _try_load(self) -> None | errors.Failure:
         # After the claim no earlier commit can take effect, so this is final.
-        progress = feeds.read_table(self._store, rows.PROGRESS)
+        progress = table_cache.read_table(self._store, rows.PROGRESS)
         if isinstance(progress, errors.Failure):
             return progress
         failure = self._jobs.step()
@@ -262,10 +262,10 @@
         self.book.jobs.clear()
         for entry in self._directory.entries().values():
             self.book.take_entry(entry)
-        restoring.restore(self.book, self._jobs.rows.values(), progress, now)
+        recovery.restore(self.book, self._jobs.rows.values(), progress, now)
         renewed_until = self._claimed_at + self._max_lease_s
         if self._taken.predecessor_may_live:
-            renewed_until += self._taken.predecessor_holds_s + orders.OUTAGE_HOLD_S
+            renewed_until += self._taken.predecessor_holds_s + dispatch.OUTAGE_HOLD_S
         for worker in self.book.workers.values():
             worker.lapses_at = (
                 renewed_until
@@ -281,14 +281,14 @@
             or not self.ready.is_set()
         ):
             return
-        spec = rows.decode(work.Job, row.value)
+        spec = rows.decode(job_specs.Job, row.value)
         if isinstance(spec, errors.Malformed):
             log.error("job {}: {}", row.place.key, spec)
             return
-        self.book.accept(spec, time.monotonic(), restoring.age_s(spec))
+        self.book.accept(spec, time.monotonic(), recovery.age_s(spec))
         structured.decide(
             log, "job_learned", job=spec.id, queue=spec.queue,
-            organisation=spec.organisation, age_s=round(restoring.age_s(spec), 3),
+            organisation=spec.organisation, age_s=round(recovery.age_s(spec), 3),
         )  # fmt: skip
         self.wake()
 
@@ -345,7 +345,7 @@
         notes, self._notes = self._notes, []
         waiters, self._waiters = self._waiters, []
         removals, self._removals = tuple(self._removals), []
-        renewal_due = now - self._ledger.committed_at >= seat.RENEW_S
+        renewal_due = now - self._ledger.committed_at >= leader_lease.RENEW_S
         if not (dirty or waiters or removals or renewal_due):
             self._noted(notes)
             return
@@ -387,8 +387,8 @@
         if now - self._housekept_at < HOUSEKEEPING_S:
             return
         self._housekept_at = now
-        for worker in speeds.find_slow(self.book.workers.values(), now):
-            movable = speeds.find_movable(worker, now)
+        for worker in stragglers.find_slow(self.book.workers.values(), now):
+            movable = stragglers.find_movable(worker, now)
             structured.decide(
                 log, "worker_slow", worker=worker.id, share=round(worker.slowness, 2),
                 tasks=len(worker.held), moved=len(movable),
--- a/toucanspring/coordinator/planner.py
+++ b/toucanspring/coordinator/planner.py
@@ -6,10 +6,10 @@
 from __future__ import annotations
 
 from toucanspring.coordinator import (
-    book,
     catalogue,
-    fitting,
+    cell_state,
     gangs,
+    placement,
     plans,
     state,
     workers,
@@ -30,7 +30,7 @@
 class Planner:
     """Decide for the jobs of one book."""
 
-    def __init__(self, records: book.Book) -> None:
+    def __init__(self, records: cell_state.Book) -> None:
         self._book = records
         self._gangs = gangs.Gangs(records, self)
 
@@ -99,7 +99,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        eligible = [worker for worker in usable if fitting.suits(run, worker)]
+        eligible = [worker for worker in usable if placement.suits(run, worker)]
         if not eligible:
             plan.wait(run, plans.NO_WORKER)
             return
@@ -187,7 +187,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        on_worker = fitting.count_on_workers(run)
+        on_worker = placement.count_on_workers(run)
         open_workers = eligible
         if queue.priority > MOST_URGENT:
             open_workers = [each for each in eligible if each.id not in plan.reserved]
@@ -198,7 +198,7 @@
             fits = [
                 worker
                 for worker in open_workers
-                if fitting.allows(run, task, worker, on_worker, now)
+                if placement.allows(run, task, worker, on_worker, now)
                 and run.step.occupied().fits(worker.free())
             ]
             valid = [
@@ -212,7 +212,7 @@
                 self._block(run, queue, [each.id for each in fits], plan, now)
                 return
             best = min(
-                valid, key=lambda worker: fitting.rank(run, worker, worker.free())
+                valid, key=lambda worker: placement.rank(run, worker, worker.free())
             )
             on_worker[best.id] = on_worker.get(best.id, 0) + 1
             self.start(run, task, best, task.run + 1, queue, plan, now)
--- a/toucanspring/coordinator/restoring.py
+++ b/toucanspring/coordinator/recovery.py
@@ -8,7 +8,7 @@
 import logbook
 
 from toucanspring import errors
-from toucanspring.coordinator import book, feeds, ports, rows, work
+from toucanspring.coordinator import cell_state, job_specs, ports, rows, table_cache
 
 log = logbook.Logger(__name__)
 
@@ -17,9 +17,9 @@
 
 
 def restore(
-    records: book.Book,
+    records: cell_state.Book,
     jobs: Iterable[ports.Row],
-    progress: feeds.Reading,
+    progress: table_cache.Reading,
     now: float,
 ) -> None:
     """Take in all readable jobs, the oldest first, with what has become of them."""
@@ -30,8 +30,8 @@
             log.error("progress of {}: {}", row.place.key, decoded)
             continue
         found[row.place.key] = decoded
-    known = [rows.decode(work.Job, row.value) for row in jobs]
-    specs = [spec for spec in known if isinstance(spec, work.Job)]
+    known = [rows.decode(job_specs.Job, row.value) for row in jobs]
+    specs = [spec for spec in known if isinstance(spec, job_specs.Job)]
     if len(specs) < len(known):
         log.error("{} job rows are unreadable", len(known) - len(specs))
     for spec in sorted(specs, key=lambda each: each.accepted_at_ms):
@@ -39,6 +39,6 @@
             records.restore(spec, found.get(spec.id), now, age_s(spec))
 
 
-def age_s(spec: work.Job) -> float:
+def age_s(spec: job_specs.Job) -> float:
     """Return how long ago a job was accepted, by the wall clocks of two processes."""
     return max(0.0, min(MAX_AGE_S, time.time() - spec.accepted_at_ms / 1000))
--- a/toucanspring/coordinator/reports.py
+++ b/toucanspring/coordinator/reports.py
@@ -8,7 +8,7 @@
 
 from toucanspring import log as structured
 from toucanspring import resources
-from toucanspring.coordinator import book, ports, speeds, state, workers
+from toucanspring.coordinator import cell_state, ports, state, stragglers, workers
 
 log = logbook.Logger(__name__)
 
@@ -21,7 +21,7 @@
 
 
 def take_look(
-    records: book.Book,
+    records: cell_state.Book,
     worker: workers.Worker,
     look: ports.Look,
     sent_at: float,
@@ -57,7 +57,7 @@
 
 
 def _compare(
-    records: book.Book,
+    records: cell_state.Book,
     worker: workers.Worker,
     running: Iterable[ports.RunningTask],
     now: float,
@@ -68,12 +68,12 @@
         if held is None or held.task.run != row.run:
             foreign[row.task] = _size_of(records, row.task)
             if row.task not in worker.foreign:
-                records.stops.append(book.Stop(worker.id, row.task, row.run))
+                records.stops.append(cell_state.Stop(worker.id, row.task, row.run))
             continue
         task = held.task
         if row.checkpoint:
             task.checkpoint = row.checkpoint
-        speeds.take_progress(worker, held, row.percent, now)
+        stragglers.take_progress(worker, held, row.percent, now)
         if row.percent != task.percent or not task.percent_at:
             task.percent, task.percent_at = row.percent, now
         if task.phase is state.Phase.IN_DOUBT:
@@ -87,7 +87,7 @@
     worker.foreign = foreign
 
 
-def _size_of(records: book.Book, task_id: str) -> resources.Resources:
+def _size_of(records: cell_state.Book, task_id: str) -> resources.Resources:
     name = state.parse_task_id(task_id)
     record = records.jobs.get(name.job) if name is not None else None
     if record is None or name.step >= len(record.spec.steps):
@@ -97,7 +97,7 @@
 
 
 def _end(
-    records: book.Book, worker: workers.Worker, end: ports.EndedTask, now: float
+    records: cell_state.Book, worker: workers.Worker, end: ports.EndedTask, now: float
 ) -> bool:
     """Take in how a run ended; return whether it changed a job."""
     name = state.parse_task_id(end.task)
@@ -120,7 +120,7 @@
         lasted_s=round(now - task.started_at, 3) if task.started_at else 0,
     )
     if end.how == DONE:
-        speeds.take_end(worker, workers.Held(run, task), now)
+        stragglers.take_end(worker, workers.Held(run, task), now)
     records.release(run, task)
     if end.how == DONE:
         worker.note_success()
@@ -140,7 +140,9 @@
     return True
 
 
-def _done(records: book.Book, run: state.StepRun, task: state.Task, now: float) -> None:
+def _done(
+    records: cell_state.Book, run: state.StepRun, task: state.Task, now: float
+) -> None:
     if run.step.long_running:
         records.back_to_queue(run, task, now)
         return
@@ -157,7 +159,7 @@
         _step_done(records, run, now)
 
 
-def _step_done(records: book.Book, run: state.StepRun, now: float) -> None:
+def _step_done(records: cell_state.Book, run: state.StepRun, now: float) -> None:
     record = run.job
     occurrences = max(1, record.spec.repeats)
     complete = sum(step.unfinished == 0 for step in record.steps.values())
@@ -173,7 +175,11 @@
 
 
 def _failed(
-    records: book.Book, run: state.StepRun, task: state.Task, worker_id: str, now: float
+    records: cell_state.Book,
+    run: state.StepRun,
+    task: state.Task,
+    worker_id: str,
+    now: float,
 ) -> None:
     # A gang fails as a whole, however many of its members do in one run.
     failing = run.tasks if run.step.gang else [task]
@@ -182,7 +188,7 @@
             each.failures += 1
             each.failed_run = task.run
     task.avoided = task.avoided | {worker_id}
-    task.avoid_until = now + book.AVOID_S
+    task.avoid_until = now + cell_state.AVOID_S
     records.back_to_queue(run, task, now)
     queue = records.catalogue.queue(run.job.spec.queue)
     attempts = queue.max_attempts if queue is not None else DEFAULT_ATTEMPTS
@@ -191,7 +197,7 @@
         records.finish(run.job, state.JobState.FAILED, now)
 
 
-def lapse(records: book.Book, worker: workers.Worker, now: float) -> None:
+def lapse(records: cell_state.Book, worker: workers.Worker, now: float) -> None:
     """Take note that a silent worker's lease is over: it runs nothing."""
     worker.answering = worker.confirmed = False
     structured.decide(log, "worker_lost", worker=worker.id, tasks=len(worker.held))
--- a/toucanspring/coordinator/rows.py
+++ b/toucanspring/coordinator/rows.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from toucanspring import errors
-from toucanspring.coordinator import ports, work
+from toucanspring.coordinator import job_specs, ports
 
 JOBS = "jobs"
 PROGRESS = "progress"
@@ -77,7 +77,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
     kind: msgspec.msgpack.Decoder(kind)
-    for kind in (Seat, MemberRow, Progress, work.Job)
+    for kind in (Seat, MemberRow, Progress, job_specs.Job)
 }
 
 encode = _encoder.encode
--- a/toucanspring/coordinator/service.py
+++ b/toucanspring/coordinator/service.py
@@ -16,18 +16,18 @@
 from toucanspring import errors
 from toucanspring import log as structured
 from toucanspring.coordinator import (
-    approval_desk,
-    feeds,
-    intake,
+    approval_dispatcher,
+    failover,
+    job_specs,
+    job_writer,
+    leader_lease,
+    leadership,
     metered,
     plans,
     ports,
     rows,
-    seat,
     state,
-    succession,
-    tenure,
-    work,
+    table_cache,
 )
 
 log = logbook.Logger(__name__)
@@ -74,20 +74,20 @@
         self._directory = directory
         self._meters = meters
         self._life = uuid.uuid4().hex[:12]
-        self._clock = seat.StoreClock()
+        self._clock = leader_lease.StoreClock()
         self._seat: rows.Seat | None = None
-        self._tenure: tenure.Tenure | None = None
+        self._tenure: leadership.Tenure | None = None
         self._draining = False
         self._looked = event.Event()
         self._vacated = 0  # epoch of a coordinator that is given up
-        self._members = feeds.Feed(
+        self._members = table_cache.Feed(
             store, rows.MEMBERS, self._take_member, wait_s=MEMBERS_WAIT_S
         )
-        self._intake = intake.Intake(store)
-        self._approvals = approval_desk.Desk(
+        self._intake = job_writer.Intake(store)
+        self._approvals = approval_dispatcher.Desk(
             kernel, metered.Approvals(approvals, meters), self._answered
         )
-        self._succession = succession.Succession(
+        self._succession = failover.Succession(
             options.process, kernel.find("peers"), store, self._give_up, self._leave
         )
         self._greenlets: list[gevent.Greenlet] = []
@@ -99,7 +99,7 @@
         peers = self._kernel.find("peers")
         for method in METHODS:
             peers.handle(method, self._handler(method))
-        peers.handle(approval_desk.METHOD, self._approvals.serve)
+        peers.handle(approval_dispatcher.METHOD, self._approvals.serve)
         peers.handle_notice(ANNOUNCE, self._take_announcement)
         self._intake.__enter__()
         self._succession.__enter__()
@@ -145,8 +145,8 @@
 
     # Calls
 
-    def submit(self, spec: work.Job, timeout_s: float) -> None | errors.Failure:
-        """Store a job; see `intake.Intake.accept`."""
+    def submit(self, spec: job_specs.Job, timeout_s: float) -> None | errors.Failure:
+        """Store a job; see `job_writer.Intake.accept`."""
         return self._intake.accept(spec, timeout_s)
 
     def status(self, job_id: str) -> state.JobState | errors.Failure:
@@ -283,7 +283,7 @@
     def _keep_streams(self) -> None:
         while True:
             leading = self._tenure is not None
-            gevent.sleep(succession.HEARTBEAT_S if leading else KEEPALIVE_S)
+            gevent.sleep(failover.HEARTBEAT_S if leading else KEEPALIVE_S)
             self._announce()
 
     def _announce(self) -> None:
@@ -343,7 +343,7 @@
             if self._draining:
                 self._follow_seat()
                 continue
-            found = seat.claim(
+            found = leader_lease.claim(
                 self._store,
                 self._options.process,
                 self._options.address,
@@ -351,10 +351,10 @@
                 self._vacated,
             )
             match found:
-                case seat.Tenure():
+                case leader_lease.Tenure():
                     self._coordinate(found)
                     self._looked.wait(LOOK_AT_SEAT_S)
-                case seat.Held(seat=held, expires_in_s=left_s):
+                case leader_lease.Held(seat=held, expires_in_s=left_s):
                     if held.process:
                         self._take_seat(held)
                     pause = left_s + 0.05 * random.random()
@@ -369,17 +369,19 @@
             self._looked.clear()
 
     def _follow_seat(self) -> None:
-        found = seat.read(self._store)
+        found = leader_lease.read(self._store)
         if not isinstance(found, errors.Failure) and found[0] is not None:
             self._take_seat(found[0])
         gevent.sleep(LOOK_AT_SEAT_S / 2)
 
-    def _coordinate(self, taken: seat.Tenure) -> None:
+    def _coordinate(self, taken: leader_lease.Tenure) -> None:
         self._take_seat(taken.seat)
         structured.decide(log, "seat_taken", epoch=taken.seat.epoch)
-        self._clock = seat.StoreClock()
-        self._clock.take(taken.seat.expires_ms - seat.LEASE_MS, time.monotonic())
-        self._tenure = tenure.Tenure(
+        self._clock = leader_lease.StoreClock()
+        self._clock.take(
+            taken.seat.expires_ms - leader_lease.LEASE_MS, time.monotonic()
+        )
+        self._tenure = leadership.Tenure(
             self._store,
             self._client,
             self._directory,
--- a/toucanspring/coordinator/state.py
+++ b/toucanspring/coordinator/state.py
@@ -5,7 +5,7 @@
 import dataclasses
 import enum
 
-from toucanspring.coordinator import ports, rows, work
+from toucanspring.coordinator import job_specs, ports, rows
 
 
 class Phase(enum.Enum):
@@ -69,7 +69,7 @@
     job: JobRecord
     occurrence: int
     number: int
-    step: work.Step
+    step: job_specs.Step
     tasks: list[Task]
     waiting: set[int]
     unfinished: int
@@ -102,7 +102,7 @@
 class JobRecord:
     """Hold an accepted job and its steps, by occurrence and number."""
 
-    spec: work.Job
+    spec: job_specs.Job
     learned_at: float
     steps: dict[tuple[int, int], StepRun] = dataclasses.field(default_factory=dict)
     state: JobState = JobState.QUEUED
@@ -118,12 +118,12 @@
         return self.state in FINAL
 
 
-def parse_task_id(text: str) -> work.TaskId | None:
+def parse_task_id(text: str) -> job_specs.TaskId | None:
     """Return the parts of a task's name; None if it has another form."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
-    return work.TaskId(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
+    return job_specs.TaskId(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
 
 
 def new_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
