--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -3,8 +3,9 @@
 A step that no coordinator takes models a pause. A claim may come at any time, as a
 takeover before the lease is over does. A write under way takes effect or fails at any
 later time, once more if its answer was lost; an order arrives at any time. Workers run,
-end and lapse. The rules are those of `ledger`, `tenure`, `dispatch` and `reports` of
-the coordinator, restated here, since these perform I/O; `ACTIONS` names them.
+end and lapse. The rules are those of `fenced_writer`, `leadership`, `dispatch` and
+`reports` of the coordinator, restated here, since these perform I/O; `ACTIONS` names
+them.
 """
 
 from __future__ import annotations
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -7,12 +7,12 @@
 from test import coordinator_case as case
 from toucanspring import errors
 from toucanspring.coordinator import (
+    fenced_writer,
     job_specs,
     job_writer,
-    ledger,
+    leader_lease,
     ports,
     rows,
-    seat,
     table_cache,
 )
 
--- a/toucanspring/coordinator/failover.py
+++ b/toucanspring/coordinator/failover.py
@@ -1,6 +1,7 @@
 """Takeovers of the seat from a holder that cannot write, is dead or leaves.
 
-To give a live holder up by mistake does no harm but the takeover; see `leader_lease.claim`.
+To give a live holder up by mistake does no harm but the takeover; see
+`leader_lease.claim`.
 """
 
 from __future__ import annotations
