--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -16,7 +16,7 @@
 import random
 
 from bench import arrivals
-from bench import job_specs as measured
+from bench import work as measured
 from toucanspring import resources
 from toucanspring.coordinator import (
     cell_state,
@@ -78,7 +78,7 @@
                 ports.EndedTask(self.count, run.task, run.run, how, checkpoint)
             )
 
-    def look(self, now: float) -> ports.Look:
+    def look(self, now: float) -> ports.PollReply:
         """Return what runs and what has ended."""
         running = tuple(
             ports.RunningTask(
@@ -90,7 +90,7 @@
             for run in self.runs.values()
         )
         ended, self.ended = tuple(self.ended), []
-        return ports.Look(int(now * 1000) + 1, 1, running, ended)
+        return ports.PollReply(int(now * 1000) + 1, 1, running, ended)
 
 
 def _checkpoint(progress_s: float) -> str:
@@ -104,9 +104,9 @@
     def __init__(self, load: str, seed: int, make_planner) -> None:
         self.load = load
         self.rng = random.Random(seed)
-        self.book = cell_state.Book()
-        self.book.catalogue = arrivals.make_catalogue()
-        self.planner = make_planner(self.book)
+        self.cell = cell_state.CellState()
+        self.cell.catalogue = arrivals.make_catalogue()
+        self.planner = make_planner(self.cell)
         self.machines: dict[str, Machine] = {}
         self.expected = {
             each.spec.id: each
@@ -116,7 +116,7 @@
         self.lost_core_s = 0.0
         self._events: list[tuple[float, int, object]] = []
         self._order = itertools.count()
-        self._questions: list[tuple[int, float, int, plans.Question]] = []
+        self._questions: list[tuple[int, float, int, plans.ApprovalRequest]] = []
         self._callers = CALLERS
         self._allowed: dict[str, frozenset[str]] = {}
         for number in range(arrivals.WORKERS):
@@ -127,11 +127,11 @@
         entry = ports.WorkerEntry(
             id=f"w{number}", pool=arrivals.POOL, address="x",
             zone=ZONES[number // RACK], rack=rack, labels=frozenset({rack}),
-            capacity=resources.Resources(32_000, 65_536, 0), born=1,
+            capacity=resources.Resources(32_000, 65_536, 0), incarnation=1,
         )  # fmt: skip
-        machine = Machine(self.book.take_entry(entry))
+        machine = Machine(self.cell.register_worker(entry))
         self.machines[entry.id] = machine
-        reports.take_look(self.book, machine.worker, machine.look(0.0), 0.0, 0.0)
+        reports.apply_poll_reply(self.cell, machine.worker, machine.look(0.0), 0.0, 0.0)
 
     def at(self, when: float, action) -> None:
         """Call `action(now)` at a time."""
@@ -142,7 +142,7 @@
         for arrival in self.expected.values():
             self.at(
                 arrival.at,
-                lambda now, each=arrival: self.book.accept(each.spec, now),
+                lambda now, each=arrival: self.cell.accept(each.spec, now),
             )
         if self.load == "zone":
             self.at(20.0, lambda _: self._take_out(frozenset({"a"})))
@@ -161,8 +161,8 @@
                 self.at(now + ROUND_S, lambda _: None)
 
     def _take_out(self, zones: frozenset[str]) -> None:
-        self.book.zones_out = zones
-        self.book.capacity_version += 1
+        self.cell.zones_out = zones
+        self.cell.capacity_version += 1
 
     def _looks(self, machine: Machine):
         def look(now: float) -> None:
@@ -174,24 +174,24 @@
     def _take(self, machine: Machine, now: float) -> None:
         look = machine.look(now)
         if look.ended:
-            machine.worker.seen_end = look.ended[0].number - 1
-        reports.take_look(self.book, machine.worker, look, now, now)
-        machine.worker.seen_end = machine.count
-        for job_id in list(self.book.dirty):
-            record, arrival = self.book.jobs[job_id], self.expected[job_id]
+            machine.worker.acked_end = look.ended[0].number - 1
+        reports.apply_poll_reply(self.cell, machine.worker, look, now, now)
+        machine.worker.acked_end = machine.count
+        for job_id in list(self.cell.dirty):
+            record, arrival = self.cell.jobs[job_id], self.expected[job_id]
             if record.state is state.JobState.COMPLETED and not arrival.ended_at:
                 arrival.ended_at = now
-        self.book.dirty.clear()
+        self.cell.dirty.clear()
 
     def _plan(self, now: float) -> None:
         plan = self.planner.plan(now)
-        for question in plan.questions:
+        for question in plan.approval_requests:
             entry = (question.priority, question.cost_s, next(self._order), question)
             heapq.heappush(self._questions, entry)
         self._ask(now)
         for start in plan.starts:
             self.at(now + ORDER_S, lambda then, each=start: self._start(each, then))
-        stops, self.book.stops[:] = list(self.book.stops), []
+        stops, self.cell.stops[:] = list(self.cell.stops), []
         for stop in stops:
             self.at(now + ORDER_S, lambda then, each=stop: self._stop(each, then))
 
@@ -204,7 +204,7 @@
                 lambda then, each=question: self._answer(each, then),
             )
 
-    def _answer(self, question: plans.Question, now: float) -> None:
+    def _answer(self, question: plans.ApprovalRequest, now: float) -> None:
         self._callers += 1
         step = question.step
         if step.id not in self._allowed:
@@ -215,13 +215,13 @@
             ) or frozenset(self.machines)
         allowed = self._allowed[step.id]
         tickets = {name: "t" for name in question.workers if name in allowed}
-        plans.take_answer(question, tickets, now + question.validity_s)
+        plans.record_approvals(question, tickets, now + question.validity_s)
         self._ask(now)
 
     def _start(self, start: plans.Start, now: float) -> None:
         run, task = start.step, start.task
         if run.job.is_final or task.run != start.run:
-            self.book.not_started(run, task, start.run, now)
+            self.cell.cancel_start(run, task, start.run, now)
             return
         arrival = self.expected[run.job.spec.id]
         kind = arrivals.KINDS[arrival.kind]
@@ -233,7 +233,7 @@
         )  # fmt: skip
         machine = self.machines[start.worker.id]
         machine.runs[simulated.task] = simulated
-        self.book.started(run, task, start.run, now)
+        self.cell.confirm_start(run, task, start.run, now)
         left = simulated.total_s - saved
         ends = simulated.began + left * (self.rng.random() if simulated.fails else 1)
         how = reports.FAILED if simulated.fails else reports.DONE
@@ -252,7 +252,7 @@
     def _end_gang(self, run: Run) -> None:
         """End the other members without a word, as one end stands for all."""
         name = state.parse_task_id(run.task)
-        step = self.book.jobs[name.job].steps[name.occurrence, name.step]
+        step = self.cell.jobs[name.job].steps[name.occurrence, name.step]
         if step.step.gang:
             for other in step.tasks:
                 if other.worker:
@@ -307,22 +307,24 @@
 class FirstFit:
     """Start jobs in order of arrival on the first workers with room."""
 
-    def __init__(self, records: cell_state.Book) -> None:
-        self._book = records
-        self._planner = planner.Planner(records)
+    def __init__(self, cell: cell_state.CellState) -> None:
+        self._cell = cell
+        self._planner = planner.Planner(cell)
 
     def plan(self, now: float) -> plans.Plan:
         """Return what to start and to ask now; takes the room for the starts."""
         plan = plans.Plan()
-        for run in list(self._book.ready.values()):
-            queue = self._book.catalogue.queue(run.job.spec.queue)
+        for run in list(self._cell.ready.values()):
+            queue = self._cell.catalogue.queue(run.job.spec.queue)
             usable = [
                 worker
-                for worker in self._book.pool(queue.pool)
-                if worker.is_usable(now, self._book.zones_out)
+                for worker in self._cell.pool(queue.pool)
+                if worker.is_usable(now, self._cell.zones_out)
             ]
             if any(worker.id not in run.allowed for worker in usable):
-                self._planner.ask(run, queue, [each.id for each in usable], plan, now)
+                self._planner.request_approval(
+                    run, queue, [each.id for each in usable], plan, now
+                )
                 continue
             chosen = self._choose(
                 run, [each for each in usable if run.allowed[each.id]]
@@ -331,7 +333,9 @@
                 self._planner.ticket(run, queue, worker.id, now) is None
                 for worker in chosen
             ):
-                self._planner.ask(run, queue, [each.id for each in usable], plan, now)
+                self._planner.request_approval(
+                    run, queue, [each.id for each in usable], plan, now
+                )
                 continue
             number = max(task.run for task in run.tasks) + 1
             for index, worker in zip(sorted(run.waiting), chosen, strict=False):
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -83,7 +83,7 @@
             (self._store_at, emulator.StoreResource(self.store)),
             (self._approvals_at, emulator.ApprovalResource()),
         ):
-            listener = emulator.Listener(address, resource.application())
+            listener = emulator.RowCallback(address, resource.application())
             self._stack.enter_context(listener)
 
     def _add_proxy(self, name: str, target: tuple[str, int]) -> str:
@@ -96,7 +96,7 @@
         entry = types.WorkerEntry(
             id=name, pool=POOL, address=self._add_proxy(name, own), zone=zone,
             rack=f"r-{zone}", labels=frozenset({"kind", f"r-{zone}"}),
-            capacity=resources.Resources(8000, 16_384, 0), born=_now_ms(),
+            capacity=resources.Resources(8000, 16_384, 0), incarnation=_now_ms(),
         )  # fmt: skip
         self.workers.add(entry)
 
@@ -105,7 +105,7 @@
             return self.promises.start_of(order.task, order.spec, zone)
 
         app = emulator.ExecutorResource(self.workers, name, check).application()
-        self._stack.enter_context(emulator.Listener(own, app))
+        self._stack.enter_context(emulator.RowCallback(own, app))
         self._register(name)
 
     def _add_process(self, name: str, zone: str) -> None:
@@ -135,12 +135,12 @@
         known = catalogue.Catalogue(
             version=self.version, queues=(queue,), organisations={team.name: team}
         )
-        row = types.Place("op", "", "config")
+        row = types.RowId("op", "", "config")
         self.store.put(row, emulator.encode_configuration(known))
 
     def set_zone(self, zone: str, out: bool) -> None:
         """Take a zone out of service, or back."""
-        row = types.Place("op", "", f"evacuate/{zone}")
+        row = types.RowId("op", "", f"evacuate/{zone}")
         if out:
             self.store.put(row, b"{}")
             self.promises.out_since[zone] = time.monotonic()
@@ -153,13 +153,13 @@
         self.proxies[name].set_mode(proxy.Reset())
         gevent.sleep(WORKER_RESTART_S)
         old = self.workers.lives[name].entry
-        self.workers.add(dataclasses.replace(old, born=_now_ms()))
+        self.workers.add(dataclasses.replace(old, incarnation=_now_ms()))
         self.proxies[name].set_mode(proxy.Pass())
         self._register(name)
 
     def _register(self, name: str) -> None:
         entry = self.workers.lives[name].entry
-        row = types.Place("servers", "", name)
+        row = types.RowId("servers", "", name)
         self.store.put(row, emulator.encode_executor(entry, draining=False))
 
     def _beat(self) -> None:
--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -17,19 +17,19 @@
 import minicheck
 
 ACTIONS = {
-    "claim": "toucanspring.coordinator.leader_lease.claim",
-    "expire": "toucanspring.coordinator.leadership.Tenure.may_renew",
-    "intend": "toucanspring.coordinator.cell_state.Book.begin",
-    "write": "toucanspring.coordinator.fenced_writer.Ledger.commit",
-    "write fails": "toucanspring.coordinator.fenced_writer.Ledger.commit",
-    "late copy": "toucanspring.coordinator.fenced_writer.Ledger.commit",
-    "order": "toucanspring.coordinator.dispatch.Desk.start",
+    "claim": "toucanspring.coordinator.leader_lease.acquire",
+    "expire": "toucanspring.coordinator.leadership.Leadership.may_renew",
+    "intend": "toucanspring.coordinator.cell_state.CellState.allocate",
+    "write": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
+    "write fails": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
+    "late copy": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
+    "order": "toucanspring.coordinator.dispatch.Dispatcher.start",
     "arrive": "standins.lease_workers.LeaseWorkers.start",
-    "end": "standins.lease_workers.LeaseWorkers.look",
-    "lapse": "standins.lease_workers.LeaseWorkers.look",
-    "look": "toucanspring.coordinator.reports.take_look",
-    "note": "toucanspring.coordinator.leadership.Tenure.note",
-    "give up": "toucanspring.coordinator.reports.lapse",
+    "end": "standins.lease_workers.LeaseWorkers.poll",
+    "lapse": "standins.lease_workers.LeaseWorkers.poll",
+    "look": "toucanspring.coordinator.reports.apply_poll_reply",
+    "note": "toucanspring.coordinator.leadership.Leadership.note",
+    "give up": "toucanspring.coordinator.reports.mark_lost",
 }
 NOWHERE = -1
 
--- a/standins/lease_workers.py
+++ b/standins/lease_workers.py
@@ -67,11 +67,11 @@
 
     def add(self, entry: ports.WorkerEntry) -> None:
         """Begin a life of a worker; an earlier one of the same ID ends."""
-        self.lives[entry.id] = Life(entry, entry.born)
+        self.lives[entry.id] = Life(entry, entry.incarnation)
 
     def start(
         self, worker: ports.WorkerEntry, order: ports.Start
-    ) -> ports.Done | ports.OrderRefused | errors.Failure:
+    ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
         """Start a run; a repeat of the same run changes nothing."""
         gevent.sleep(0)
         if worker.id in self.silent:
@@ -94,7 +94,7 @@
 
     def _start(
         self, worker: ports.WorkerEntry, order: ports.Start
-    ) -> ports.Done | ports.OrderRefused:
+    ) -> ports.OrderDone | ports.OrderRefused:
         life = self._life(worker.id)
         if order.epoch < life.epoch:
             return ports.OrderRefused(reason=ports.FENCED)
@@ -104,7 +104,7 @@
         self._renew(life, order.lease_until_ms)
         running = life.runs.get(order.task)
         if running is not None and running.number == order.run:
-            return ports.Done(life.clock_ms())
+            return ports.OrderDone(life.clock_ms())
         if order.run <= life.highest.get(order.task, 0):
             return ports.OrderRefused(reason=ports.OLD_RUN)
         name = state.parse_task_id(order.task)
@@ -116,7 +116,7 @@
         life.runs[order.task] = Run(
             order.task, order.run, step.occupied(), time.monotonic() + self.run_s
         )
-        return ports.Done(life.clock_ms())
+        return ports.OrderDone(life.clock_ms())
 
     def _check(self, life: Life, order: ports.Start, step: job_specs.Step) -> None:
         used = step.occupied()
@@ -139,7 +139,7 @@
 
     def stop(
         self, worker: ports.WorkerEntry, task: str, run: int, epoch: int
-    ) -> ports.Done | ports.OrderRefused | errors.Failure:
+    ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
         """Stop a run, or forbid it if it has not started."""
         gevent.sleep(0)
         if worker.id in self.silent:
@@ -152,17 +152,17 @@
         running = life.runs.get(task)
         if running is not None and running.number == run:
             self._end(life, running, "stopped")
-        return ports.Done(life.clock_ms())
+        return ports.OrderDone(life.clock_ms())
 
-    def look(
+    def poll(
         self,
         worker: ports.WorkerEntry,
         epoch: int,
-        seen_end: int,
+        acked_end: int,
         lease_until_ms: int | None,
         wait_ms: int,
-    ) -> ports.Look | ports.OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `seen_end` and return the others."""
+    ) -> ports.PollReply | ports.OrderRefused | errors.Failure:
+        """Renew the lease, forget ends up to `acked_end` and return the others."""
         gevent.sleep(0)
         deadline = time.monotonic() + wait_ms / 1000
         asked = self.lives[worker.id]
@@ -176,14 +176,14 @@
             self._renew(life, lease_until_ms or 0)
             for end in life.ended:
                 # An end that nobody had read when the lease was over does not count.
-                counts = life.lapsed_end < end.number <= seen_end
+                counts = life.lapsed_end < end.number <= acked_end
                 if counts and end.how == "done":
                     self.noted.add(end.task)
-            life.ended = [end for end in life.ended if end.number > seen_end]
+            life.ended = [end for end in life.ended if end.number > acked_end]
             if life.ended or time.monotonic() >= deadline:
                 break
             gevent.sleep(0.002)
-        return ports.Look(
+        return ports.PollReply(
             life.clock_ms(),
             life.born,
             tuple(
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        self.rows: dict[ports.Place, ports.Row] = {}
+        self.rows: dict[ports.RowId, ports.Row] = {}
         self.version = 0
         self.reachable = True
         self.parts_down: set[str] = set()
@@ -36,15 +36,15 @@
         self._changed = event.Event()
         self._clock = clock
 
-    def moment(self) -> ports.Moment:
+    def moment(self) -> ports.StoreTimestamp:
         """Return the newest version and the store's clock."""
-        return ports.Moment(self.version, round(self._clock() * 1000))
+        return ports.StoreTimestamp(self.version, round(self._clock() * 1000))
 
-    def put(self, place: ports.Place, value: bytes) -> None:
+    def put(self, place: ports.RowId, value: bytes) -> None:
         """Write a row as an operator does."""
         self._apply({place: value}, ())
 
-    def remove(self, place: ports.Place) -> None:
+    def remove(self, place: ports.RowId) -> None:
         """Remove a row as an operator does."""
         self._apply({}, (place,))
 
@@ -60,9 +60,9 @@
 
     def transact(
         self,
-        checks: dict[ports.Place, int],
-        puts: dict[ports.Place, bytes],
-        removals: tuple[ports.Place, ...] = (),
+        checks: dict[ports.RowId, int],
+        puts: dict[ports.RowId, bytes],
+        removals: tuple[ports.RowId, ...] = (),
     ) -> ports.Committed | ports.Rejected | errors.Failure:
         """Apply all changes if every checked row has its version, else none."""
         gevent.sleep(0)
@@ -93,11 +93,11 @@
             (
                 row
                 for row in self.rows.values()
-                if (row.place.table, row.place.part) == (table, part)
-                and row.place.key >= start
-                and (not stop or row.place.key < stop)
+                if (row.id.table, row.id.part) == (table, part)
+                and row.id.key >= start
+                and (not stop or row.id.key < stop)
             ),
-            key=lambda row: row.place.key,
+            key=lambda row: row.id.key,
         )
         return ports.Page(tuple(found), False, self.moment())
 
@@ -123,12 +123,12 @@
             found = [
                 change
                 for change in self._history
-                if change.version > after and change.place.table == table
+                if change.version > after and change.id.table == table
             ]
             left_s = deadline - time.monotonic()
             if found or left_s <= 0:
                 rows = tuple(
-                    change if change.value else ports.Row(change.place, b"", 0)
+                    change if change.value else ports.Row(change.id, b"", 0)
                     for change in found
                 )
                 return ports.Changes(rows, self.moment())
@@ -137,9 +137,9 @@
 
     def _transact(
         self,
-        checks: dict[ports.Place, int],
-        puts: dict[ports.Place, bytes],
-        removals: tuple[ports.Place, ...],
+        checks: dict[ports.RowId, int],
+        puts: dict[ports.RowId, bytes],
+        removals: tuple[ports.RowId, ...],
     ) -> ports.Committed | ports.Rejected:
         current = {
             place: self.rows.get(place, ports.Row(place, b"", 0)) for place in checks
@@ -150,7 +150,7 @@
         return ports.Committed(self.moment())
 
     def _apply(
-        self, puts: dict[ports.Place, bytes], removals: tuple[ports.Place, ...]
+        self, puts: dict[ports.RowId, bytes], removals: tuple[ports.RowId, ...]
     ) -> None:
         self.version += 1
         for place, value in puts.items():
--- a/test/coordinator_case.py
+++ b/test/coordinator_case.py
@@ -44,7 +44,7 @@
         "rack": "r1",
         "labels": frozenset({"a", "r1"}),
         "capacity": resources.Resources(cpus, memory, 0),
-        "born": 1,
+        "incarnation": 1,
     }
     return ports.WorkerEntry(**{**values, **changes})
 
@@ -65,22 +65,24 @@
     return job_specs.Job(**{**values, **changes})
 
 
-def new_book(*entries, now=0.0, catalogue_=None):
+def new_cell(*entries, now=0.0, catalogue_=None):
     """Return a book whose workers have answered once."""
-    records = cell_state.Book()
-    records.catalogue = catalogue_ or configure()
+    cell = cell_state.CellState()
+    cell.catalogue = catalogue_ or configure()
     for each in entries or (entry(),):
-        worker = records.take_entry(each)
-        look(records, worker.id, now=now)
-    return records
+        worker = cell.register_worker(each)
+        look(cell, worker.id, now=now)
+    return cell
 
 
-def look(records, worker_id, running=(), ended=(), now=0.0, born=1, sent_at=None):
+def look(cell, worker_id, running=(), ended=(), now=0.0, incarnation=1, sent_at=None):
     """Let a worker answer a look."""
-    answer = ports.Look(round(now * 1000) + 1, born, tuple(running), tuple(ended))
-    worker = records.workers[worker_id]
+    answer = ports.PollReply(
+        round(now * 1000) + 1, incarnation, tuple(running), tuple(ended)
+    )
+    worker = cell.workers[worker_id]
     sent = now if sent_at is None else sent_at
-    return reports.take_look(records, worker, answer, sent, now)
+    return reports.apply_poll_reply(cell, worker, answer, sent, now)
 
 
 def running(task, run=1, checkpoint="", percent=10):
@@ -91,18 +93,18 @@
     return ports.EndedTask(number, task, run, how, checkpoint)
 
 
-def confirm(records, plan, now=0.0):
+def confirm(cell, plan, now=0.0):
     """Let the workers confirm all starts of a plan."""
     for start in plan.starts:
-        records.started(start.step, start.task, start.run, now)
+        cell.confirm_start(start.step, start.task, start.run, now)
 
 
-def phases(records, job_id="0" * 16, number=0):
-    run = records.jobs[job_id].steps[0, number]
+def phases(cell, job_id="0" * 16, number=0):
+    run = cell.jobs[job_id].steps[0, number]
     return [task.phase for task in run.tasks]
 
 
-WAITING = state.Phase.WAITING
-RUNNING = state.Phase.RUNNING
-STOPPING = state.Phase.STOPPING
-DONE = state.Phase.DONE
+WAITING = state.TaskPhase.WAITING
+RUNNING = state.TaskPhase.RUNNING
+STOPPING = state.TaskPhase.STOPPING
+DONE = state.TaskPhase.DONE
--- a/test/test_coordinator_leadership.py
+++ b/test/test_coordinator_leadership.py
@@ -54,11 +54,11 @@
 
     def coordinate(self, process="one"):
         """Start a tenure; one of another process waits for no lease to expire."""
-        taken = leader_lease.claim(self.store, process, "10.0.0.1", process)
-        self.assertIsInstance(taken, leader_lease.Tenure)
+        taken = leader_lease.acquire(self.store, process, "10.0.0.1", process)
+        self.assertIsInstance(taken, leader_lease.Acquired)
         store_clock = leader_lease.StoreClock()
-        store_clock.take(self.store.moment().store_ms, leadership.time.monotonic())
-        held = leadership.Tenure(
+        store_clock.update(self.store.moment().store_ms, leadership.time.monotonic())
+        held = leadership.Leadership(
             self.store,
             self.workers,
             self.directory,
@@ -81,7 +81,7 @@
     def accept(self, *steps, job_id=JOB, **changes):
         spec = case.job(job_id, *steps, **changes)
         self.workers.jobs[job_id] = spec
-        self.store.put(rows.job_places(job_id)[0], rows.encode(spec))
+        self.store.put(rows.job_row_ids(job_id)[0], rows.encode(spec))
 
     def wait_for(self, condition, limit_s=5.0):
         with gevent.Timeout(limit_s, AssertionError("the condition did not hold")):
@@ -89,7 +89,7 @@
                 gevent.sleep(0.005)
 
     def progress(self, job_id=JOB):
-        row = self.store.rows.get(rows.progress_place(job_id))
+        row = self.store.rows.get(rows.progress_row_id(job_id))
         return None if row is None else rows.decode(rows.Progress, row.value)
 
     def is_complete(self, job_id=JOB):
@@ -113,7 +113,7 @@
     def test_a_job_that_was_stored_in_several_places_runs_once(self):
         self.coordinate()
         self.accept(case.step(3))
-        for place in rows.job_places(JOB)[1:]:
+        for place in rows.job_row_ids(JOB)[1:]:
             self.store.put(place, rows.encode(self.workers.jobs[JOB]))
         self.wait_for(self.is_complete)
         gevent.sleep(0.1)
@@ -180,8 +180,8 @@
         self.wait_for(lambda: self.workers.starts > 0)
         held.release()
         self.assertTrue(held.ended.is_set())
-        taken = leader_lease.claim(self.store, "two", "10.0.0.2", "two")
-        self.assertIsInstance(taken, leader_lease.Tenure)
+        taken = leader_lease.acquire(self.store, "two", "10.0.0.2", "two")
+        self.assertIsInstance(taken, leader_lease.Acquired)
         self.assertFalse(taken.predecessor_may_live)
 
     def test_a_successor_goes_on_with_what_runs(self):
@@ -221,8 +221,10 @@
         held = self.coordinate()
         gevent.sleep(0.5)
         self.assertEqual(1, self.workers.starts)
-        worker = held.book.workers[busy]
-        self.assertGreater(worker.lapses_at - held._claimed_at, MAX_LEASE_MS / 1000)
+        worker = held.cell.workers[busy]
+        self.assertGreater(
+            worker.lease_expires_at - held._claimed_at, MAX_LEASE_MS / 1000
+        )
 
     def test_looks_without_answer_do_not_prolong_the_lease(self):
         """Else the work of a worker that is gone for good never runs again."""
@@ -231,12 +233,12 @@
         self.accept(case.step(1))
         self.wait_for(lambda: self.workers.starts == 1)
         [busy] = [name for name, each in self.workers.lives.items() if each.runs]
-        worker = held.book.workers[busy]
+        worker = held.cell.workers[busy]
         self.workers.silent.add(busy)
-        self.wait_for(lambda: not worker.answering)
-        lapses_at = worker.lapses_at
+        self.wait_for(lambda: not worker.responsive)
+        lease_expires_at = worker.lease_expires_at
         gevent.sleep(0.6)
-        self.assertEqual(lapses_at, worker.lapses_at)
+        self.assertEqual(lease_expires_at, worker.lease_expires_at)
 
     def test_a_start_is_not_sent_long_after_the_seat_was_lost(self):
         """Found by the model `spec.coordination`, rule `expiry`."""
@@ -262,7 +264,7 @@
         self.accept(case.step(8))
         self.wait_for(lambda: self.workers.starts == 8)
         self.kill()
-        self.store.parts_down = {rows.job_places(JOB)[0].part}
+        self.store.parts_down = {rows.job_row_ids(JOB)[0].part}
         self.coordinate()
         self.wait_for(self.is_complete)
         self.assertEqual(8, self.workers.starts)
@@ -273,7 +275,7 @@
         self.coordinate()
         self.accept(case.step(8))
         self.wait_for(lambda: self.workers.starts == 8)
-        self.workers.add(case.entry("w1", cpus=4000, born=2))
+        self.workers.add(case.entry("w1", cpus=4000, incarnation=2))
         self.wait_for(self.is_complete)
         self.assertEqual(12, self.workers.starts)
         self.assert_promises_kept()
@@ -281,15 +283,15 @@
     def test_a_look_after_a_miss_forgets_no_ends(self):
         """Found by the soak, seeds 101 and 102: another life counts its ends anew."""
         looks = []
-        look = self.workers.look
+        look = self.workers.poll
 
-        def record(worker, epoch, seen_end, *rest):
-            answer = look(worker, epoch, seen_end, *rest)
+        def record(worker, epoch, acked_end, *rest):
+            answer = look(worker, epoch, acked_end, *rest)
             if worker.id == "w1":
-                looks.append((seen_end, isinstance(answer, ports.Look)))
+                looks.append((acked_end, isinstance(answer, ports.PollReply)))
             return answer
 
-        self.workers.look = record
+        self.workers.poll = record
         self.coordinate()
         self.accept(case.step(8))
         self.wait_for(self.is_complete)
@@ -310,13 +312,17 @@
         held = self.coordinate()
         self.accept(case.step(1))
         self.workers.lose = 1
-        self.wait_for(lambda: any(w.in_doubt for w in held.book.workers.values()))
+        self.wait_for(
+            lambda: any(w.may_have_restarted for w in held.cell.workers.values())
+        )
         self.wait_for(self.is_complete)
-        self.wait_for(lambda: not any(w.in_doubt for w in held.book.workers.values()))
+        self.wait_for(
+            lambda: not any(w.may_have_restarted for w in held.cell.workers.values())
+        )
 
     def test_an_unreadable_row_does_not_stop_the_others(self):
-        self.store.put(rows.job_places("bad")[0], b"\xff")
-        self.store.put(rows.progress_place("bad"), b"\xff")
+        self.store.put(rows.job_row_ids("bad")[0], b"\xff")
+        self.store.put(rows.progress_row_id("bad"), b"\xff")
         self.accept(case.step(2))
         self.coordinate()
         self.wait_for(self.is_complete)
--- a/test/test_coordinator_metered.py
+++ b/test/test_coordinator_metered.py
@@ -7,7 +7,7 @@
 from toucanspring import metrics
 from toucanspring.coordinator import metered, ports
 
-PLACE = ports.Place("t", "", "a")
+PLACE = ports.RowId("t", "", "a")
 
 
 class MeteredTest(testtools.TestCase):
@@ -46,7 +46,7 @@
         entry = case.entry("w1")
         inner.add(entry)
         workers = metered.Workers(inner, self.meters)
-        self.assertIsInstance(workers.look(entry, 1, 0, None, 0), ports.Look)
+        self.assertIsInstance(workers.poll(entry, 1, 0, None, 0), ports.PollReply)
         self.assertIn(
             'operation="look",outcome="done",target="worker"} 1', self.shown()
         )
--- a/test/test_coordinator_processes.py
+++ b/test/test_coordinator_processes.py
@@ -102,11 +102,11 @@
 
     def end(self):
         for each in self.processes.values():
-            each._succession.closing = each._draining = True
+            each._failover.closing = each._draining = True
             gevent.killall(each._greenlets, block=False)
             each._members.close()
             each._intake.__exit__()
-            each._succession.__exit__()
+            each._failover.__exit__()
 
     def run_process(self, name):
         peers = self.network.join(name)
@@ -131,11 +131,11 @@
                 gevent.sleep(0.01)
 
     def holder(self):
-        row = self.store.rows.get(rows.SEAT_PLACE)
-        return None if row is None else rows.decode(rows.Seat, row.value)
+        row = self.store.rows.get(rows.LEADER_LEASE_ROW)
+        return None if row is None else rows.decode(rows.LeaderLease, row.value)
 
     def coordinates(self, name):
-        held = self.processes[name]._tenure
+        held = self.processes[name]._leadership
         return held is not None and held.ready.is_set()
 
     def start_cell(self, *names):
@@ -146,7 +146,7 @@
         others = [name for name in names if name != first]
         self.wait_for(
             lambda: all(
-                (known := self.processes[name]._seat) is not None
+                (known := self.processes[name]._lease) is not None
                 and known.process == first
                 and first in self.network.members[name].connected()
                 for name in others
@@ -173,8 +173,8 @@
     def test_without_a_coordinator_the_store_tells_the_state(self):
         process = self.run_process("one")
         process._draining = True
-        self.store.put(rows.job_places(JOB)[0], rows.encode(case.job(JOB)))
-        process._seat = rows.Seat("gone", "10.0.0.9", 9, 1, 0, "x")
+        self.store.put(rows.job_row_ids(JOB)[0], rows.encode(case.job(JOB)))
+        process._lease = rows.LeaderLease("gone", "10.0.0.9", 9, 1, 0, "x")
         self.assertEqual(state.JobState.QUEUED, process.status(JOB))
         self.assertIsInstance(process.status("f" * 16), errors.NotFound)
         self.assertIsInstance(process.cancel(JOB), errors.Unavailable)
@@ -193,7 +193,7 @@
         alone = rowstore.MemoryStore()
         alone.reachable = False
         self.processes[first]._store = alone
-        self.processes[first]._tenure._ledger._store = alone
+        self.processes[first]._leadership._writer._store = alone
         self.wait_for(lambda: any(self.coordinates(name) for name in others))
         self.wait_for(lambda: not self.coordinates(first))
         self.assertEqual(2, self.holder().epoch)
@@ -214,10 +214,10 @@
         for each in (watcher, witness):
             each.targets = {"one": 0, "two": 0, "three": 0}
         watches = [
-            failover.Succession(name, peers, self.store, given_up.append, None)
+            failover.Failover(name, peers, self.store, given_up.append, None)
             for name, peers in (("two", watcher), ("three", witness))
         ]
-        held = rows.Seat("one", "10.0.0.1", 4, 1, 0, "life")
+        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
         for each in watches:
             each.follow(held)
             each._since -= failover.YOUNG_S
@@ -228,11 +228,9 @@
         self.assertEqual({4}, set(given_up))
 
     def test_only_a_coordinator_of_some_standing_that_is_heard_is_quiet(self):
-        watch = failover.Succession(
-            "two", Network().join("two"), self.store, None, None
-        )
+        watch = failover.Failover("two", Network().join("two"), self.store, None, None)
         self.assertFalse(watch.is_quiet())
-        watch.follow(rows.Seat("one", "10.0.0.1", 4, 1, 0, "life"))
+        watch.follow(rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life"))
         self.assertFalse(watch.is_quiet())
         watch._since -= failover.YOUNG_S
         watch.heard("one")
@@ -247,9 +245,9 @@
         network.join("one")
         watcher.targets = {"three": 0}  # its own stream to the coordinator is cut
         witness.targets = {"one": 0, "two": 0}
-        watch = failover.Succession("two", watcher, self.store, given_up.append, None)
-        other = failover.Succession("three", witness, self.store, given_up.append, None)
-        held = rows.Seat("one", "10.0.0.1", 4, 1, 0, "life")
+        watch = failover.Failover("two", watcher, self.store, given_up.append, None)
+        other = failover.Failover("three", witness, self.store, given_up.append, None)
+        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
         for each in (watch, other):
             each.follow(held)
             each._since -= failover.YOUNG_S
@@ -272,17 +270,17 @@
             peers.targets = dict.fromkeys(["one", "two", "three", "four"], 0)
             peers.targets.pop(name)
             self.approvals[name] = Approvals()
-            self.desks[name] = approval_dispatcher.Desk(
+            self.desks[name] = approval_dispatcher.ApprovalDispatcher(
                 Kernel(peers), self.approvals[name], self.answered.append
             )
             peers.handle(approval_dispatcher.METHOD, self.desks[name].serve)
 
     def question(self, cost_s, priority=1):
-        records = case.new_book()
+        records = case.new_cell()
         records.accept(case.job(JOB), 1.0)
         run = records.jobs[JOB].steps[0, 0]
-        run.asking = True
-        return plans.Question(run, ("w1",), cost_s, priority, 2.5)
+        run.approval_pending = True
+        return plans.ApprovalRequest(run, ("w1",), cost_s, priority, 2.5)
 
     def wait_for_answers(self, count):
         with gevent.Timeout(5.0, AssertionError("no answer")):
@@ -315,11 +313,13 @@
         question = self.question(0.01)
         self.desks["one"].ask(question)
         self.wait_for_answers(1)
-        self.assertFalse(question.step.asking)
-        self.assertGreater(question.step.ask_again_at, 0.0)
+        self.assertFalse(question.step.approval_pending)
+        self.assertGreater(question.step.approval_retry_at, 0.0)
         self.assertEqual({}, question.step.allowed)
 
 
 class SeatTest(testtools.TestCase):
     def test_the_lease_outlasts_two_renewals_that_fail(self):
-        self.assertGreater(leader_lease.LEASE_MS / 1000, 3 * leader_lease.RENEW_S)
+        self.assertGreater(
+            leader_lease.LEASE_MS / 1000, 3 * leader_lease.RENEW_INTERVAL_S
+        )
--- a/test/test_coordinator_reports.py
+++ b/test/test_coordinator_reports.py
@@ -16,248 +16,248 @@
 JOB = "0" * 16
 
 
-def start_all(records, now=1.0):
-    plan = planner.Planner(records).plan(now)
-    case.confirm(records, plan, now)
+def start_all(cell, now=1.0):
+    plan = planner.Planner(cell).plan(now)
+    case.confirm(cell, plan, now)
     return plan.starts
 
 
 class EndTest(testtools.TestCase):
     def begin(self, *steps, entries=(), **changes):
-        records = case.new_book(*entries)
-        records.accept(case.job(JOB, *steps, **changes), 1.0)
-        start_all(records)
-        return records
+        cell = case.new_cell(*entries)
+        cell.accept(case.job(JOB, *steps, **changes), 1.0)
+        start_all(cell)
+        return cell
 
     def test_the_last_end_completes_the_job(self):
-        records = self.begin(case.step(2))
+        cell = self.begin(case.step(2))
         ends = [case.ended(n + 1, f"{JOB}.0.0.{n}") for n in range(2)]
-        self.assertEqual([JOB, JOB], case.look(records, "w1", ended=ends, now=2.0))
-        self.assertEqual(state.JobState.COMPLETED, records.jobs[JOB].state)
+        self.assertEqual([JOB, JOB], case.look(cell, "w1", ended=ends, now=2.0))
+        self.assertEqual(state.JobState.COMPLETED, cell.jobs[JOB].state)
         # Callers are told once it is durable.
-        self.assertEqual(state.JobState.QUEUED, records.jobs[JOB].shown)
+        self.assertEqual(state.JobState.QUEUED, cell.jobs[JOB].durable_state)
 
     def test_an_end_counts_once(self):
-        records = self.begin(case.step(2))
+        cell = self.begin(case.step(2))
         end = case.ended(1, f"{JOB}.0.0.0")
-        case.look(records, "w1", ended=[end], now=2.0)
-        self.assertEqual([], case.look(records, "w1", ended=[end], now=2.1))
-        self.assertEqual(1, records.jobs[JOB].steps[0, 0].unfinished)
+        case.look(cell, "w1", ended=[end], now=2.0)
+        self.assertEqual([], case.look(cell, "w1", ended=[end], now=2.1))
+        self.assertEqual(1, cell.jobs[JOB].steps[0, 0].unfinished)
 
     def test_a_later_step_opens_when_all_before_it_are_done(self):
-        records = self.begin(case.step(2), case.step(1, after=(0,)))
+        cell = self.begin(case.step(2), case.step(1, after=(0,)))
         first = case.ended(1, f"{JOB}.0.0.0")
         other = case.running(f"{JOB}.0.0.1")
-        case.look(records, "w1", [other], [first], now=2.0)
-        self.assertNotIn((0, 1), records.jobs[JOB].steps)
+        case.look(cell, "w1", [other], [first], now=2.0)
+        self.assertNotIn((0, 1), cell.jobs[JOB].steps)
         second = case.ended(2, f"{JOB}.0.0.1")
-        case.look(records, "w1", ended=[second], now=2.1)
-        self.assertIn((0, 1), records.jobs[JOB].steps)
+        case.look(cell, "w1", ended=[second], now=2.1)
+        self.assertIn((0, 1), cell.jobs[JOB].steps)
 
     def test_a_task_that_failed_too_often_fails_the_job(self):
-        records = self.begin(case.step(1), case.step(1))
+        cell = self.begin(case.step(1), case.step(1))
         other = case.running(f"{JOB}.0.1.0")
         end = case.ended(1, f"{JOB}.0.0.0", how="failed")
-        case.look(records, "w1", [other], [end], now=2.0)
-        self.assertEqual(state.JobState.ACTIVE, records.jobs[JOB].state)
-        start_all(records, 5.0)
+        case.look(cell, "w1", [other], [end], now=2.0)
+        self.assertEqual(state.JobState.ACTIVE, cell.jobs[JOB].state)
+        start_all(cell, 5.0)
         end = case.ended(2, f"{JOB}.0.0.0", run=2, how="failed")
-        case.look(records, "w1", [other], [end], now=6.0)
-        self.assertEqual(state.JobState.FAILED, records.jobs[JOB].state)
-        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.1.0", 1)], records.stops)
+        case.look(cell, "w1", [other], [end], now=6.0)
+        self.assertEqual(state.JobState.FAILED, cell.jobs[JOB].state)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.1.0", 1)], cell.stops)
 
     def test_ends_that_are_no_fault_cost_no_attempt(self):
-        records = self.begin(case.step(1))
+        cell = self.begin(case.step(1))
         for run, how in enumerate(("stopped", "lapsed", "broken", "alone"), 1):
             end = case.ended(run, f"{JOB}.0.0.0", run=run, how=how)
-            case.look(records, "w1", ended=[end], now=2.0 + run)
-            start_all(records, 2.1 + run)
-        task = records.jobs[JOB].steps[0, 0].tasks[0]
+            case.look(cell, "w1", ended=[end], now=2.0 + run)
+            start_all(cell, 2.1 + run)
+        task = cell.jobs[JOB].steps[0, 0].tasks[0]
         self.assertEqual((5, 0), (task.run, task.failures))
 
     def test_one_end_of_a_gang_stands_for_all_members(self):
         entries = [case.entry(f"w{n}", cpus=1000) for n in range(3)]
-        records = self.begin(case.step(3, gang=True), entries=entries)
-        task = next(iter(records.workers["w1"].held))
-        case.look(records, "w1", ended=[case.ended(1, task)], now=2.0)
-        self.assertEqual([case.DONE] * 3, case.phases(records))
-        self.assertEqual(state.JobState.COMPLETED, records.jobs[JOB].state)
+        cell = self.begin(case.step(3, gang=True), entries=entries)
+        task = next(iter(cell.workers["w1"].allocations))
+        case.look(cell, "w1", ended=[case.ended(1, task)], now=2.0)
+        self.assertEqual([case.DONE] * 3, case.phases(cell))
+        self.assertEqual(state.JobState.COMPLETED, cell.jobs[JOB].state)
 
     def test_a_gang_that_loses_a_member_stops_and_counts_one_failure(self):
         entries = [case.entry(f"w{n}", cpus=1000) for n in range(3)]
-        records = self.begin(case.step(3, gang=True), entries=entries)
+        cell = self.begin(case.step(3, gang=True), entries=entries)
         for name, how in (("w0", "failed"), ("w1", "broken"), ("w2", "failed")):
-            task = next(iter(records.workers[name].held))
-            case.look(records, name, ended=[case.ended(1, task, how=how)], now=2.0)
-        run = records.jobs[JOB].steps[0, 0]
+            task = next(iter(cell.workers[name].allocations))
+            case.look(cell, name, ended=[case.ended(1, task, how=how)], now=2.0)
+        run = cell.jobs[JOB].steps[0, 0]
         self.assertEqual({1}, {task.failures for task in run.tasks})
-        self.assertEqual([], planner.Planner(records).plan(2.1).starts)
-        self.assertEqual({2}, {start.run for start in start_all(records, 5.0)})
+        self.assertEqual([], planner.Planner(cell).plan(2.1).starts)
+        self.assertEqual({2}, {start.run for start in start_all(cell, 5.0)})
 
     def test_a_long_running_task_starts_again_however_it_ends(self):
-        records = self.begin(case.step(1, long_running=True))
+        cell = self.begin(case.step(1, long_running=True))
         for run in range(1, 6):
             how = "failed" if run % 2 else "done"
             end = case.ended(run, f"{JOB}.0.0.0", run=run, how=how)
-            case.look(records, "w1", ended=[end], now=run * 10.0)
-            self.assertEqual(1, len(start_all(records, run * 10.0 + 5)))
+            case.look(cell, "w1", ended=[end], now=run * 10.0)
+            self.assertEqual(1, len(start_all(cell, run * 10.0 + 5)))
 
 
 class LookTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.records = case.new_book()
-        self.records.accept(case.job(JOB, case.step(1)), 1.0)
+        self.cell = case.new_cell()
+        self.cell.accept(case.job(JOB, case.step(1)), 1.0)
 
     def test_a_run_that_is_not_listed_after_its_start_is_gone(self):
-        start_all(self.records, 1.0)
-        case.look(self.records, "w1", now=2.0, sent_at=0.9)
-        self.assertEqual([case.RUNNING], case.phases(self.records))
-        case.look(self.records, "w1", now=2.0, sent_at=1.1)
-        self.assertEqual([case.WAITING], case.phases(self.records))
+        start_all(self.cell, 1.0)
+        case.look(self.cell, "w1", now=2.0, sent_at=0.9)
+        self.assertEqual([case.RUNNING], case.phases(self.cell))
+        case.look(self.cell, "w1", now=2.0, sent_at=1.1)
+        self.assertEqual([case.WAITING], case.phases(self.cell))
 
     def test_a_start_under_way_is_not_gone(self):
-        planner.Planner(self.records).plan(1.0)
-        case.look(self.records, "w1", now=2.0)
-        self.assertEqual([state.Phase.STARTING], case.phases(self.records))
+        planner.Planner(self.cell).plan(1.0)
+        case.look(self.cell, "w1", now=2.0)
+        self.assertEqual([state.TaskPhase.STARTING], case.phases(self.cell))
 
     def test_an_unknown_task_is_stopped_and_nothing_starts_beside_it(self):
         other = case.running("f" * 16 + ".0.0.0")
-        case.look(self.records, "w1", running=[other], now=1.0)
+        case.look(self.cell, "w1", running=[other], now=1.0)
         stop = cell_state.Stop("w1", "f" * 16 + ".0.0.0", 1)
-        self.assertEqual([stop], self.records.stops)
-        self.assertEqual([], planner.Planner(self.records).plan(1.1).starts)
+        self.assertEqual([stop], self.cell.stops)
+        self.assertEqual([], planner.Planner(self.cell).plan(1.1).starts)
 
     def test_a_checkpoint_travels_with_the_task(self):
-        start_all(self.records)
+        start_all(self.cell)
         row = case.running(f"{JOB}.0.0.0", checkpoint="c1", percent=40)
-        case.look(self.records, "w1", running=[row], now=1.5)
+        case.look(self.cell, "w1", running=[row], now=1.5)
         end = case.ended(1, f"{JOB}.0.0.0", how="lapsed")
-        case.look(self.records, "w1", ended=[end], now=2.0)
-        [start] = planner.Planner(self.records).plan(2.1).starts
+        case.look(self.cell, "w1", ended=[end], now=2.0)
+        [start] = planner.Planner(self.cell).plan(2.1).starts
         self.assertEqual("c1", start.task.checkpoint)
 
     def test_progress_that_stands_still_is_found(self):
-        start_all(self.records, 1.0)
-        worker = self.records.workers["w1"]
+        start_all(self.cell, 1.0)
+        worker = self.cell.workers["w1"]
         for now, percent in ((1.5, 10), (2.0, 20), (3.0, 20)):
             row = case.running(f"{JOB}.0.0.0", percent=percent)
-            case.look(self.records, "w1", running=[row], now=now, sent_at=now)
+            case.look(self.cell, "w1", running=[row], now=now, sent_at=now)
         self.assertEqual([], reports.find_stuck(worker, 3.0))
         self.assertEqual(1, len(reports.find_stuck(worker, 3.5)))
 
     def test_two_looks_without_an_end_between_them_find_a_stuck_task(self):
         # The load: a worker on which everything stands still, so that looks time out.
-        start_all(self.records)
-        worker = self.records.workers["w1"]
+        start_all(self.cell)
+        worker = self.cell.workers["w1"]
         standing = case.running(f"{JOB}.0.0.0", percent=7)
-        case.look(self.records, "w1", [standing], now=2.0)
-        now = 2.0 + dispatch.LOOK_WAIT_MS / 1000
-        case.look(self.records, "w1", [standing], now=now)
+        case.look(self.cell, "w1", [standing], now=2.0)
+        now = 2.0 + dispatch.POLL_WAIT_MS / 1000
+        case.look(self.cell, "w1", [standing], now=now)
         self.assertEqual(1, len(reports.find_stuck(worker, now)))
 
     def test_a_member_that_waits_for_the_others_of_its_gang_is_not_stuck(self):
         """Members are uneven; who is through stays at 100% until all are."""
-        records = case.new_book(case.entry("w1"), case.entry("w2"))
+        cell = case.new_cell(case.entry("w1"), case.entry("w2"))
         gang = case.step(2, cpus=20_000, gang=True)
-        records.accept(case.job(JOB, gang), 1.0)
-        start_all(records, 1.0)
+        cell.accept(case.job(JOB, gang), 1.0)
+        start_all(cell, 1.0)
         for tick in range(20):
             now = 1.5 + tick * 0.5
             for name, percent in (("w1", 100), ("w2", 4 * tick)):
-                [task] = records.workers[name].held
+                [task] = cell.workers[name].allocations
                 row = case.running(task, percent=percent)
-                case.look(records, name, running=[row], now=now, sent_at=now)
-                worker = records.workers[name]
+                case.look(cell, name, running=[row], now=now, sent_at=now)
+                worker = cell.workers[name]
                 self.assertEqual([], reports.find_stuck(worker, now))
 
     def test_a_lapsed_worker_gives_its_tasks_back(self):
-        start_all(self.records)
-        reports.lapse(self.records, self.records.workers["w1"], 9.0)
-        self.assertEqual([case.WAITING], case.phases(self.records))
-        self.assertEqual([], planner.Planner(self.records).plan(9.1).starts)
+        start_all(self.cell)
+        reports.mark_lost(self.cell, self.cell.workers["w1"], 9.0)
+        self.assertEqual([case.WAITING], case.phases(self.cell))
+        self.assertEqual([], planner.Planner(self.cell).plan(9.1).starts)
 
 
 class CancelTest(testtools.TestCase):
     def test_a_cancelled_job_starts_nothing_and_stops_what_runs(self):
-        records = case.new_book(case.entry(cpus=1000))
-        records.accept(case.job(JOB, case.step(2)), 1.0)
-        start_all(records)
-        records.cancel(JOB, 2.0)
-        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
-        self.assertEqual([], planner.Planner(records).plan(2.1).starts)
-        records.cancel(JOB, 3.0)
-        self.assertEqual(state.JobState.CANCELLED, records.jobs[JOB].state)
+        cell = case.new_cell(case.entry(cpus=1000))
+        cell.accept(case.job(JOB, case.step(2)), 1.0)
+        start_all(cell)
+        cell.cancel(JOB, 2.0)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], cell.stops)
+        self.assertEqual([], planner.Planner(cell).plan(2.1).starts)
+        cell.cancel(JOB, 3.0)
+        self.assertEqual(state.JobState.CANCELLED, cell.jobs[JOB].state)
 
     def test_a_run_whose_start_is_confirmed_after_the_cancellation_stops(self):
-        records = case.new_book()
-        records.accept(case.job(JOB, case.step(1)), 1.0)
-        plan = planner.Planner(records).plan(1.0)
-        records.cancel(JOB, 1.1)
-        case.confirm(records, plan, 1.2)
-        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], records.stops)
+        cell = case.new_cell()
+        cell.accept(case.job(JOB, case.step(1)), 1.0)
+        plan = planner.Planner(cell).plan(1.0)
+        cell.cancel(JOB, 1.1)
+        case.confirm(cell, plan, 1.2)
+        self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.0.0", 1)], cell.stops)
 
 
 class RestoreTest(testtools.TestCase):
     def restored(self, progress, now=10.0):
-        records = case.new_book(now=now - 1)
+        cell = case.new_cell(now=now - 1)
         spec = case.job(JOB, case.step(3))
-        records.restore(spec, progress, now, 0.0)
-        return records
+        cell.restore(spec, progress, now, 0.0)
+        return cell
 
     def progress(self):
         tasks = (
             rows.TaskRow(0, 1, done=True),
-            rows.TaskRow(1, 2, worker="w1", born=1, checkpoint="c"),
+            rows.TaskRow(1, 2, worker="w1", incarnation=1, checkpoint="c"),
         )
         return rows.Progress("active", (rows.StepRow(0, 0, tasks),))
 
     def test_done_tasks_stay_done_and_recorded_starts_are_in_doubt(self):
-        records = self.restored(self.progress())
+        cell = self.restored(self.progress())
         self.assertEqual(
-            [case.DONE, state.Phase.IN_DOUBT, case.WAITING], case.phases(records)
+            [case.DONE, state.TaskPhase.IN_DOUBT, case.WAITING], case.phases(cell)
         )
-        self.assertEqual(1000, records.workers["w1"].used.cpus)
+        self.assertEqual(1000, cell.workers["w1"].used.cpus)
 
     def test_the_worker_resolves_the_doubt(self):
-        records = self.restored(self.progress())
-        case.look(records, "w1", running=[case.running(f"{JOB}.0.0.1", 2)], now=11.0)
-        self.assertEqual(case.RUNNING, case.phases(records)[1])
-        records = self.restored(self.progress())
-        case.look(records, "w1", now=11.0)
-        self.assertEqual(case.WAITING, case.phases(records)[1])
+        cell = self.restored(self.progress())
+        case.look(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 2)], now=11.0)
+        self.assertEqual(case.RUNNING, case.phases(cell)[1])
+        cell = self.restored(self.progress())
+        case.look(cell, "w1", now=11.0)
+        self.assertEqual(case.WAITING, case.phases(cell)[1])
 
     def test_a_gang_whose_failure_is_recorded_fails_once(self):
         """Other members list their ends of the same run after the takeover."""
-        records = case.new_book(case.entry("w1"), case.entry("w2"), now=9.0)
+        cell = case.new_cell(case.entry("w1"), case.entry("w2"), now=9.0)
         tasks = (
             rows.TaskRow(0, 1, failures=1, failed_run=1),
-            rows.TaskRow(1, 1, failures=1, failed_run=1, worker="w2", born=1),
+            rows.TaskRow(1, 1, failures=1, failed_run=1, worker="w2", incarnation=1),
         )
         progress = rows.Progress("active", (rows.StepRow(0, 0, tasks),))
         spec = case.job(JOB, case.step(2, gang=True))
-        records.restore(spec, progress, 10.0, 0.0)
+        cell.restore(spec, progress, 10.0, 0.0)
         end = case.ended(1, f"{JOB}.0.0.1", how="failed")
-        case.look(records, "w2", ended=[end], now=11.0)
-        self.assertEqual(state.JobState.ACTIVE, records.jobs[JOB].state)
-        run = records.jobs[JOB].steps[0, 0]
+        case.look(cell, "w2", ended=[end], now=11.0)
+        self.assertEqual(state.JobState.ACTIVE, cell.jobs[JOB].state)
+        run = cell.jobs[JOB].steps[0, 0]
         self.assertEqual([1, 1], [task.failures for task in run.tasks])
 
     def test_a_run_of_before_that_was_given_up_is_stopped(self):
-        records = self.restored(self.progress())
-        case.look(records, "w1", running=[case.running(f"{JOB}.0.0.1", 1)], now=11.0)
-        self.assertIn(cell_state.Stop("w1", f"{JOB}.0.0.1", 1), records.stops)
+        cell = self.restored(self.progress())
+        case.look(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 1)], now=11.0)
+        self.assertIn(cell_state.Stop("w1", f"{JOB}.0.0.1", 1), cell.stops)
 
     def test_what_is_written_is_what_is_restored(self):
-        records = self.restored(self.progress())
-        again = state.to_progress(records.jobs[JOB])
+        cell = self.restored(self.progress())
+        again = state.to_progress(cell.jobs[JOB])
         self.assertEqual(self.progress(), again)
         self.assertEqual(again, rows.decode(rows.Progress, rows.encode(again)))
 
     def test_numbers_of_runs_rise_over_a_takeover(self):
-        records = self.restored(self.progress())
-        case.look(records, "w1", now=11.0)
-        [first, second] = planner.Planner(records).plan(11.1).starts
+        cell = self.restored(self.progress())
+        case.look(cell, "w1", now=11.0)
+        [first, second] = planner.Planner(cell).plan(11.1).starts
         self.assertEqual([(1, 3), (2, 1)], [
             (first.task.index, first.run), (second.task.index, second.run)
         ])  # fmt: skip
@@ -265,18 +265,18 @@
 
 class EntryTest(testtools.TestCase):
     def test_a_worker_that_left_the_list_gets_nothing_new(self):
-        records = case.new_book()
-        records.accept(case.job(JOB), 1.0)
-        records.worker_left("w1")
-        self.assertEqual([], planner.Planner(records).plan(1.0).starts)
+        cell = case.new_cell()
+        cell.accept(case.job(JOB), 1.0)
+        cell.mark_unregistered("w1")
+        self.assertEqual([], planner.Planner(cell).plan(1.0).starts)
 
     def test_a_worker_named_by_an_intent_only_is_expected(self):
-        records = cell_state.Book()
-        records.catalogue = case.configure()
-        tasks = (rows.TaskRow(0, 1, worker="w9", born=1),)
+        cell = cell_state.CellState()
+        cell.catalogue = case.configure()
+        tasks = (rows.TaskRow(0, 1, worker="w9", incarnation=1),)
         progress = rows.Progress("active", (rows.StepRow(0, 0, tasks),))
-        records.restore(case.job(JOB, case.step(1)), progress, 1.0, 0.0)
-        self.assertFalse(records.workers["w9"].registered)
-        self.assertIsInstance(records.workers["w9"].entry, ports.WorkerEntry)
-        reports.lapse(records, records.workers["w9"], 20.0)
-        self.assertEqual([case.WAITING], case.phases(records))
+        cell.restore(case.job(JOB, case.step(1)), progress, 1.0, 0.0)
+        self.assertFalse(cell.workers["w9"].registered)
+        self.assertIsInstance(cell.workers["w9"].entry, ports.WorkerEntry)
+        reports.mark_lost(cell, cell.workers["w9"], 20.0)
+        self.assertEqual([case.WAITING], case.phases(cell))
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -29,7 +29,7 @@
     def setUp(self):
         super().setUp()
         self.store = rowstore.MemoryStore()
-        self.intake = job_writer.Intake(self.store)
+        self.intake = job_writer.JobWriter(self.store)
         self.intake.__enter__()
         self.addCleanup(self.intake.__exit__)
 
@@ -69,7 +69,7 @@
 
     def test_a_write_that_may_come_late_is_never_called_refused(self):
         """The store holds the write back, then refuses all calls."""
-        self.store.delay = rows.JOB_PLACES
+        self.store.delay = rows.PARTS_PER_JOB
         accepting = gevent.spawn(self.intake.accept, case.job(), 0.15)
         gevent.sleep(0.01)
         self.store.reachable = False
@@ -79,7 +79,7 @@
         self.assertEqual(["0" * 16], self.stored())
 
     def test_a_part_that_is_down_alone_refuses_nothing(self):
-        self.store.parts_down = {rows.job_places("0" * 16)[0].part}
+        self.store.parts_down = {rows.job_row_ids("0" * 16)[0].part}
         self.assertIsNone(self.intake.accept(case.job(), 1.0))
         self.assertEqual(["0" * 16], self.stored())
 
@@ -95,10 +95,10 @@
         super().setUp()
         self.store = rowstore.MemoryStore()
         self.seen = []
-        self.feed = table_cache.Feed(self.store, "t", self.seen.append)
+        self.feed = table_cache.TableCache(self.store, "t", self.seen.append)
 
     def put(self, key, part=""):
-        self.store.put(ports.Place("t", part, key), key.encode())
+        self.store.put(ports.RowId("t", part, key), key.encode())
 
     def keys(self):
         return sorted(place.key for place in self.feed.rows)
@@ -106,42 +106,42 @@
     def test_all_parts_are_read_then_changes_followed(self):
         self.put("a", "1")
         self.put("b", "2")
-        self.assertIsNone(self.feed.step())
+        self.assertIsNone(self.feed.poll())
         self.put("c", "3")
-        self.assertIsNone(self.feed.step())
+        self.assertIsNone(self.feed.poll())
         self.assertEqual(["a", "b", "c"], self.keys())
 
     def test_a_removed_row_leaves_the_copy(self):
         self.put("a")
-        self.feed.step()
-        place = ports.Place("t", "", "a")
+        self.feed.poll()
+        place = ports.RowId("t", "", "a")
         self.store.transact({}, {}, (place,))
-        self.feed.step()
+        self.feed.poll()
         self.assertEqual([], self.keys())
         self.assertEqual(0, self.seen[-1].version)
 
     def test_dropped_history_is_made_up_by_reading_again(self):
         self.put("a")
         self.put("b")
-        self.feed.step()
-        self.store.transact({}, {}, (ports.Place("t", "", "a"),))
+        self.feed.poll()
+        self.store.transact({}, {}, (ports.RowId("t", "", "a"),))
         self.put("c")
         self.store.drop_history()
-        self.feed.step()
-        self.feed.step()
+        self.feed.poll()
+        self.feed.poll()
         self.assertEqual(["b", "c"], self.keys())
 
     def test_a_part_that_cannot_be_read_is_made_up_later(self):
         self.put("a", "1")
         self.put("b", "2")
         self.store.parts_down = {"2"}
-        self.assertIsNone(self.feed.step())
+        self.assertIsNone(self.feed.poll())
         self.assertEqual(["a"], self.keys())
-        self.assertEqual(float("-inf"), self.feed.complete_at)
+        self.assertEqual(float("-inf"), self.feed.synced_at)
         self.store.parts_down = set()
-        self.feed._read_rest()
+        self.feed._read_missing_parts()
         self.assertEqual(["a", "b"], self.keys())
-        self.assertEqual(frozenset(), self.feed.unread)
+        self.assertEqual(frozenset(), self.feed.unread_parts)
 
     def test_a_pause_bundles_the_changes_of_a_busy_table(self):
         # The load: a table in which many writers change their rows all the time.
@@ -153,7 +153,9 @@
             return follow(*arguments)
 
         self.store.follow = count
-        with table_cache.Feed(self.store, "t", self.seen.append, pause_s=0.2) as feed:
+        with table_cache.TableCache(
+            self.store, "t", self.seen.append, pause_s=0.2
+        ) as feed:
             for number in range(30):
                 self.put(f"{number}")
                 gevent.sleep(0.01)
@@ -163,11 +165,11 @@
 
     def test_an_outage_makes_the_copy_age(self):
         clock = Clock()
-        feed = table_cache.Feed(self.store, "t", self.seen.append, clock)
-        feed.step()
+        feed = table_cache.TableCache(self.store, "t", self.seen.append, clock)
+        feed.poll()
         self.store.reachable = False
         clock.now += 5
-        self.assertIsInstance(feed.step(), errors.Unavailable)
+        self.assertIsInstance(feed.poll(), errors.Unavailable)
         self.assertEqual(5, feed.age(clock.now))
 
 
@@ -178,49 +180,57 @@
         self.store = rowstore.MemoryStore(self.clock)
 
     def claim(self, process="one"):
-        return leader_lease.claim(self.store, process, "10.0.0.1", f"life of {process}")
+        return leader_lease.acquire(
+            self.store, process, "10.0.0.1", f"life of {process}"
+        )
 
     def ledger(self, taken):
         store_clock = leader_lease.StoreClock()
-        store_clock.take(self.store.moment().store_ms, self.clock.now)
-        return fenced_writer.Ledger(self.store, taken, store_clock, self.clock)
+        store_clock.update(self.store.moment().store_ms, self.clock.now)
+        return fenced_writer.FencedWriter(self.store, taken, store_clock, self.clock)
 
 
 class SeatTest(SeatCase):
     def test_the_first_claim_takes_the_seat(self):
-        self.assertEqual(1, self.claim().seat.epoch)
-        self.assertIsInstance(self.claim("two"), leader_lease.Held)
+        self.assertEqual(1, self.claim().lease.epoch)
+        self.assertIsInstance(self.claim("two"), leader_lease.HeldByOther)
 
     def test_an_expired_seat_is_taken_under_a_later_epoch(self):
         self.claim()
-        self.clock.now += (leader_lease.LEASE_MS + leader_lease.MARGIN_MS) / 1000 + 0.01
+        self.clock.now += (
+            leader_lease.LEASE_MS + leader_lease.CLOCK_MARGIN_MS
+        ) / 1000 + 0.01
         taken = self.claim("two")
-        self.assertEqual(2, taken.seat.epoch)
+        self.assertEqual(2, taken.lease.epoch)
         self.assertTrue(taken.predecessor_may_live)
 
     def test_a_process_takes_the_seat_of_its_earlier_life_at_once(self):
         self.claim()
         taken = self.claim()
-        self.assertEqual(2, taken.seat.epoch)
+        self.assertEqual(2, taken.lease.epoch)
         self.assertFalse(taken.predecessor_may_live)
 
     def test_a_claim_without_answer_is_found_by_the_next(self):
         self.store.lose_answers = 1
         self.assertIsInstance(self.claim(), errors.Ambiguous)
-        self.assertEqual(2, self.claim().seat.epoch)
+        self.assertEqual(2, self.claim().lease.epoch)
 
     def test_a_holder_that_is_given_up_is_replaced_at_once(self):
         holder = self.ledger(self.claim())
-        taken = leader_lease.claim(self.store, "two", "10.0.0.2", "two", vacated=1)
-        self.assertEqual(2, taken.seat.epoch)
+        taken = leader_lease.acquire(
+            self.store, "two", "10.0.0.2", "two", takeover_epoch=1
+        )
+        self.assertEqual(2, taken.lease.epoch)
         self.assertTrue(taken.predecessor_may_live)
         # It may renew leases of workers for as long as it believes in its own.
-        self.assertEqual(leader_lease.LEASE_MS / 1000, taken.predecessor_holds_s)
-        place = ports.Place("progress", rows.COORDINATOR_PART, "job")
+        self.assertEqual(leader_lease.LEASE_MS / 1000, taken.predecessor_lease_left_s)
+        place = ports.RowId("progress", rows.COORDINATOR_PART, "job")
         self.assertIsInstance(holder.commit({place: b"old"}), errors.Fenced)
         self.assertIsInstance(
-            leader_lease.claim(self.store, "three", "10.0.0.3", "three", vacated=1),
-            leader_lease.Held,
+            leader_lease.acquire(
+                self.store, "three", "10.0.0.3", "three", takeover_epoch=1
+            ),
+            leader_lease.HeldByOther,
         )
 
     def test_a_released_seat_is_free_at_once(self):
@@ -230,7 +240,7 @@
 
 
 class LedgerTest(SeatCase):
-    PLACE = ports.Place("progress", rows.COORDINATOR_PART, "job")
+    PLACE = ports.RowId("progress", rows.COORDINATOR_PART, "job")
 
     def value(self):
         return self.store.rows[self.PLACE].value
@@ -240,8 +250,8 @@
         self.clock.now += 2
         self.assertIsNone(book.commit({self.PLACE: b"1"}))
         self.clock.now += 2
-        self.assertTrue(book.holds(self.clock.now))
-        self.assertIsInstance(self.claim("two"), leader_lease.Held)
+        self.assertTrue(book.holds_lease(self.clock.now))
+        self.assertIsInstance(self.claim("two"), leader_lease.HeldByOther)
 
     def test_a_commit_whose_answer_was_lost_counts_once(self):
         book = self.ledger(self.claim())
@@ -263,7 +273,7 @@
         """A process that was paused goes on after another took the seat."""
         paused = self.ledger(self.claim())
         self.clock.now += 10
-        self.assertFalse(paused.holds(self.clock.now))
+        self.assertFalse(paused.holds_lease(self.clock.now))
         current = self.ledger(self.claim("two"))
         self.assertIsNone(current.commit({self.PLACE: b"new"}))
         self.assertIsInstance(paused.commit({self.PLACE: b"old"}), errors.Fenced)
@@ -285,7 +295,7 @@
     def test_many_rows_go_in_several_transactions(self):
         book = self.ledger(self.claim())
         puts = {
-            ports.Place("progress", rows.COORDINATOR_PART, f"{number}"): b"x"
+            ports.RowId("progress", rows.COORDINATOR_PART, f"{number}"): b"x"
             for number in range(250)
         }
         self.assertIsNone(book.commit(puts))
--- a/test/test_coordinator_stragglers.py
+++ b/test/test_coordinator_stragglers.py
@@ -14,44 +14,44 @@
     def setUp(self):
         super().setUp()
         self.entries = [case.entry(f"w{n}", cpus=2000) for n in range(5)]
-        self.records = case.new_book(*self.entries)
-        self.chooser = planner.Planner(self.records)
+        self.cell = case.new_cell(*self.entries)
+        self.chooser = planner.Planner(self.cell)
 
     def run_steps(self, step, slow=("w0",), seconds=3.0):
-        self.records.accept(case.job(JOB, step), 1.0)
-        case.confirm(self.records, self.chooser.plan(1.0), 1.0)
+        self.cell.accept(case.job(JOB, step), 1.0)
+        case.confirm(self.cell, self.chooser.plan(1.0), 1.0)
         for tick in range(1, int(seconds / 0.5) + 1):
             now = 1.0 + tick * 0.5
-            for name, worker in self.records.workers.items():
+            for name, worker in self.cell.workers.items():
                 rate = 2 if name in slow else 16
                 rows = [
                     case.running(task, percent=min(99, rate * tick))
-                    for task in worker.held
+                    for task in worker.allocations
                 ]
-                case.look(self.records, name, rows, now=now, sent_at=0.0)
+                case.look(self.cell, name, rows, now=now, sent_at=0.0)
 
     def test_a_slow_worker_gets_nothing_new_for_a_while(self):
         self.run_steps(case.step(5, cpus=1500))
-        [slow] = stragglers.find_slow(self.records.workers.values(), 4.0)
+        [slow] = stragglers.find_slow(self.cell.workers.values(), 4.0)
         self.assertEqual("w0", slow.id)
-        self.records.accept(case.job("1" * 16, case.step(5, cpus=500)), 4.1)
+        self.cell.accept(case.job("1" * 16, case.step(5, cpus=500)), 4.1)
         starts = self.chooser.plan(4.1).starts
         self.assertNotIn("w0", {start.worker.id for start in starts})
-        later = 4.1 + stragglers.SLOW_S
+        later = 4.1 + stragglers.SLOW_WORKER_PAUSE_S
         self.assertTrue(slow.is_usable(later, frozenset()))
 
     def test_tasks_that_would_end_sooner_elsewhere_are_moved(self):
         self.run_steps(case.step(5, cpus=1500))
-        [slow] = stragglers.find_slow(self.records.workers.values(), 4.0)
-        [held] = stragglers.find_movable(slow, 4.0)
+        [slow] = stragglers.find_slow(self.cell.workers.values(), 4.0)
+        [allocation] = stragglers.find_movable(slow, 4.0)
         # Near its end it stays.
-        held.task.percent = 90
+        allocation.task.percent = 90
         self.assertEqual([], stragglers.find_movable(slow, 4.0))
 
     def test_equal_workers_are_not_slow(self):
         self.run_steps(case.step(5, cpus=1500), slow=())
-        self.assertEqual([], stragglers.find_slow(self.records.workers.values(), 4.0))
+        self.assertEqual([], stragglers.find_slow(self.cell.workers.values(), 4.0))
 
     def test_members_of_gangs_say_nothing_of_their_workers(self):
         self.run_steps(case.step(5, cpus=1500, gang=True))
-        self.assertEqual([], stragglers.find_slow(self.records.workers.values(), 4.0))
+        self.assertEqual([], stragglers.find_slow(self.cell.workers.values(), 4.0))
--- a/test/test_coordinator_workers.py
+++ b/test/test_coordinator_workers.py
@@ -10,54 +10,54 @@
     def test_the_first_clock_of_a_worker_is_taken(self):
         # The process has run for long, the worker's clock starts at zero.
         worker = workers.Worker(case.entry())
-        worker.take_clock(1_500, received_at=11_000.0)
+        worker.update_clock(1_500, received_at=11_000.0)
         self.assertEqual(1_500, worker.estimate_clock(11_000.0))
-        worker.take_clock(2_500, received_at=11_001.0)
+        worker.update_clock(2_500, received_at=11_001.0)
         self.assertEqual(2_500, worker.estimate_clock(11_001.0))
 
     def test_a_delayed_answer_does_not_set_the_clock_back(self):
         worker = workers.Worker(case.entry())
-        worker.take_clock(5_000, received_at=10.0)
-        worker.take_clock(5_100, received_at=12.0)
+        worker.update_clock(5_000, received_at=10.0)
+        worker.update_clock(5_100, received_at=12.0)
         self.assertEqual(5_000 + 1_960, worker.estimate_clock(12.0))
 
     def test_a_clock_that_goes_back_puts_the_life_in_doubt(self):
         worker = workers.Worker(case.entry("w1"))
-        worker.take_clock(60_000, 1.0)
-        worker.take_clock(59_800, 1.2)  # an answer that was delayed
-        self.assertFalse(worker.in_doubt)
-        worker.take_clock(40, 2.0)
-        self.assertTrue(worker.in_doubt)
+        worker.update_clock(60_000, 1.0)
+        worker.update_clock(59_800, 1.2)  # an answer that was delayed
+        self.assertFalse(worker.may_have_restarted)
+        worker.update_clock(40, 2.0)
+        self.assertTrue(worker.may_have_restarted)
 
     def test_a_lease_lapses_after_its_end_on_a_slow_clock(self):
         worker = workers.Worker(case.entry())
-        worker.take_clock(1_000, received_at=10.0)
-        worker.promise_lease(7_000, now=10.0)
-        self.assertGreater(worker.lapses_at, 10.0 + 6.0 / 0.98)
+        worker.update_clock(1_000, received_at=10.0)
+        worker.extend_lease(7_000, now=10.0)
+        self.assertGreater(worker.lease_expires_at, 10.0 + 6.0 / 0.98)
 
     def test_a_restarted_worker_has_no_lease(self):
         worker = workers.Worker(case.entry())
-        worker.take_clock(1_000, received_at=10.0)
-        worker.promise_lease(7_000, now=10.0)
-        worker.restart(2)
-        self.assertEqual(float("inf"), worker.lapses_at)
-        worker.take_clock(10, received_at=11.0)
+        worker.update_clock(1_000, received_at=10.0)
+        worker.extend_lease(7_000, now=10.0)
+        worker.record_restart(2)
+        self.assertEqual(float("inf"), worker.lease_expires_at)
+        worker.update_clock(10, received_at=11.0)
         self.assertEqual(10, worker.estimate_clock(11.0))
 
 
 class QuarantineTest(testtools.TestCase):
     def test_failures_of_one_job_do_not_quarantine(self):
         worker = workers.Worker(case.entry())
-        self.assertFalse(worker.note_failure("a", 1.0))
-        self.assertFalse(worker.note_failure("a", 1.1))
+        self.assertFalse(worker.record_failure("a", 1.0))
+        self.assertFalse(worker.record_failure("a", 1.1))
 
     def test_failures_of_two_jobs_quarantine_until_a_run_ends_well(self):
         worker = workers.Worker(case.entry())
-        worker.note_failure("a", 1.0)
-        self.assertTrue(worker.note_failure("b", 1.1))
-        worker.confirmed = worker.answering = True
+        worker.record_failure("a", 1.0)
+        self.assertTrue(worker.record_failure("b", 1.1))
+        worker.confirmed = worker.responsive = True
         self.assertFalse(worker.is_usable(1.2, frozenset()))
         self.assertTrue(worker.is_usable(5.0, frozenset()))
-        self.assertTrue(worker.note_failure("c", 5.1))
-        worker.note_success()
-        self.assertFalse(worker.note_failure("d", 20.0))
+        self.assertTrue(worker.record_failure("c", 5.1))
+        worker.record_success()
+        self.assertFalse(worker.record_failure("d", 20.0))
--- a/test/test_platform_directory.py
+++ b/test/test_platform_directory.py
@@ -80,7 +80,9 @@
     def test_an_entry_becomes_a_worker(self):
         found = directory.decode_executor("i-1", encode(EXECUTOR))
         self.assertEqual(resources.Resources(16000, 32768, 0), found.capacity)
-        self.assertEqual(("r1-3", 7, False), (found.rack, found.born, found.draining))
+        self.assertEqual(
+            ("r1-3", 7, False), (found.rack, found.incarnation, found.draining)
+        )
 
     def test_entries_of_other_writers_name_no_worker(self):
         for value in (
@@ -101,13 +103,13 @@
         self.directory = directory.Directory(self.store)
 
     def put(self, key, value, table="op"):
-        self.store.put(ports.Place(table, "", key), encode(value))
+        self.store.put(ports.RowId(table, "", key), encode(value))
 
     def test_zones_go_out_and_come_back(self):
         self.put("evacuate/bern-a", {})
         self.directory._operators.step()
         self.assertEqual({"bern-a"}, self.directory.zones_out)
-        self.store.transact({}, {}, (ports.Place("op", "", "evacuate/bern-a"),))
+        self.store.transact({}, {}, (ports.RowId("op", "", "evacuate/bern-a"),))
         self.directory._operators.step()
         self.assertEqual(frozenset(), self.directory.zones_out)
 
--- a/test/test_platform_executors.py
+++ b/test/test_platform_executors.py
@@ -31,7 +31,7 @@
     def test_a_start_names_the_life_that_is_meant(self):
         client = self.serve(200, {"clock_ms": 482113})
         answer = client.start(self.worker, self.order(checkpoint="c1"))
-        self.assertEqual(ports.Done(482113), answer)
+        self.assertEqual(ports.OrderDone(482113), answer)
         _, path, body, headers = self.server.requests[0]
         self.assertEqual("/toucanspring/run-start", path)
         self.assertEqual("w1", headers["toucanspring-target-instance"])
@@ -54,7 +54,7 @@
             (409, "late", ports.TOO_LATE),
             (409, "room", ports.NO_ROOM),
             (409, "ticket", ports.NO_TICKET),
-            (421, "", ports.OTHER_LIFE),
+            (421, "", ports.OTHER_INCARNATION),
             (429, "", ports.UNHEALTHY),
             (503, "", ports.UNHEALTHY),
             (400, "", ports.INVALID),
@@ -78,11 +78,11 @@
                 "ended": [[58, "a.0.0.9", 1, "done", ""]],
             },
         )
-        look = client.look(self.worker, 7, 57, 6000, 1000)
+        look = client.poll(self.worker, 7, 57, 6000, 1000)
         self.assertEqual((ports.RunningTask("a.0.0.0", 2, "c", 41),), look.running)
         end = ports.EndedTask(58, "a.0.0.9", 1, "done", "")
         self.assertEqual((end,), look.ended)
-        self.assertEqual((5, 9), (look.clock_ms, look.born))
+        self.assertEqual((5, 9), (look.clock_ms, look.incarnation))
         self.assertEqual(
             {"fence_token": 7, "last_seen": 57, "deadline_ms": 6000, "wait_ms": 1000},
             json.loads(self.server.requests[0][2]),
@@ -90,12 +90,12 @@
 
     def test_a_look_without_a_lease_sends_none(self):
         client = self.serve(200, {"clock_ms": 5})
-        client.look(self.worker, 7, 0, None, 0)
+        client.poll(self.worker, 7, 0, None, 0)
         self.assertEqual({"fence_token": 7}, json.loads(self.server.requests[0][2]))
 
     def test_malformed_lists_are_a_failure(self):
         client = self.serve(200, {"clock_ms": 5, "running": [["a"]]})
-        answer = client.look(self.worker, 7, 0, None, 0)
+        answer = client.poll(self.worker, 7, 0, None, 0)
         self.assertIsInstance(answer, errors.Malformed)
 
     def test_advice_brings_tickets(self):
--- a/test/test_platform_rowstore.py
+++ b/test/test_platform_rowstore.py
@@ -8,7 +8,7 @@
 
 import rowstore  # isort: skip
 
-PLACE = ports.Place("my", "p7", "owner")
+PLACE = ports.RowId("my", "p7", "owner")
 
 
 class RowStoreTest(testtools.TestCase):
@@ -21,7 +21,7 @@
     def test_a_transaction_is_spelled_as_the_platform_wants(self):
         store = self.store(200, {"ver": 412, "now_ms": 51230})
         answer = store.transact({PLACE: 0}, {PLACE: b"node-1"}, (PLACE,))
-        self.assertEqual(ports.Committed(ports.Moment(412, 51230)), answer)
+        self.assertEqual(ports.Committed(ports.StoreTimestamp(412, 51230)), answer)
         method, path, body, _ = self.server.requests[0]
         self.assertEqual(("POST", "/toucanspring/rows-tx"), (method, path))
         row = {"table": "my", "part": "p7", "key": "owner"}
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -96,19 +96,19 @@
             task=TASK, run=1, payload="", lease_until_ms=5000, epoch=1
         )
         self.workers.start(self.entry, order)
-        [end] = self.workers.look(self.entry, 1, 0, None, 0).ended
+        [end] = self.workers.poll(self.entry, 1, 0, None, 0).ended
         return end.number
 
     def test_an_end_that_is_acknowledged_is_noted(self):
         number = self.run_once()
-        self.workers.look(self.entry, 1, number, None, 0)
+        self.workers.poll(self.entry, 1, number, None, 0)
         self.assertEqual({TASK}, self.workers.noted)
 
     def test_an_end_before_the_lease_was_over_is_not_noted_later(self):
         # Found by the soak, seed 303: a worker that was silent beyond its lease.
         number = self.run_once()
         self.workers.lives["w1"].lease_until_ms = 1
-        self.workers.look(self.entry, 1, number, None, 0)
+        self.workers.poll(self.entry, 1, number, None, 0)
         self.assertEqual(set(), self.workers.noted)
 
 
--- a/toucanspring/coordinator/approval_dispatcher.py
+++ b/toucanspring/coordinator/approval_dispatcher.py
@@ -32,7 +32,7 @@
 SELF = ""
 
 
-class Ask(msgspec.Struct, array_like=True):
+class RelayedRequest(msgspec.Struct, array_like=True):
     """Ask another process to put a question."""
 
     step: str
@@ -40,19 +40,19 @@
     timeout_s: float
 
 
-class Desk:
+class ApprovalDispatcher:
     """Own the questions that wait and the callers that are free."""
 
     def __init__(
         self,
         kernel: object,
         approvals: ports.Approvals,
-        answered: Callable[[plans.Question], None],
+        answered: Callable[[plans.ApprovalRequest], None],
     ) -> None:
         self._kernel = kernel
         self._approvals = approvals
         self._answered = answered
-        self._waiting: list[tuple[int, float, int, plans.Question]] = []
+        self._waiting: list[tuple[int, float, int, plans.ApprovalRequest]] = []
         self._order = itertools.count()
         self._busy: dict[str, float] = {}  # caller -> length of its question
         self._failed: dict[str, float] = {}  # caller -> when it may be tried again
@@ -62,7 +62,7 @@
         """Drop the questions of a tenure that has ended."""
         self._waiting.clear()
 
-    def ask(self, question: plans.Question) -> None:
+    def ask(self, question: plans.ApprovalRequest) -> None:
         """Put a question once a caller is free."""
         heapq.heappush(
             self._waiting,
@@ -72,7 +72,7 @@
 
     def serve(self, _sender: str, body: bytes) -> bytes | errors.Failure:
         """Put a question for the coordinator."""
-        wanted = msgspec.msgpack.decode(body, type=Ask)
+        wanted = msgspec.msgpack.decode(body, type=RelayedRequest)
         answer = self._approvals.ask(wanted.step, wanted.workers, wanted.timeout_s)
         if isinstance(answer, errors.Failure):
             return answer
@@ -106,14 +106,16 @@
             free.remove(SELF)
         return free[0] if free else None
 
-    def _put(self, caller: str, question: plans.Question) -> None:
+    def _put(self, caller: str, question: plans.ApprovalRequest) -> None:
         timeout_s = question.cost_s + SLACK_S
         sent = time.monotonic()
         names = list(question.workers)
         if caller == SELF:
             answer = self._approvals.ask(question.step.id, names, timeout_s)
         else:
-            body = msgspec.msgpack.encode(Ask(question.step.id, names, timeout_s))
+            body = msgspec.msgpack.encode(
+                RelayedRequest(question.step.id, names, timeout_s)
+            )
             answer = self._kernel.find("peers").call(
                 caller, METHOD, body, timeout_s + SLACK_S
             )
@@ -127,8 +129,8 @@
                 reason=answer.reason, after_s=round(now - sent, 3),
             )  # fmt: skip
             self._failed[caller] = now + ASK_PAUSE_S
-            question.step.asking = False
-            question.step.ask_again_at = now + ASK_PAUSE_S
+            question.step.approval_pending = False
+            question.step.approval_retry_at = now + ASK_PAUSE_S
             gevent.spawn_later(ASK_PAUSE_S, self._dispatch)
         else:
             structured.decide(
@@ -136,6 +138,6 @@
                 asked=len(question.workers), allowed=len(answer),
                 caller=caller or "self", after_s=round(now - sent, 3),
             )  # fmt: skip
-            plans.take_answer(question, answer, now + question.validity_s)
+            plans.record_approvals(question, answer, now + question.validity_s)
         self._answered(question)
         self._dispatch()
--- a/toucanspring/coordinator/cell_state.py
+++ b/toucanspring/coordinator/cell_state.py
@@ -27,8 +27,8 @@
 
 # A task does not go back to a worker where it failed for this long, so that others
 # may take it; with few attempts each one should be elsewhere.
-AVOID_S = 2.0
-ENDED_JOBS_KEPT_S = 150.0  # callers may ask for 120 s
+FAILED_WORKER_AVOIDANCE_S = 2.0
+ENDED_JOB_RETENTION_S = 150.0  # callers may ask for 120 s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     run: int
 
 
-class Book:
+class CellState:
     """Own the jobs and workers of the cell as one coordinator knows them."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self.dirty: dict[str, state.JobRecord] = {}
         self.stops: list[Stop] = []
         self.capacity_version = 0
-        self._rates = rate_limits.Rates()
+        self._rate_limits = rate_limits.RateLimits()
         self._pools: dict[str, list[workers.Worker]] = {}
 
     # Jobs
@@ -80,11 +80,11 @@
             state.restore(record, progress, now)
         for run in record.steps.values():
             for task in run.tasks:
-                if task.phase is state.Phase.IN_DOUBT:
-                    self._occupy(run, task)
+                if task.phase is state.TaskPhase.IN_DOUBT:
+                    self._add_usage(run, task)
         if not record.is_final:
             for run in record.steps.values():
-                self.queue(run)
+                self.enqueue(run)
             self.open_steps(record, now)
             return
         record.ended_at = now
@@ -96,7 +96,7 @@
         chain_s = sum(step.estimate_ms for step in spec.steps) / 1000
         if queue is not None:
             record.due_at = now - age_s + queue.stretch * chain_s + queue.target_s
-        record.beyond_rate = self._rates.take(
+        record.over_rate = self._rate_limits.count_job(
             spec.organisation,
             self.catalogue.organisations.get(spec.organisation),
             now - age_s,
@@ -111,9 +111,9 @@
                 if (occurrence, number) in record.steps:
                     continue
                 if self.may_open(record, occurrence, step):
-                    self.queue(state.new_step(record, occurrence, number, now))
+                    self.enqueue(state.add_step(record, occurrence, number, now))
 
-    def due_occurrences(self, unix_ms: int, now: float) -> None:
+    def open_due_occurrences(self, unix_ms: int, now: float) -> None:
         """Open the steps of occurrences whose time has come."""
         for record in self.jobs.values():
             if record.spec.repeats and not record.is_final:
@@ -124,7 +124,9 @@
                     for number, step in enumerate(record.spec.steps):
                         key = (occurrence, number)
                         if key not in record.steps and not step.after:
-                            self.queue(state.new_step(record, occurrence, number, now))
+                            self.enqueue(
+                                state.add_step(record, occurrence, number, now)
+                            )
 
     def may_open(
         self, record: state.JobRecord, occurrence: int, step: job_specs.Step
@@ -138,10 +140,10 @@
             for before in step.after
         )
 
-    def queue(self, run: state.StepRun) -> None:
+    def enqueue(self, run: state.StepRun) -> None:
         """Offer a step with waiting tasks to the planner."""
         if run.waiting:
-            run.blocked_at = -1
+            run.blocked_version = -1
             self.ready[run.id] = run
 
     def cancel(self, job_id: str, now: float) -> state.JobRecord | None:
@@ -164,7 +166,7 @@
             "job_ended",
             job=record.spec.id,
             outcome=outcome.value,
-            age_s=round(now - record.learned_at, 3),
+            age_s=round(now - record.accepted_at, 3),
         )
 
     def _stop_all(self, record: state.JobRecord) -> None:
@@ -175,44 +177,47 @@
 
     def stop(self, run: state.StepRun, task: state.Task) -> None:
         """Order a running task to stop."""
-        if task.phase in (state.Phase.RUNNING, state.Phase.IN_DOUBT):
-            task.phase = state.Phase.STOPPING
-            task.settled_at = float("inf")
+        if task.phase in (state.TaskPhase.RUNNING, state.TaskPhase.IN_DOUBT):
+            task.phase = state.TaskPhase.STOPPING
+            task.confirmed_at = float("inf")
             self.stops.append(Stop(task.worker, run.task_id(task.index), task.run))
 
-    def forget_ended(self, now: float) -> list[str]:
+    def find_expired_jobs(self, now: float) -> list[str]:
         """Return the jobs that ended so long ago that they may be removed."""
         return [
             job_id
             for job_id, record in self.jobs.items()
             if record.is_final
-            and record.shown is record.state
-            and now - record.ended_at > ENDED_JOBS_KEPT_S
+            and record.durable_state is record.state
+            and now - record.ended_at > ENDED_JOB_RETENTION_S
         ]
 
     # Workers
 
-    def take_entry(self, entry: ports.WorkerEntry) -> workers.Worker:
+    def register_worker(self, entry: ports.WorkerEntry) -> workers.Worker:
         """Take in what a worker has registered."""
         worker = self.workers.get(entry.id)
         if worker is None:
             worker = self.workers[entry.id] = workers.Worker(entry)
-            self._adopt(worker)
+            self._reattach_tasks(worker)
         worker.entry = entry
         worker.registered = True
         self._pools.clear()
         self.capacity_version += 1
         return worker
 
-    def _adopt(self, worker: workers.Worker) -> None:
+    def _reattach_tasks(self, worker: workers.Worker) -> None:
         """Let a worker hold the tasks that restored intents name."""
         for record in self.jobs.values():
             for run in record.steps.values():
                 for task in run.tasks:
-                    if task.worker == worker.id and task.phase in state.OCCUPYING:
-                        self._hold(worker, run, task)
+                    if (
+                        task.worker == worker.id
+                        and task.phase in state.ALLOCATED_PHASES
+                    ):
+                        self._add_allocation(worker, run, task)
 
-    def expect_worker(self, worker_id: str) -> workers.Worker:
+    def add_unregistered_worker(self, worker_id: str) -> workers.Worker:
         """Return a worker that intents name but that is not registered."""
         entry = ports.WorkerEntry(
             id=worker_id, pool="", address="", zone="", rack="",
@@ -221,7 +226,7 @@
         worker = self.workers[worker_id] = workers.Worker(entry, registered=False)
         return worker
 
-    def worker_left(self, worker_id: str) -> None:
+    def mark_unregistered(self, worker_id: str) -> None:
         """Take note that a worker's entry is gone; it may still run tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
@@ -244,17 +249,17 @@
             ]
         return found
 
-    def _hold(
+    def _add_allocation(
         self, worker: workers.Worker, run: state.StepRun, task: state.Task
     ) -> None:
-        worker.held[run.task_id(task.index)] = workers.Held(run, task)
+        worker.allocations[run.task_id(task.index)] = workers.Allocation(run, task)
         worker.used = worker.used + run.step.occupied()
 
-    def _occupy(self, run: state.StepRun, task: state.Task) -> None:
+    def _add_usage(self, run: state.StepRun, task: state.Task) -> None:
         worker = self.workers.get(task.worker)
         if worker is None:
-            worker = self.expect_worker(task.worker)
-        self._hold(worker, run, task)
+            worker = self.add_unregistered_worker(task.worker)
+        self._add_allocation(worker, run, task)
         owner = run.job.spec.organisation
         self.used[owner] = self.used[owner] + run.step.demand
 
@@ -262,7 +267,7 @@
         """Take a task off its worker, which certainly does not run it any more."""
         worker = self.workers.get(task.worker)
         name = run.task_id(task.index)
-        if worker is not None and worker.held.pop(name, None) is not None:
+        if worker is not None and worker.allocations.pop(name, None) is not None:
             worker.used = worker.used - run.step.occupied()
         owner = run.job.spec.organisation
         self.used[owner] = self.used[owner] - run.step.demand
@@ -271,75 +276,73 @@
 
     # Starts
 
-    def begin(
+    def allocate(
         self, run: state.StepRun, task: state.Task, worker: workers.Worker, number: int
     ) -> None:
         """Take room for a run that is about to be ordered."""
-        task.phase = state.Phase.STARTING
+        task.phase = state.TaskPhase.STARTING
         task.run = number
-        task.worker, task.born = worker.id, worker.born
-        task.settled_at = float("inf")
+        task.worker, task.incarnation = worker.id, worker.incarnation
+        task.confirmed_at = float("inf")
         task.percent = task.sampled_percent = 0
         task.sampled_at = 0.0
         task.resumed = bool(task.checkpoint)
         run.waiting.discard(task.index)
         if not run.waiting:
             self.ready.pop(run.id, None)
-        self._occupy(run, task)
+        self._add_usage(run, task)
         if run.job.state is state.JobState.QUEUED:
             run.job.state = state.JobState.ACTIVE
         self.dirty[run.job.spec.id] = run.job
 
-    def started(
+    def confirm_start(
         self, run: state.StepRun, task: state.Task, number: int, now: float
     ) -> None:
         """Take note that a worker has confirmed a start."""
-        if task.run != number or task.phase is not state.Phase.STARTING:
+        if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
-        task.phase = state.Phase.RUNNING
-        task.started_at = task.percent_at = now
-        task.settled_at = now
+        task.phase = state.TaskPhase.RUNNING
+        task.started_at = task.progressed_at = now
+        task.confirmed_at = now
         if run.job.is_final or self._gang_broken(run, task):
             self.stop(run, task)
 
     def _gang_broken(self, run: state.StepRun, task: state.Task) -> bool:
         return run.step.gang and any(
-            other.run != task.run or other.phase is state.Phase.WAITING
+            other.run != task.run or other.phase is state.TaskPhase.WAITING
             for other in run.tasks
         )
 
-    def not_started(
+    def cancel_start(
         self, run: state.StepRun, task: state.Task, number: int, now: float
     ) -> None:
         """Take note that an order to start certainly had and will have no effect."""
-        if task.run != number or task.phase is not state.Phase.STARTING:
+        if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
         self.requeue(run, task, now)
 
-    def start_unanswered(
+    def mark_start_ambiguous(
         self, run: state.StepRun, task: state.Task, number: int
     ) -> None:
         """Take note that a run may or may not have started: it is stopped."""
-        if task.run != number or task.phase is not state.Phase.STARTING:
+        if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
-        task.phase = state.Phase.IN_DOUBT
+        task.phase = state.TaskPhase.IN_DOUBT
         self.stop(run, task)
 
-    def stop_confirmed(
-        self, worker_id: str, task_id: str, run: int, now: float
-    ) -> None:
+    def confirm_stop(self, worker_id: str, task_id: str, run: int, now: float) -> None:
         """Take note of a confirmed stop: the run ends or never starts."""
         worker = self.workers.get(worker_id)
-        held = worker.held.get(task_id) if worker is not None else None
-        if held is not None and held.task.run == run:
-            held.task.settled_at = min(held.task.settled_at, now)
+        allocation = worker.allocations.get(task_id) if worker is not None else None
+        if allocation is not None and allocation.task.run == run:
+            allocation.task.confirmed_at = min(allocation.task.confirmed_at, now)
 
     # Returns to the queue
 
-    def back_to_queue(self, run: state.StepRun, task: state.Task, now: float) -> None:
+    def return_to_queue(self, run: state.StepRun, task: state.Task, now: float) -> None:
         """Let a task that occupies no worker wait again, with all of its gang."""
-        task.phase = state.Phase.WAITING
-        task.started_at = task.percent_at = 0.0
+        task.phase = state.TaskPhase.WAITING
+        task.started_at = task.progressed_at = 0.0
         run.waiting.add(task.index)
         if run.step.gang:
             for other in run.tasks:
@@ -347,13 +350,13 @@
         if run.job.is_final:
             return
         run.ready_at = now
-        self.queue(run)
+        self.enqueue(run)
 
     def requeue(self, run: state.StepRun, task: state.Task, now: float) -> None:
         """Take a task off its worker and let it wait again."""
-        if task.phase in state.OCCUPYING:
+        if task.phase in state.ALLOCATED_PHASES:
             self.release(run, task)
-        self.back_to_queue(run, task, now)
+        self.return_to_queue(run, task, now)
         self.dirty[run.job.spec.id] = run.job
 
     def pending(self, queue: str) -> int:
--- a/toucanspring/coordinator/dispatch.py
+++ b/toucanspring/coordinator/dispatch.py
@@ -18,25 +18,25 @@
 
 # Above the time after which a task without progress counts as stuck, so that the second
 # of two looks tells.
-LOOK_WAIT_MS = 1400
-LOOK_RETRY_S = 0.15
+POLL_WAIT_MS = 1400
+POLL_RETRY_S = 0.15
 # A worker that answers no look for this long gets no new tasks.
-SILENT_S = 0.8
-START_TRIES = 3
+UNRESPONSIVE_AFTER_S = 0.8
+MAX_START_ATTEMPTS = 3
 STOP_RETRY_S = 0.25
-MAX_ORDERS = 400  # under way at once
+MAX_CONCURRENT_ORDERS = 400  # under way at once
 # A worker that no look watches for this long may begin another life unnoticed.
-UNWATCHED_S = 0.2
-NOTE_LIMIT_S = 1.0  # how long ends wait for the store before the lease is renewed
+MAX_POLL_GAP_S = 0.2
+DURABLE_WAIT_S = 1.0  # how long ends wait for the store before the lease is renewed
 # Within this time after the lease of the seat, leases of workers are still renewed,
 # since an outage of the store is then likelier than another coordinator.
-OUTAGE_HOLD_S = 6.0
+STORE_OUTAGE_GRACE_S = 6.0
 
 
-class Owner(Protocol):
+class Leader(Protocol):
     """What the orders need of the coordinator that gives them."""
 
-    cell_state: cell_state.Book
+    cell: cell_state.CellState
     epoch: int
 
     def may_renew(self, now: float) -> bool:
@@ -52,25 +52,25 @@
         """Plan again soon."""
 
 
-class Desk:
+class Dispatcher:
     """Own the orders under way and the loops of all workers."""
 
     def __init__(
         self,
-        owner: Owner,
+        leader: Leader,
         client: ports.Workers,
         max_lease_ms: int,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._owner = owner
+        self._leader = leader
         self._client = client
         self._max_lease_ms = max_lease_ms
         self._clock = clock
         self._loops: dict[str, gevent.Greenlet] = {}
         self._noted: dict[str, event.Event] = {}
-        self._orders = pool.Pool(MAX_ORDERS)
+        self._orders = pool.Pool(MAX_CONCURRENT_ORDERS)
 
-    def __enter__(self) -> Desk:
+    def __enter__(self) -> Dispatcher:
         return self
 
     def __exit__(self, *_exc: object) -> None:
@@ -78,7 +78,7 @@
         self._orders.kill(block=False)
         self._loops.clear()
 
-    def attend(self, worker: workers.Worker) -> None:
+    def watch(self, worker: workers.Worker) -> None:
         """Look at a worker until it is lost and no longer registered."""
         if worker.id not in self._loops:
             self._noted[worker.id] = event.Event()
@@ -96,96 +96,96 @@
         answered_at = self._clock()
         while True:
             now = self._clock()
-            if not self._owner.may_renew(now):
-                gevent.sleep(LOOK_RETRY_S)
+            if not self._leader.may_renew(now):
+                gevent.sleep(POLL_RETRY_S)
                 continue
             if not worker.entry.address:
                 # Known from an intent only; it may register late.
-                if self._lapse(worker, now):
+                if self._expire_lease(worker, now):
                     return
-                gevent.sleep(LOOK_RETRY_S)
+                gevent.sleep(POLL_RETRY_S)
                 continue
-            if self._look(worker):
+            if self._poll(worker):
                 answered_at = self._clock()
                 continue
             now = self._clock()
-            if now - answered_at > SILENT_S and worker.answering:
-                worker.answering = False
+            if now - answered_at > UNRESPONSIVE_AFTER_S and worker.responsive:
+                worker.responsive = False
                 structured.decide(log, "worker_silent", worker=worker.id)
-            if self._lapse(worker, now):
+            if self._expire_lease(worker, now):
                 return
-            gevent.sleep(LOOK_RETRY_S)
+            gevent.sleep(POLL_RETRY_S)
 
-    def _lapse(self, worker: workers.Worker, now: float) -> bool:
+    def _expire_lease(self, worker: workers.Worker, now: float) -> bool:
         """Give up the tasks of a worker whose lease is over; return whether it left."""
-        if now > worker.lapses_at:
-            if worker.held or worker.foreign:
-                reports.lapse(self._owner.book, worker, now)
-                self._owner.wake()
+        if now > worker.lease_expires_at:
+            if worker.allocations or worker.unknown_tasks:
+                reports.mark_lost(self._leader.cell, worker, now)
+                self._leader.wake()
             if not worker.registered:
-                self._owner.book.remove_worker(worker.id)
+                self._leader.cell.remove_worker(worker.id)
                 self._client.forget(worker.id)
                 self._loops.pop(worker.id, None)
                 return True
         return False
 
-    def _look(self, worker: workers.Worker) -> bool:
+    def _poll(self, worker: workers.Worker) -> bool:
         sent = self._clock()
         until = None
         # A look that is not answered may still arrive: without a lease in it, the work
         # of a worker that is gone is given up in time.
-        if worker.clock_ms and not worker.in_doubt:
+        if worker.clock_ms and not worker.may_have_restarted:
             until = worker.estimate_clock(sent) + self._max_lease_ms
-            worker.promise_lease(until, sent)
-        wait_ms = LOOK_WAIT_MS if worker.confirmed and worker.answering else 0
+            worker.extend_lease(until, sent)
+        wait_ms = POLL_WAIT_MS if worker.confirmed and worker.responsive else 0
         # Another life counts its ends anew: it would forget some that nobody has read.
-        seen_end = 0 if worker.in_doubt else worker.seen_end
-        answer = self._client.look(
-            worker.entry, self._owner.epoch, seen_end, until, wait_ms
+        acked_end = 0 if worker.may_have_restarted else worker.acked_end
+        answer = self._client.poll(
+            worker.entry, self._leader.epoch, acked_end, until, wait_ms
         )
         now = self._clock()
-        worker.in_doubt = not isinstance(answer, ports.Look)
+        worker.may_have_restarted = not isinstance(answer, ports.PollReply)
         match answer:
-            case ports.Look():
-                self._take(worker, answer, sent, now)
+            case ports.PollReply():
+                self._apply_reply(worker, answer, sent, now)
                 return True
             case ports.OrderRefused(reason=ports.FENCED):
-                self._owner.superseded(f"worker {worker.id} has seen a higher epoch")
-            case ports.OrderRefused(reason=ports.OTHER_LIFE):
+                self._leader.superseded(f"worker {worker.id} has seen a higher epoch")
+            case ports.OrderRefused(reason=ports.OTHER_INCARNATION):
                 log.info("worker {} has another life than registered", worker.id)
         return False
 
-    def _take(
-        self, worker: workers.Worker, look: ports.Look, sent: float, now: float
+    def _apply_reply(
+        self, worker: workers.Worker, look: ports.PollReply, sent: float, now: float
     ) -> None:
-        records = self._owner.book
-        last = max((end.number for end in look.ended), default=worker.seen_end)
-        fresh = last > worker.seen_end
-        restarted = look.born != worker.born
-        touched = reports.take_look(records, worker, look, sent, now)
+        cell = self._leader.cell
+        last = max((end.number for end in look.ended), default=worker.acked_end)
+        fresh = last > worker.acked_end
+        restarted = look.incarnation != worker.incarnation
+        touched = reports.apply_poll_reply(cell, worker, look, sent, now)
         if restarted:
             last = max((end.number for end in look.ended), default=0)
             fresh = last > 0
-        for held in reports.find_stuck(worker, now):
+        for allocation in reports.find_stuck(worker, now):
             structured.decide(
                 log,
                 "task_stuck",
-                task=held.step.task_id(held.task.index),
+                task=allocation.step.task_id(allocation.task.index),
                 worker=worker.id,
-                percent=held.task.percent,
+                percent=allocation.task.percent,
             )
-            worker.penalty_until = now + workers.QUARANTINE_FIRST_S
-            records.stop(held.step, held.task)
-        if touched or fresh or records.stops:
-            self._owner.wake()
+            worker.backoff_until = now + workers.MIN_QUARANTINE_S
+            cell.stop(allocation.step, allocation.task)
+        if touched or fresh or cell.stops:
+            self._leader.wake()
         if fresh:
             signal = self._noted[worker.id]
             signal.clear()
-            self._owner.note(worker, last)
+            self._leader.note(worker, last)
             # A look before the ends are durable would only return them again.
-            signal.wait(NOTE_LIMIT_S)
-            if self._clock() - now > UNWATCHED_S:
-                worker.in_doubt = True
+            signal.wait(DURABLE_WAIT_S)
+            if self._clock() - now > MAX_POLL_GAP_S:
+                worker.may_have_restarted = True
 
     # Starts and stops
 
@@ -194,17 +194,17 @@
         self._orders.spawn(self._start, start)
 
     def _start(self, start: plans.Start) -> None:
-        records, worker, run = self._owner.book, start.worker, start.step
+        cell, worker, run = self._leader.cell, start.worker, start.step
         task_id = run.task_id(start.task.index)
         if run.job.is_final or start.task.run != start.run:
-            records.not_started(run, start.task, start.run, self._clock())
+            cell.cancel_start(run, start.task, start.run, self._clock())
             return
-        for attempt in range(START_TRIES):
+        for attempt in range(MAX_START_ATTEMPTS):
             sent = self._clock()
-            if not self._owner.may_renew(sent):
+            if not self._leader.may_renew(sent):
                 return  # a successor counts on this
             until = worker.estimate_clock(sent) + self._max_lease_ms
-            worker.promise_lease(until, sent)
+            worker.extend_lease(until, sent)
             answer = self._client.start(
                 worker.entry,
                 ports.Start(
@@ -212,57 +212,57 @@
                     run=start.run,
                     payload=run.job.spec.payload,
                     lease_until_ms=until,
-                    epoch=self._owner.epoch,
+                    epoch=self._leader.epoch,
                     checkpoint=start.task.checkpoint,
                     ticket=start.ticket,
                 ),
             )
             now = self._clock()
             match answer:
-                case ports.Done(clock_ms=clock_ms):
-                    worker.take_clock(clock_ms, now)
-                    records.started(run, start.task, start.run, now)
-                    self._owner.wake()
+                case ports.OrderDone(clock_ms=clock_ms):
+                    worker.update_clock(clock_ms, now)
+                    cell.confirm_start(run, start.task, start.run, now)
+                    self._leader.wake()
                     return
-                case errors.Ambiguous() if attempt + 1 < START_TRIES:
-                    worker.in_doubt = True
+                case errors.Ambiguous() if attempt + 1 < MAX_START_ATTEMPTS:
+                    worker.may_have_restarted = True
                     continue  # a repeat of the same run changes nothing
                 case errors.Ambiguous():
-                    worker.penalty_until = now + workers.PENALTY_S
-                    records.start_unanswered(run, start.task, start.run)
+                    worker.backoff_until = now + workers.BACKOFF_S
+                    cell.mark_start_ambiguous(run, start.task, start.run)
                 case ports.OrderRefused(reason=reason):
                     self._refused(start, reason, attempt > 0, now)
                 case _ if attempt > 0:
-                    records.start_unanswered(run, start.task, start.run)
+                    cell.mark_start_ambiguous(run, start.task, start.run)
                 case _:
-                    worker.penalty_until = now + workers.PENALTY_S
-                    records.not_started(run, start.task, start.run, now)
+                    worker.backoff_until = now + workers.BACKOFF_S
+                    cell.cancel_start(run, start.task, start.run, now)
             structured.decide(
                 log, "start_failed", task=task_id, run=start.run,
                 worker=worker.id, reason=answer.reason,
             )  # fmt: skip
-            self._owner.wake()
+            self._leader.wake()
             return
 
     def _refused(
         self, start: plans.Start, reason: str, repeated: bool, now: float
     ) -> None:
-        records, worker, run = self._owner.book, start.worker, start.step
+        cell, worker, run = self._leader.cell, start.worker, start.step
         if reason == ports.FENCED:
-            self._owner.superseded(f"worker {worker.id} has seen a higher epoch")
+            self._leader.superseded(f"worker {worker.id} has seen a higher epoch")
             return
         if reason == ports.NO_TICKET:
             run.tickets.pop(worker.id, None)
         elif reason in (ports.NO_ROOM, ports.UNHEALTHY):
-            worker.penalty_until = now + workers.PENALTY_S
+            worker.backoff_until = now + workers.BACKOFF_S
         elif reason == ports.INVALID:
-            start.task.avoided = start.task.avoided | {worker.id}
-            start.task.avoid_until = now + cell_state.AVOID_S
+            start.task.avoided_workers = start.task.avoided_workers | {worker.id}
+            start.task.avoid_until = now + cell_state.FAILED_WORKER_AVOIDANCE_S
         if repeated or reason == ports.OLD_RUN:
             # The first order may have been carried out, or its run has ended.
-            records.start_unanswered(run, start.task, start.run)
+            cell.mark_start_ambiguous(run, start.task, start.run)
         else:
-            records.not_started(run, start.task, start.run, now)
+            cell.cancel_start(run, start.task, start.run, now)
 
     def stop(self, order: cell_state.Stop) -> None:
         """Order a stop, and repeat it until it is confirmed or without object."""
@@ -270,30 +270,30 @@
 
     def _stop(self, order: cell_state.Stop) -> None:
         while True:
-            worker = self._owner.book.workers.get(order.worker)
+            worker = self._leader.cell.workers.get(order.worker)
             if worker is None or not worker.entry.address:
                 return
-            held = worker.held.get(order.task)
-            if order.task not in worker.foreign and (
-                held is None or held.task.run != order.run
+            allocation = worker.allocations.get(order.task)
+            if order.task not in worker.unknown_tasks and (
+                allocation is None or allocation.task.run != order.run
             ):
                 return
             answer = self._client.stop(
-                worker.entry, order.task, order.run, self._owner.epoch
+                worker.entry, order.task, order.run, self._leader.epoch
             )
             now = self._clock()
             match answer:
-                case ports.Done(clock_ms=clock_ms):
-                    worker.take_clock(clock_ms, now)
-                    self._owner.book.stop_confirmed(
+                case ports.OrderDone(clock_ms=clock_ms):
+                    worker.update_clock(clock_ms, now)
+                    self._leader.cell.confirm_stop(
                         worker.id, order.task, order.run, now
                     )
                     return
                 case ports.OrderRefused(reason=ports.FENCED):
-                    self._owner.superseded(f"worker {worker.id} refused a stop")
+                    self._leader.superseded(f"worker {worker.id} refused a stop")
                     return
-                case ports.OrderRefused(reason=ports.OLD_RUN | ports.OTHER_LIFE):
-                    self._owner.book.stop_confirmed(
+                case ports.OrderRefused(reason=ports.OLD_RUN | ports.OTHER_INCARNATION):
+                    self._leader.cell.confirm_stop(
                         worker.id, order.task, order.run, now
                     )
                     return
--- a/toucanspring/coordinator/failover.py
+++ b/toucanspring/coordinator/failover.py
@@ -1,7 +1,7 @@
 """Takeovers of the seat from a holder that cannot write, is dead or leaves.
 
 To give a live holder up by mistake does no harm but the takeover; see
-`leader_lease.claim`.
+`leader_lease.acquire`.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 WITNESSES = 2  # processes asked whether they have a stream to the coordinator
 
 
-class Succession:
+class Failover:
     """Watch the holder of the seat and offer the own seat to others.
 
     `give_up(epoch)` makes this process claim the seat of that epoch, `leave(reason)`
@@ -61,14 +61,14 @@
         self._store = store
         self._give_up = give_up
         self._leave = leave
-        self._seat: rows.Seat | None = None
+        self._lease: rows.LeaderLease | None = None
         self._since = 0.0
         self._heard_at = 0.0
         self._given_up = 0
         self._handing_over: gevent.Greenlet | None = None
         self._watching: gevent.Greenlet | None = None
 
-    def __enter__(self) -> Succession:
+    def __enter__(self) -> Failover:
         self._peers.handle(TAKE_OVER, self._serve_take_over)
         self._peers.handle(REACHES, self._serve_reaches)
         self._watching = gevent.spawn(self._watch_coordinator)
@@ -78,21 +78,21 @@
         if self._watching is not None:
             self._watching.kill(block=False)
 
-    def follow(self, held: rows.Seat) -> None:
+    def follow(self, held: rows.LeaderLease) -> None:
         """Take note of who holds the seat."""
-        self._seat, self._since = held, time.monotonic()
+        self._lease, self._since = held, time.monotonic()
         self._heard_at = self._since
 
     def heard(self, process: str) -> None:
         """Take note of an announcement of the coordinator."""
-        if self._seat is not None and process == self._seat.process:
+        if self._lease is not None and process == self._lease.process:
             self._heard_at = time.monotonic()
 
     def is_quiet(self) -> bool:
         """Return whether a coordinator of some standing is heard by itself."""
         now = time.monotonic()
         return (
-            self._seat is not None
+            self._lease is not None
             and now - self._since >= YOUNG_S
             and now - self._heard_at <= SILENT_AFTER_S
         )
@@ -105,7 +105,7 @@
             self._handing_over = gevent.spawn(self._hand_over)
 
     def _hand_over(self) -> None:
-        epoch = self._seat.epoch
+        epoch = self._lease.epoch
         names = self._peers.connected()
         random.shuffle(names)
         body = f"{epoch}".encode()
@@ -131,7 +131,7 @@
         missing_since = None
         while True:
             gevent.sleep(WATCH_S)
-            held, now = self._seat, time.monotonic()
+            held, now = self._lease, time.monotonic()
             connected = self._peers.connected()
             if (
                 held is None
@@ -171,7 +171,7 @@
         """Return whether the coordinator is known to be alive."""
         if process == self._process:
             return True
-        silent = self._seat is not None and self._seat.process == process
+        silent = self._lease is not None and self._lease.process == process
         if silent and now - self._heard_at > SILENT_AFTER_S:
             return False
         return process in self._peers.connected()
--- a/toucanspring/coordinator/fenced_writer.py
+++ b/toucanspring/coordinator/fenced_writer.py
@@ -1,7 +1,8 @@
-"""Writes of the coordinator: one transaction at a time, each of which checks the seat.
+"""Fenced writes of the coordinator: each transaction checks the leader lease.
 
-Each transaction rewrites the seat's row, so that one that takes effect late, after a
-later one, fails on the version it checks. It renews the lease as well.
+Transactions are sent one at a time. Each rewrites the lease's row, so that a delayed
+transaction that arrives after a later one fails on the version that it checks. Each
+renews the lease as well.
 """
 
 from __future__ import annotations
@@ -17,54 +18,59 @@
 
 log = logbook.Logger(__name__)
 
-# A transaction takes 100 entries; the seat's row is checked and written.
+# A transaction takes at most 100 entries, and the lease's row is checked and written.
 MAX_ROWS = 95
-MAX_BYTES = 700_000  # of 1 MB, since values grow by a third on the wire
+MAX_BYTES = 700_000  # the limit is 1 MB, and values grow by a third on the wire
 RETRY_FIRST_S = 0.02
 RETRY_MAX_S = 0.3
 
 
-class Ledger:
-    """Own the seat's row for one tenure."""
+class FencedWriter:
+    """Writes rows and renews the leader lease for one epoch."""
 
     def __init__(
         self,
         store: ports.Store,
-        tenure: leader_lease.Tenure,
+        acquired: leader_lease.Acquired,
         store_clock: leader_lease.StoreClock,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._store = store
-        self._seat = tenure.seat
-        self._version = tenure.version
+        self._lease = acquired.lease
+        self._version = acquired.version
         self._store_clock = store_clock
         self._clock = clock
         self.lost = False
-        # Called while writes fail, at most once for each try.
+        # Called after each failed attempt with the seconds since the first attempt.
         self.on_failing: Callable[[float], None] = lambda _for_s: None
         self.committed_at = clock()
         self.writes = 0
 
     @property
     def epoch(self) -> int:
-        """Return the fencing token of this tenure."""
-        return self._seat.epoch
-
-    def holds(self, now: float) -> bool:
-        """Return whether no other process can have taken the seat."""
-        return not self.lost and self._store_clock.latest(now) < self._seat.expires_ms
+        """Return the epoch of the lease, which is the fencing token."""
+        return self._lease.epoch
+
+    def holds_lease(self, now: float) -> bool:
+        """Return whether no other process can have acquired the lease by expiry."""
+        return (
+            not self.lost
+            and self._store_clock.upper_bound_ms(now) < self._lease.expires_ms
+        )
 
     def overdue_s(self, now: float) -> float:
-        """Return for how long the lease has been over."""
-        return max(0.0, (self._store_clock.latest(now) - self._seat.expires_ms) / 1000)
+        """Return the seconds since the lease expired, 0 if it has not."""
+        return max(
+            0.0, (self._store_clock.upper_bound_ms(now) - self._lease.expires_ms) / 1000
+        )
 
     def commit(
-        self, puts: dict[ports.Place, bytes], removals: tuple[ports.Place, ...] = ()
+        self, puts: dict[ports.RowId, bytes], removals: tuple[ports.RowId, ...] = ()
     ) -> None | errors.Fenced:
-        """Write rows and renew the lease; returns once the outcome is certain."""
-        entries: list[tuple[ports.Place, bytes | None]] = [
+        """Write rows and renew the lease; retries until the outcome is certain."""
+        entries: list[tuple[ports.RowId, bytes | None]] = [
             *puts.items(),
-            *((place, None) for place in removals),
+            *((row_id, None) for row_id in removals),
         ]
         while True:
             chunk, size = [], 0
@@ -77,84 +83,94 @@
                 return failure
 
     def release(self) -> None | errors.Failure:
-        """End the lease now, so that another process need not wait for it."""
-        last = self._next(expires_ms=0)
+        """Expire the lease now, so that another process can acquire it at once."""
+        last = self._next_lease(expires_ms=0)
         answer = self._store.transact(
-            {rows.SEAT_PLACE: self._version}, {rows.SEAT_PLACE: rows.encode(last)}
+            {rows.LEADER_LEASE_ROW: self._version},
+            {rows.LEADER_LEASE_ROW: rows.encode(last)},
         )
         self.lost = True
         match answer:
             case ports.Rejected():
-                return errors.Conflict(reason="another process took the seat")
+                return errors.Conflict(
+                    reason="another process acquired the leader lease"
+                )
             case errors.Failure():
                 return answer
         return None
 
-    def _next(self, expires_ms: int) -> rows.Seat:
-        held = self._seat
-        return rows.Seat(
-            held.process,
-            held.address,
-            held.epoch,
-            held.commit + 1,
+    def _next_lease(self, expires_ms: int) -> rows.LeaderLease:
+        lease = self._lease
+        return rows.LeaderLease(
+            lease.process,
+            lease.address,
+            lease.epoch,
+            lease.sequence + 1,
             expires_ms,
-            held.life,
+            lease.instance_id,
         )
 
     def _write(
-        self, chunk: list[tuple[ports.Place, bytes | None]]
+        self, chunk: list[tuple[ports.RowId, bytes | None]]
     ) -> None | errors.Fenced:
-        puts = {place: value for place, value in chunk if value is not None}
-        removals = tuple(place for place, value in chunk if value is None)
+        puts = {row_id: value for row_id, value in chunk if value is not None}
+        removals = tuple(row_id for row_id, value in chunk if value is None)
         pause = RETRY_FIRST_S
         uncertain = False  # an earlier attempt may have taken effect
         began = self._clock()
         while not self.lost:
-            sent = self._clock()
-            wanted = self._next(self._store_clock.latest(sent) + leader_lease.LEASE_MS)
+            sent_at = self._clock()
+            wanted = self._next_lease(
+                self._store_clock.upper_bound_ms(sent_at) + leader_lease.LEASE_MS
+            )
             answer = self._store.transact(
-                {rows.SEAT_PLACE: self._version},
-                {**puts, rows.SEAT_PLACE: rows.encode(wanted)},
+                {rows.LEADER_LEASE_ROW: self._version},
+                {**puts, rows.LEADER_LEASE_ROW: rows.encode(wanted)},
                 removals,
             )
             self.writes += 1
             match answer:
                 case ports.Committed(at=at):
-                    self._take(wanted, at.version, at.store_ms, sent)
+                    self._apply_committed(wanted, at.version, at.store_ms, sent_at)
                     return None
                 case ports.Rejected(rows=found):
-                    return self._resolve(found, uncertain)
+                    return self._resolve_rejection(found, uncertain)
                 case errors.Ambiguous():
                     uncertain = True
-            log.warning("commit {}: {}", wanted.commit, answer)
+            log.warning("write {} failed; retrying: {}", wanted.sequence, answer)
             self.on_failing(self._clock() - began)
             gevent.sleep(pause)
             pause = min(RETRY_MAX_S, pause * 2)
-        return errors.Fenced(reason="the seat was lost", epoch=self.epoch)
+        return errors.Fenced(reason="the leader lease was lost", epoch=self.epoch)
 
-    def _resolve(
+    def _resolve_rejection(
         self, found: tuple[ports.Row, ...], uncertain: bool
     ) -> None | errors.Fenced:
-        """Tell an earlier attempt of the same commit from another holder's write."""
-        current = next((row for row in found if row.place == rows.SEAT_PLACE), None)
+        """Return `None` if the lease's row is from an earlier attempt of this write.
+
+        Otherwise another process has written the row, and the lease is lost.
+        """
+        current = next((row for row in found if row.id == rows.LEADER_LEASE_ROW), None)
         if uncertain and current is not None and current.version:
-            now_held = rows.decode(rows.Seat, current.value)
+            stored = rows.decode(rows.LeaderLease, current.value)
             if (
-                isinstance(now_held, rows.Seat)
-                and now_held.life == self._seat.life
-                and now_held.epoch == self.epoch
-                and now_held.commit == self._seat.commit + 1
+                isinstance(stored, rows.LeaderLease)
+                and stored.instance_id == self._lease.instance_id
+                and stored.epoch == self.epoch
+                and stored.sequence == self._lease.sequence + 1
             ):
-                self._seat, self._version = now_held, current.version
+                self._lease, self._version = stored, current.version
                 self.committed_at = self._clock()
                 return None
         self.lost = True
-        log.warning("epoch {}: another process took the seat", self.epoch)
-        return errors.Fenced(reason="another process took the seat", epoch=self.epoch)
+        log.warning("epoch {}: another process acquired the leader lease", self.epoch)
+        return errors.Fenced(
+            reason="another process acquired the leader lease", epoch=self.epoch
+        )
 
-    def _take(
-        self, written: rows.Seat, version: int, store_ms: int, sent: float
+    def _apply_committed(
+        self, written: rows.LeaderLease, version: int, store_ms: int, sent_at: float
     ) -> None:
-        self._store_clock.take(store_ms, sent)
-        self._seat, self._version = written, version
+        self._store_clock.update(store_ms, sent_at)
+        self._lease, self._version = written, version
         self.committed_at = self._clock()
--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -16,24 +16,24 @@
 
 # A blocked gang keeps other work off the workers that it needs after this time, and
 # stops less urgent work there after that one, if the work does not end by itself.
-GANG_PATIENCE_S = 0.2
+RESERVE_AFTER_S = 0.2
 PREEMPT_AFTER_S = 1.5
 # Work is stopped only for a gang that would be late otherwise, with so much to spare.
-PREEMPT_SPARE_S = 4.0
+MAX_PREEMPTING_SLACK_S = 4.0
 # Each stop costs up to a second of a task's room.
 MAX_PREEMPTIONS = 2
 # It keeps to the workers that it chose for this long.
 RESERVATION_S = 3.0
-MAX_GANGS_MAKING_ROOM = 3
+MAX_RESERVING_GANGS = 3
 # Work of a preempted task that has no checkpoint is lost; tasks further than this
 # are left alone.
-MAX_LOST_S = 0.5
+MAX_LOST_WORK_S = 0.5
 
 
-class Rounds(Protocol):
+class PlannerInterface(Protocol):
     """What the planner does for single tasks and gangs alike."""
 
-    def ask(
+    def request_approval(
         self,
         run: state.StepRun,
         queue: catalogue.Queue,
@@ -60,16 +60,16 @@
     ) -> None:
         """Book a run."""
 
-    def unasked_with_room(self, run: state.StepRun) -> list[str]:
+    def not_requested_with_room(self, run: state.StepRun) -> list[str]:
         """Return workers with room that the approval service was not asked about."""
 
 
 class Gangs:
     """Plan the gangs of one book."""
 
-    def __init__(self, records: cell_state.Book, rounds: Rounds) -> None:
-        self._book = records
-        self._rounds = rounds
+    def __init__(self, cell: cell_state.CellState, planner: PlannerInterface) -> None:
+        self._cell = cell
+        self._planner = planner
 
     def plan(
         self,
@@ -82,7 +82,7 @@
         """Start a gang that fits, or make room for it."""
         count = run.step.count
         if len(run.waiting) < count:
-            plan.wait(run, plans.MEMBERS)
+            plan.record_wait(run, plans.GANG_STILL_RUNNING)
             return
         if len({run.tasks[index].checkpoint for index in run.waiting}) > 1:
             self._align_checkpoints(run)
@@ -90,24 +90,24 @@
             worker
             for worker in eligible
             if worker.id not in plan.reserved
-            and all(placement.is_tried(task, worker, now) for task in run.tasks)
+            and all(placement.may_retry_on(task, worker, now) for task in run.tasks)
         ]
         chosen = placement.place_gang(run, open_workers, {})
         if chosen is None:
-            plan.wait(run, plans.NO_ROOM)
-            if now - run.ready_at >= GANG_PATIENCE_S:
-                self._make_room(run, queue, eligible, plan, now)
+            plan.record_wait(run, plans.NO_ROOM)
+            if now - run.ready_at >= RESERVE_AFTER_S:
+                self._reserve_and_preempt(run, queue, eligible, plan, now)
             return
         missing = [
             worker.id
             for worker, _ in chosen
-            if self._rounds.ticket(run, queue, worker.id, now) is None
+            if self._planner.ticket(run, queue, worker.id, now) is None
         ]
         if missing:
-            plan.wait(run, plans.APPROVAL)
+            plan.record_wait(run, plans.AWAITING_APPROVAL)
             # All that are allowed, as the room may have changed by the answer.
             names = [worker.id for worker in eligible]
-            self._rounds.ask(run, queue, names, plan, now)
+            self._planner.request_approval(run, queue, names, plan, now)
             plan.reserved.update(worker.id for worker, _ in chosen)
             return
         number = max(task.run for task in run.tasks) + 1
@@ -115,7 +115,7 @@
         for worker, share in chosen:
             for _ in range(share):
                 task = run.tasks[next(indices)]
-                self._rounds.start(run, task, worker, number, queue, plan, now)
+                self._planner.start(run, task, worker, number, queue, plan, now)
 
     @staticmethod
     def _align_checkpoints(run: state.StepRun) -> None:
@@ -124,7 +124,7 @@
         for task in run.tasks:
             task.checkpoint = latest.checkpoint
 
-    def _make_room(
+    def _reserve_and_preempt(
         self,
         run: state.StepRun,
         queue: catalogue.Queue,
@@ -133,81 +133,85 @@
         now: float,
     ) -> None:
         """Keep others off the workers that a blocked gang needs, and clear them."""
-        if plan.gangs_making_room >= MAX_GANGS_MAKING_ROOM:
+        if plan.reserving_gangs >= MAX_RESERVING_GANGS:
             return
-        plan.gangs_making_room += 1
+        plan.reserving_gangs += 1
         open_workers = [each for each in eligible if each.id not in plan.reserved]
         victims = {
-            worker.id: self._victims(worker, queue.priority, now)
+            worker.id: self._find_victims(worker, queue.priority, now)
             for worker in open_workers
         }
-        chosen = self._reserve(run, open_workers, victims, now)
+        chosen = self._choose_reservation(run, open_workers, victims, now)
         if chosen is None:
-            names = self._rounds.unasked_with_room(run)
+            names = self._planner.not_requested_with_room(run)
             if names:
-                self._rounds.ask(run, queue, names, plan, now)
+                self._planner.request_approval(run, queue, names, plan, now)
             return
         plan.reserved.update(worker.id for worker, _ in chosen)
-        spare_s = run.job.due_at - now - run.step.estimate_ms / 1000
+        slack_s = run.job.due_at - now - run.step.estimate_ms / 1000
         waited_s = now - run.ready_at
-        if waited_s < PREEMPT_AFTER_S or not 0 < spare_s < PREEMPT_SPARE_S:
+        if waited_s < PREEMPT_AFTER_S or not 0 < slack_s < MAX_PREEMPTING_SLACK_S:
             return
         for worker, share in chosen:
-            lack = run.step.occupied().times(share)
+            needed = run.step.occupied().times(share)
             free = worker.free()
-            for held in victims[worker.id]:
-                if lack.fits(free):
+            for allocation in victims[worker.id]:
+                if needed.fits(free):
                     break
-                free = free + held.step.step.occupied()
-                if held.task.phase is state.Phase.RUNNING:
-                    held.task.preempted += 1
-                    self._book.stop(held.step, held.task)
+                free = free + allocation.step.step.occupied()
+                if allocation.task.phase is state.TaskPhase.RUNNING:
+                    allocation.task.preemptions += 1
+                    self._cell.stop(allocation.step, allocation.task)
 
     @staticmethod
-    def _reserve(
+    def _choose_reservation(
         run: state.StepRun,
         open_workers: list[workers.Worker],
-        victims: dict[str, list[workers.Held]],
+        victims: dict[str, list[workers.Allocation]],
         now: float,
     ) -> list[tuple[workers.Worker, int]] | None:
         """Return the workers that a gang waits for, the same as before if possible."""
-        extra = {
+        reclaimable = {
             name: sum(
-                (held.step.step.occupied() for held in found), start=resources.ZERO
+                (allocation.step.step.occupied() for allocation in found),
+                start=resources.ZERO,
             )
             for name, found in victims.items()
         }
         if now < run.reserved_until:
             kept = [each for each in open_workers if each.id in run.reserved]
-            chosen = placement.place_gang(run, kept, extra)
+            chosen = placement.place_gang(run, kept, reclaimable)
             if chosen is not None:
                 return chosen
-        chosen = placement.place_gang(run, open_workers, extra)
+        chosen = placement.place_gang(run, open_workers, reclaimable)
         if chosen is not None:
             run.reserved = frozenset(worker.id for worker, _ in chosen)
             run.reserved_until = now + RESERVATION_S
         return chosen
 
-    def _victims(
+    def _find_victims(
         self, worker: workers.Worker, priority: int, now: float
-    ) -> list[workers.Held]:
+    ) -> list[workers.Allocation]:
         """Return the tasks that may be stopped, those already stopping first."""
-        found: list[tuple[float, workers.Held]] = []
-        for held in worker.held.values():
-            if held.task.phase is state.Phase.STOPPING:
-                found.append((-1.0, held))
+        found: list[tuple[float, workers.Allocation]] = []
+        for allocation in worker.allocations.values():
+            if allocation.task.phase is state.TaskPhase.STOPPING:
+                found.append((-1.0, allocation))
                 continue
-            if held.task.phase is not state.Phase.RUNNING or held.step.step.gang:
+            if (
+                allocation.task.phase is not state.TaskPhase.RUNNING
+                or allocation.step.step.gang
+            ):
                 continue
-            if held.task.preempted >= MAX_PREEMPTIONS:
+            if allocation.task.preemptions >= MAX_PREEMPTIONS:
                 continue
-            other = self._book.catalogue.queue(held.step.job.spec.queue)
+            other = self._cell.catalogue.queue(allocation.step.job.spec.queue)
             if other is None or other.priority <= priority:
                 continue
-            lost_s = now - held.task.started_at
-            if held.step.step.checkpointing:
+            lost_s = now - allocation.task.started_at
+            if allocation.step.step.checkpointing:
                 lost_s = 0.0
-            if lost_s <= MAX_LOST_S:
-                found.append((lost_s, held))
+            if lost_s <= MAX_LOST_WORK_S:
+                found.append((lost_s, allocation))
         found.sort(key=lambda each: each[0])
-        return [held for _, held in found]
+        return [allocation for _, allocation in found]
--- a/toucanspring/coordinator/job_writer.py
+++ b/toucanspring/coordinator/job_writer.py
@@ -20,7 +20,7 @@
 RETRY_MAX_S = 0.4
 
 
-class Waiting:
+class PendingJob:
     """Hold one job until its row is written or certainly not."""
 
     def __init__(self, spec: job_specs.Job, give_up_at: float) -> None:
@@ -28,26 +28,26 @@
         self.value = rows.encode(spec)
         self.give_up_at = give_up_at
         self.result = event.AsyncResult()
-        self.places = rows.job_places(spec.id)
+        self.places = rows.job_row_ids(spec.id)
         self.tries = 0
         self.uncertain = False  # a write that had no answer may have taken effect
 
     @property
-    def place(self) -> ports.Place:
+    def place(self) -> ports.RowId:
         """Return the row that is tried now."""
         return self.places[self.tries % len(self.places)]
 
 
-class Intake:
+class JobWriter:
     """Own the writers of accepted jobs, one for each part of the table."""
 
     def __init__(self, store: ports.Store) -> None:
         self._store = store
-        self._queues: dict[str, collections.deque[Waiting]] = {}
+        self._queues: dict[str, collections.deque[PendingJob]] = {}
         self._woken: dict[str, event.Event] = {}
         self._greenlets: list[gevent.Greenlet] = []
 
-    def __enter__(self) -> Intake:
+    def __enter__(self) -> JobWriter:
         for number in range(rows.JOB_PARTS):
             part = f"{number}"
             self._queues[part] = collections.deque()
@@ -64,19 +64,19 @@
         `Unavailable` means that it was not accepted and never will be by this call,
         `Ambiguous` that it may be; `Conflict` that another job has its ID.
         """
-        waiting = Waiting(spec, time.monotonic() + timeout_s)
+        waiting = PendingJob(spec, time.monotonic() + timeout_s)
         self._enqueue(waiting)
         try:
             return waiting.result.get(timeout=timeout_s)
         except gevent.Timeout:
             return self._withdraw(waiting)
 
-    def _enqueue(self, waiting: Waiting) -> None:
+    def _enqueue(self, waiting: PendingJob) -> None:
         part = waiting.place.part
         self._queues[part].append(waiting)
         self._woken[part].set()
 
-    def _withdraw(self, waiting: Waiting) -> errors.Unavailable | errors.Ambiguous:
+    def _withdraw(self, waiting: PendingJob) -> errors.Unavailable | errors.Ambiguous:
         """Give up a job; one whose write has not begun is certainly not accepted."""
         queue = self._queues[waiting.place.part]
         if waiting in queue:
@@ -99,7 +99,7 @@
                     self._finish(batch, errors.Ambiguous(reason="internal error"))
 
     @staticmethod
-    def _take(queue: collections.deque[Waiting]) -> list[Waiting]:
+    def _take(queue: collections.deque[PendingJob]) -> list[PendingJob]:
         batch, size, places = [], 0, set()
         while queue and len(batch) < MAX_JOBS_PER_WRITE and size < MAX_BYTES_PER_WRITE:
             if queue[0].spec.id in places:
@@ -109,7 +109,7 @@
             batch.append(queue.popleft())
         return batch
 
-    def _write(self, batch: list[Waiting]) -> None:
+    def _write(self, batch: list[PendingJob]) -> None:
         while batch:
             places = {each.place: each for each in batch}
             answer = self._store.transact(
@@ -128,7 +128,7 @@
                         self._try_elsewhere(each, answer)
                     return
 
-    def _try_elsewhere(self, waiting: Waiting, failure: errors.Failure) -> None:
+    def _try_elsewhere(self, waiting: PendingJob, failure: errors.Failure) -> None:
         """Go on with another part of the store, which may be up."""
         waiting.tries += 1
         rounds, place = divmod(waiting.tries, len(waiting.places))
@@ -144,10 +144,10 @@
 
     @staticmethod
     def _settle(
-        places: dict[ports.Place, Waiting], found: tuple[ports.Row, ...]
-    ) -> list[Waiting]:
+        places: dict[ports.RowId, PendingJob], found: tuple[ports.Row, ...]
+    ) -> list[PendingJob]:
         """Answer the jobs whose rows exist; return the others."""
-        existing = {row.place: row for row in found if row.version}
+        existing = {row.id: row for row in found if row.version}
         left = []
         for place, each in places.items():
             row = existing.get(place)
@@ -172,6 +172,6 @@
         return left
 
     @staticmethod
-    def _finish(batch: list[Waiting], result: None | errors.Failure) -> None:
+    def _finish(batch: list[PendingJob], result: None | errors.Failure) -> None:
         for each in batch:
             each.result.set(result)
--- a/toucanspring/coordinator/leader_lease.py
+++ b/toucanspring/coordinator/leader_lease.py
@@ -1,4 +1,8 @@
-"""The lease on coordination: one row in the store, on the store's own clock."""
+"""The leader lease: a row in the store that names the coordinator.
+
+The process that holds the lease is the coordinator. The lease expires by the store's
+clock, and its epoch, which rises with each new holder, is the fencing token.
+"""
 
 from __future__ import annotations
 
@@ -7,109 +11,122 @@
 from toucanspring import errors
 from toucanspring.coordinator import ports, rows
 
-# A coordinator that dies is replaced within this time and one read. With a renewal
-# every 0.7 s, two may fail before work has to stop.
+# A failed coordinator is replaced within this time plus one read. With a renewal every
+# 0.7 s, two renewals may fail before the coordinator has to stop its work.
 LEASE_MS = 2500
-RENEW_S = 0.7
-# Differences between the store's steady clock and ours, and rounding.
-MARGIN_MS = 100
+RENEW_INTERVAL_S = 0.7
+# Allows for differences between the store's steady clock and the local one, and for
+# rounding.
+CLOCK_MARGIN_MS = 100
 
 
 @dataclasses.dataclass(slots=True)
 class StoreClock:
-    """Bound the store's clock from its answers; times are monotonic seconds."""
+    """Upper bound of the store's clock, derived from the times in its replies.
+
+    Local times are monotonic seconds.
+    """
 
     _store_ms: int = 0
     _sent_at: float = 0.0
     _known: bool = False
 
-    def take(self, store_ms: int, sent_at: float) -> None:
-        """Take in an answer to a request that was sent at `sent_at`."""
-        # The store read its clock after the request was sent.
+    def update(self, store_ms: int, sent_at: float) -> None:
+        """Apply the store time of a reply to a request that was sent at `sent_at`."""
+        # The store read its clock after the request was sent, so the offset of each
+        # reply is an upper bound; the smallest one is kept.
         if not self._known or (
             store_ms - sent_at * 1000 < self._store_ms - self._sent_at * 1000
         ):
             self._store_ms, self._sent_at, self._known = store_ms, sent_at, True
 
-    def latest(self, now: float) -> int:
-        """Return a time that the store's clock has not passed yet."""
+    def upper_bound_ms(self, now: float) -> int:
+        """Return an upper bound of the store's clock at local time `now`, in ms."""
         return self._store_ms + round((now - self._sent_at) * 1000)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tenure:
-    """Hold the seat that this process took."""
+class Acquired:
+    """The lease was acquired by this process; `version` is that of its row."""
 
-    seat: rows.Seat
+    lease: rows.LeaderLease
     version: int
-    # Whether the coordinator before may still renew leases of workers, and for how
-    # many seconds it may still hold the seat by its own clock.
+    # Whether the previous coordinator may still be running and renewing worker leases,
+    # and for how many more seconds it may consider its own lease valid.
     predecessor_may_live: bool
-    predecessor_holds_s: float = 0.0
+    predecessor_lease_left_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
-    """Say who holds the seat, and when it may be read again (seconds)."""
+class HeldByOther:
+    """Another process holds the lease; it can be acquired in `expires_in_s` seconds."""
 
-    seat: rows.Seat
+    lease: rows.LeaderLease
     expires_in_s: float
 
 
-def is_expired(seat: rows.Seat, store_ms: int) -> bool:
-    """Return whether a seat may be taken by another process."""
-    return store_ms > seat.expires_ms + MARGIN_MS
+def is_expired(lease: rows.LeaderLease, store_ms: int) -> bool:
+    """Return whether another process may acquire a lease at store time `store_ms`."""
+    return store_ms > lease.expires_ms + CLOCK_MARGIN_MS
 
 
 def read(
     store: ports.Store,
-) -> tuple[rows.Seat | None, int, ports.Moment] | errors.Failure:
-    """Return the seat, its version and the moment of the answer."""
-    key = rows.SEAT_PLACE.key
-    page = store.read(rows.SEAT, rows.COORDINATOR_PART, key, key + "\0")
+) -> tuple[rows.LeaderLease | None, int, ports.StoreTimestamp] | errors.Failure:
+    """Return the lease, the version of its row and the store's time of the reply."""
+    key = rows.LEADER_LEASE_ROW.key
+    page = store.read(rows.LEADER_LEASE_TABLE, rows.COORDINATOR_PART, key, key + "\0")
     if isinstance(page, errors.Failure):
         return page
     if not page.rows:
         return None, 0, page.at
     row = page.rows[0]
-    seat = rows.decode(rows.Seat, row.value)
-    if isinstance(seat, errors.Malformed):
-        return seat
-    return seat, row.version, page.at
+    lease = rows.decode(rows.LeaderLease, row.value)
+    if isinstance(lease, errors.Malformed):
+        return lease
+    return lease, row.version, page.at
 
 
-def claim(
-    store: ports.Store, process: str, address: str, life: str, vacated: int = 0
-) -> Tenure | Held | errors.Failure:
-    """Take the seat if nobody holds it, or its holder of epoch `vacated` is given up.
-
-    To give a live holder up by mistake does no harm but the takeover: its writes and
-    its orders are refused from then on.
+def acquire(
+    store: ports.Store,
+    process: str,
+    address: str,
+    instance_id: str,
+    takeover_epoch: int = 0,
+) -> Acquired | HeldByOther | errors.Failure:
+    """Acquire the lease if it is free, expired or held under epoch `takeover_epoch`.
+
+    `takeover_epoch` is the epoch of a holder that is considered failed or that has
+    offered its lease. Replacing a live holder by mistake is safe and costs only the
+    failover: its writes and its orders to workers are fenced from then on.
     """
     found = read(store)
     if isinstance(found, errors.Failure):
         return found
-    seat, version, at = found
-    if seat is not None:
-        # An earlier life of this very process has ended, or this one would not run.
-        free = seat.process == process or seat.epoch == vacated
-        if not free and not is_expired(seat, at.store_ms):
-            left_ms = seat.expires_ms + MARGIN_MS - at.store_ms
-            return Held(seat, left_ms / 1000)
-    epoch = 1 if seat is None else seat.epoch + 1
-    wanted = rows.Seat(process, address, epoch, 0, at.store_ms + LEASE_MS, life)
+    lease, version, at = found
+    if lease is not None:
+        # A lease under the own process name is from an earlier run, which has ended.
+        free = lease.process == process or lease.epoch == takeover_epoch
+        if not free and not is_expired(lease, at.store_ms):
+            left_ms = lease.expires_ms + CLOCK_MARGIN_MS - at.store_ms
+            return HeldByOther(lease, left_ms / 1000)
+    epoch = 1 if lease is None else lease.epoch + 1
+    wanted = rows.LeaderLease(
+        process, address, epoch, 0, at.store_ms + LEASE_MS, instance_id
+    )
     answer = store.transact(
-        {rows.SEAT_PLACE: version}, {rows.SEAT_PLACE: rows.encode(wanted)}
+        {rows.LEADER_LEASE_ROW: version}, {rows.LEADER_LEASE_ROW: rows.encode(wanted)}
     )
     match answer:
         case ports.Committed(at=moment):
-            may_live = seat is not None and seat.expires_ms > 0
-            if not may_live or seat.process == process:
-                return Tenure(wanted, moment.version, False)
-            left_ms = max(0, seat.expires_ms - at.store_ms)
-            return Tenure(wanted, moment.version, True, left_ms / 1000)
+            may_live = lease is not None and lease.expires_ms > 0
+            if not may_live or lease.process == process:
+                return Acquired(wanted, moment.version, False)
+            left_ms = max(0, lease.expires_ms - at.store_ms)
+            return Acquired(wanted, moment.version, True, left_ms / 1000)
         case ports.Rejected():
-            return errors.Conflict(reason="another process took the seat")
+            return errors.Conflict(reason="another process acquired the leader lease")
         case _:
-            # If the claim took effect after all, the next read shows it as our own.
+            # If the write took effect after all, the next read returns the lease as
+            # held by this process.
             return answer
--- a/toucanspring/coordinator/metered.py
+++ b/toucanspring/coordinator/metered.py
@@ -93,9 +93,9 @@
 
     def transact(
         self,
-        checks: dict[ports.Place, int],
-        puts: dict[ports.Place, bytes],
-        removals: tuple[ports.Place, ...] = (),
+        checks: dict[ports.RowId, int],
+        puts: dict[ports.RowId, bytes],
+        removals: tuple[ports.RowId, ...] = (),
     ) -> ports.Committed | ports.Rejected | errors.Failure:
         """Apply all changes if every checked row has its version, else none."""
         return self._call(
@@ -130,28 +130,28 @@
 
     def start(
         self, worker: ports.WorkerEntry, order: ports.Start
-    ) -> ports.Done | ports.OrderRefused | errors.Failure:
+    ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
         """Start a run; a repeat of the same run changes nothing."""
         return self._call("start", lambda: self._inner.start(worker, order))
 
     def stop(
         self, worker: ports.WorkerEntry, task: str, run: int, epoch: int
-    ) -> ports.Done | ports.OrderRefused | errors.Failure:
+    ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
         """Stop a run, or forbid it if it has not started."""
         return self._call("stop", lambda: self._inner.stop(worker, task, run, epoch))
 
-    def look(
+    def poll(
         self,
         worker: ports.WorkerEntry,
         epoch: int,
-        seen_end: int,
+        acked_end: int,
         lease_until_ms: int | None,
         wait_ms: int,
-    ) -> ports.Look | ports.OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `seen_end` and return the others."""
+    ) -> ports.PollReply | ports.OrderRefused | errors.Failure:
+        """Renew the lease, forget ends up to `acked_end` and return the others."""
         return self._call(
             "look",
-            lambda: self._inner.look(worker, epoch, seen_end, lease_until_ms, wait_ms),
+            lambda: self._inner.poll(worker, epoch, acked_end, lease_until_ms, wait_ms),
             waits=True,
         )
 
--- a/toucanspring/coordinator/placement.py
+++ b/toucanspring/coordinator/placement.py
@@ -6,7 +6,7 @@
 from toucanspring.coordinator import state, workers
 
 
-def suits(run: state.StepRun, worker: workers.Worker) -> bool:
+def is_eligible(run: state.StepRun, worker: workers.Worker) -> bool:
     """Return whether a worker could run tasks of a step if it were empty."""
     step = run.step
     if step.required_label and step.required_label not in worker.entry.labels:
@@ -14,7 +14,7 @@
     return step.occupied().fits(worker.entry.capacity)
 
 
-def allows(
+def may_place(
     run: state.StepRun,
     task: state.Task,
     worker: workers.Worker,
@@ -25,15 +25,15 @@
     limit = run.step.max_per_worker
     if limit and on_worker.get(worker.id, 0) >= limit:
         return False
-    return is_tried(task, worker, now)
+    return may_retry_on(task, worker, now)
 
 
-def is_tried(task: state.Task, worker: workers.Worker, now: float) -> bool:
+def may_retry_on(task: state.Task, worker: workers.Worker, now: float) -> bool:
     """Return whether a task may go to a worker, where it may have failed before."""
-    return worker.id not in task.avoided or now >= task.avoid_until
+    return worker.id not in task.avoided_workers or now >= task.avoid_until
 
 
-def count_on_workers(run: state.StepRun) -> dict[str, int]:
+def count_per_worker(run: state.StepRun) -> dict[str, int]:
     """Return how many tasks of a step each worker has, if that is limited."""
     counts: dict[str, int] = {}
     if run.step.max_per_worker:
@@ -56,30 +56,30 @@
 def place_gang(
     run: state.StepRun,
     eligible: list[workers.Worker],
-    extra: dict[str, resources.Resources],
+    reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
     """Return workers with counts of members, in one rack if the step asks for it."""
     if not run.step.same_rack:
-        return _fill(run, eligible, extra)
+        return _pack(run, eligible, reclaimable)
     racks: dict[str, list[workers.Worker]] = {}
     for worker in eligible:
         racks.setdefault(worker.entry.rack, []).append(worker)
     for members in racks.values():
-        chosen = _fill(run, members, extra)
+        chosen = _pack(run, members, reclaimable)
         if chosen is not None:
             return chosen
-    return _fill(run, eligible, extra)
+    return _pack(run, eligible, reclaimable)
 
 
-def _fill(
+def _pack(
     run: state.StepRun,
     eligible: list[workers.Worker],
-    extra: dict[str, resources.Resources],
+    reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
     demand = run.step.occupied()
     room = []
     for worker in eligible:
-        free = worker.free() + extra.get(worker.id, resources.ZERO)
+        free = worker.free() + reclaimable.get(worker.id, resources.ZERO)
         count = demand.count_in(free)
         if run.step.max_per_worker:
             count = min(count, run.step.max_per_worker)
--- a/toucanspring/coordinator/planner.py
+++ b/toucanspring/coordinator/planner.py
@@ -15,62 +15,62 @@
     workers,
 )
 
-MOST_URGENT = 0
+TOP_PRIORITY = 0
 # Estimates are off by up to 0.9 either way; a job counts as late once this part of the
 # estimated time is missing.
-LATE_SHARE = 0.6
+LATE_ESTIMATE_FRACTION = 0.6
 # An order travels and may be repeated before its ticket is read.
 TICKET_MARGIN_S = 0.15
 # More steps than this are not looked at in one round, to bound its time.
-MAX_STEPS = 400
-MAX_STARTS = 120
-ASK_AT_MOST = 100  # workers in one question
+MAX_STEPS_PER_ROUND = 400
+MAX_STARTS_PER_ROUND = 120
+MAX_WORKERS_PER_REQUEST = 100  # workers in one question
 
 
 class Planner:
     """Decide for the jobs of one book."""
 
-    def __init__(self, records: cell_state.Book) -> None:
-        self._book = records
-        self._gangs = gangs.Gangs(records, self)
+    def __init__(self, cell: cell_state.CellState) -> None:
+        self._cell = cell
+        self._gangs = gangs.Gangs(cell, self)
 
     def plan(self, now: float) -> plans.Plan:
         """Return what to start and to ask now; takes the room for the starts."""
         plan = plans.Plan()
         usable: dict[str, list[workers.Worker]] = {}
-        over = self._beyond_share()
+        over_share = self._find_over_share()
         steps = sorted(
-            self._book.ready.values(), key=lambda run: self._rank(run, over, now)
+            self._cell.ready.values(), key=lambda run: self._rank(run, over_share, now)
         )
-        for run in steps[:MAX_STEPS]:
-            if len(plan.starts) >= MAX_STARTS:
+        for run in steps[:MAX_STEPS_PER_ROUND]:
+            if len(plan.starts) >= MAX_STARTS_PER_ROUND:
                 break
-            queue = self._book.catalogue.queue(run.job.spec.queue)
+            queue = self._cell.catalogue.queue(run.job.spec.queue)
             if queue is None or run.job.is_final:
                 continue
             if queue.pool not in usable:
                 usable[queue.pool] = [
                     worker
-                    for worker in self._book.pool(queue.pool)
-                    if worker.is_usable(now, self._book.zones_out)
+                    for worker in self._cell.pool(queue.pool)
+                    if worker.is_usable(now, self._cell.zones_out)
                 ]
             self._plan_step(run, queue, usable[queue.pool], plan, now)
         return plan
 
-    def _beyond_share(self) -> frozenset[str]:
+    def _find_over_share(self) -> frozenset[str]:
         """Return the organisations that use more than their share of the cell."""
-        capacity = workers.total_capacity(self._book.workers.values())
-        organisations = self._book.catalogue.organisations.values()
+        capacity = workers.total_capacity(self._cell.workers.values())
+        organisations = self._cell.catalogue.organisations.values()
         total = sum(each.weight for each in organisations)
         return frozenset(
             each.name
             for each in organisations
             if each.weight > 0
-            and self._book.used[each.name].dominant(capacity) > each.weight / total
+            and self._cell.used[each.name].dominant(capacity) > each.weight / total
         )
 
     def _rank(
-        self, run: state.StepRun, over: frozenset[str], now: float
+        self, run: state.StepRun, over_share: frozenset[str], now: float
     ) -> tuple[bool, bool, int, bool, bool, float]:
         """Order by entitlement and urgency, then by what can still be in time.
 
@@ -78,16 +78,16 @@
         late already waits for work that is not, but for the most urgent.
         """
         spec = run.job.spec
-        queue = self._book.catalogue.queue(spec.queue)
+        queue = self._cell.catalogue.queue(spec.queue)
         priority = queue.priority if queue is not None else 9
-        left_s = LATE_SHARE * run.step.estimate_ms / 1000
+        left_s = LATE_ESTIMATE_FRACTION * run.step.estimate_ms / 1000
         late = now + left_s > run.job.due_at
         return (
-            run.job.beyond_rate,
-            late and priority > MOST_URGENT,
+            run.job.over_rate,
+            late and priority > TOP_PRIORITY,
             priority,
             late,
-            spec.organisation in over,
+            spec.organisation in over_share,
             run.job.due_at,
         )
 
@@ -99,25 +99,32 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        eligible = [worker for worker in usable if placement.suits(run, worker)]
+        eligible = [worker for worker in usable if placement.is_eligible(run, worker)]
         if not eligible:
-            plan.wait(run, plans.NO_WORKER)
+            plan.record_wait(run, plans.NO_USABLE_WORKER)
             return
         if queue.approval is not None:
-            self._ask_new(run, queue, eligible, plan, now)
-            run.unasked = [each for each in eligible if each.id not in run.allowed]
+            self._request_new_approvals(run, queue, eligible, plan, now)
+            run.not_requested = [
+                each for each in eligible if each.id not in run.allowed
+            ]
             eligible = [worker for worker in eligible if run.allowed.get(worker.id)]
             if not eligible:
-                names = self.unasked_with_room(run)
+                names = self.not_requested_with_room(run)
                 if names:
-                    self.ask(run, queue, names, plan, now)
-                plan.wait(run, plans.APPROVAL if run.asking else plans.NOT_APPROVED)
+                    self.request_approval(run, queue, names, plan, now)
+                plan.record_wait(
+                    run,
+                    plans.AWAITING_APPROVAL
+                    if run.approval_pending
+                    else plans.NOT_APPROVED,
+                )
                 return
         # Capacity alone decides here; without a change nothing new can fit.
-        if run.blocked_at == self._book.capacity_version and not run.step.gang:
+        if run.blocked_version == self._cell.capacity_version and not run.step.gang:
             return
         if not self._within_ceiling(run, run.step.count if run.step.gang else 1):
-            plan.wait(run, plans.CEILING)
+            plan.record_wait(run, plans.ABOVE_CEILING)
             return
         if run.step.gang:
             self._gangs.plan(run, queue, eligible, plan, now)
@@ -126,7 +133,7 @@
 
     # Approvals
 
-    def _ask_new(
+    def _request_new_approvals(
         self,
         run: state.StepRun,
         queue: catalogue.Queue,
@@ -138,9 +145,9 @@
         known = len(eligible) - len(unknown)
         # A few new workers are not worth a question while others are known.
         if unknown and len(unknown) * 3 > known:
-            self.ask(run, queue, unknown, plan, now)
+            self.request_approval(run, queue, unknown, plan, now)
 
-    def ask(
+    def request_approval(
         self,
         run: state.StepRun,
         queue: catalogue.Queue,
@@ -149,22 +156,26 @@
         now: float,
     ) -> None:
         """Ask about workers, unless a question is open."""
-        if run.asking or now < run.ask_again_at or queue.approval is None:
+        if (
+            run.approval_pending
+            or now < run.approval_retry_at
+            or queue.approval is None
+        ):
             return
-        run.asking = True
-        names = names[:ASK_AT_MOST]
+        run.approval_pending = True
+        names = names[:MAX_WORKERS_PER_REQUEST]
         cost_s = queue.approval.decision_s + queue.approval.per_worker_s * len(names)
-        plan.questions.append(
-            plans.Question(
+        plan.approval_requests.append(
+            plans.ApprovalRequest(
                 run, tuple(names), cost_s, queue.priority, queue.approval.validity_s
             )
         )
 
     @staticmethod
-    def unasked_with_room(run: state.StepRun) -> list[str]:
+    def not_requested_with_room(run: state.StepRun) -> list[str]:
         """Return workers with room that the approval service was not asked about."""
         demand = run.step.occupied()
-        return [each.id for each in run.unasked if demand.fits(each.free())]
+        return [each.id for each in run.not_requested if demand.fits(each.free())]
 
     def ticket(
         self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
@@ -187,18 +198,21 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        on_worker = placement.count_on_workers(run)
+        on_worker = placement.count_per_worker(run)
         open_workers = eligible
-        if queue.priority > MOST_URGENT:
+        if queue.priority > TOP_PRIORITY:
             open_workers = [each for each in eligible if each.id not in plan.reserved]
         for index in sorted(run.waiting):
-            if not self._within_ceiling(run, 1) or len(plan.starts) >= MAX_STARTS:
+            if (
+                not self._within_ceiling(run, 1)
+                or len(plan.starts) >= MAX_STARTS_PER_ROUND
+            ):
                 return
             task = run.tasks[index]
             fits = [
                 worker
                 for worker in open_workers
-                if placement.allows(run, task, worker, on_worker, now)
+                if placement.may_place(run, task, worker, on_worker, now)
                 and run.step.occupied().fits(worker.free())
             ]
             valid = [
@@ -206,10 +220,12 @@
                 for worker in fits
                 if self.ticket(run, queue, worker.id, now) is not None
             ]
-            if not valid and task.avoided and now < task.avoid_until:
+            if not valid and task.avoided_workers and now < task.avoid_until:
                 continue  # the others of the step may still fit
             if not valid:
-                self._block(run, queue, [each.id for each in fits], plan, now)
+                self._request_or_block(
+                    run, queue, [each.id for each in fits], plan, now
+                )
                 return
             best = min(
                 valid, key=lambda worker: placement.rank(run, worker, worker.free())
@@ -217,7 +233,7 @@
             on_worker[best.id] = on_worker.get(best.id, 0) + 1
             self.start(run, task, best, task.run + 1, queue, plan, now)
 
-    def _block(
+    def _request_or_block(
         self,
         run: state.StepRun,
         queue: catalogue.Queue,
@@ -226,12 +242,12 @@
         now: float,
     ) -> None:
         """Ask about workers that have room, or wait until something has changed."""
-        names = without_ticket or self.unasked_with_room(run)
-        plan.wait(run, plans.APPROVAL if names else plans.NO_ROOM)
+        names = without_ticket or self.not_requested_with_room(run)
+        plan.record_wait(run, plans.AWAITING_APPROVAL if names else plans.NO_ROOM)
         if names:
-            self.ask(run, queue, names, plan, now)
-        elif not run.asking:
-            run.blocked_at = self._book.capacity_version
+            self.request_approval(run, queue, names, plan, now)
+        elif not run.approval_pending:
+            run.blocked_version = self._cell.capacity_version
 
     def start(
         self,
@@ -245,15 +261,15 @@
     ) -> None:
         """Book a run."""
         ticket = self.ticket(run, queue, worker.id, now) or ""
-        self._book.begin(run, task, worker, number)
+        self._cell.allocate(run, task, worker, number)
         plan.starts.append(plans.Start(run, task, worker, number, ticket))
 
     def _within_ceiling(self, run: state.StepRun, count: int) -> bool:
-        organisation = self._book.catalogue.organisations.get(run.job.spec.organisation)
+        organisation = self._cell.catalogue.organisations.get(run.job.spec.organisation)
         if organisation is None:
             return True
         ceiling = organisation.ceiling
-        wanted = self._book.used[organisation.name] + run.step.demand.times(count)
+        wanted = self._cell.used[organisation.name] + run.step.demand.times(count)
         return (
             (not ceiling.cpus or wanted.cpus <= ceiling.cpus)
             and (not ceiling.memory or wanted.memory <= ceiling.memory)
--- a/toucanspring/coordinator/plans.py
+++ b/toucanspring/coordinator/plans.py
@@ -7,12 +7,12 @@
 from toucanspring.coordinator import ports, state, workers
 
 # Why a step waits, as logged.
-NO_WORKER = "no usable worker"
-APPROVAL = "approval asked for"
+NO_USABLE_WORKER = "no usable worker"
+AWAITING_APPROVAL = "approval asked for"
 NOT_APPROVED = "no approved worker"
-CEILING = "ceiling of the organisation"
+ABOVE_CEILING = "ceiling of the organisation"
 NO_ROOM = "no room"
-MEMBERS = "members of the gang still run"
+GANG_STILL_RUNNING = "members of the gang still run"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class ApprovalRequest:
     """Ask the approval service about workers for a step."""
 
     step: state.StepRun
@@ -50,21 +50,21 @@
     """Collect the decisions of one round; starts are already booked."""
 
     starts: list[Start] = dataclasses.field(default_factory=list)
-    questions: list[Question] = dataclasses.field(default_factory=list)
+    approval_requests: list[ApprovalRequest] = dataclasses.field(default_factory=list)
     # Steps that begin to wait for another reason than before.
     waits: list[Wait] = dataclasses.field(default_factory=list)
     reserved: set[str] = dataclasses.field(default_factory=set)
-    gangs_making_room: int = 0
+    reserving_gangs: int = 0
 
-    def wait(self, run: state.StepRun, reason: str) -> None:
+    def record_wait(self, run: state.StepRun, reason: str) -> None:
         """Take note of why a step waits, once for each reason in turn."""
-        if run.waits_for != reason:
-            run.waits_for = reason
+        if run.wait_reason != reason:
+            run.wait_reason = reason
             self.waits.append(Wait(run, reason))
 
 
-def take_answer(
-    question: Question,
+def record_approvals(
+    question: ApprovalRequest,
     tickets: dict[str, str],
     expires_at: float,
 ) -> None:
@@ -74,5 +74,5 @@
         run.allowed[name] = name in tickets
         if name in tickets:
             run.tickets[name] = ports.Ticket(tickets[name], expires_at)
-    run.asking = False
-    run.blocked_at = -1
+    run.approval_pending = False
+    run.blocked_version = -1
--- a/toucanspring/coordinator/ports.py
+++ b/toucanspring/coordinator/ports.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class RowId:
     """Name a row."""
 
     table: str
@@ -24,13 +24,13 @@
 class Row:
     """Hold a row; version 0 means that it does not exist."""
 
-    place: Place
+    id: RowId
     value: bytes
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Moment:
+class StoreTimestamp:
     """Say when the store answered: its steady clock and its newest version."""
 
     version: int
@@ -41,7 +41,7 @@
 class Committed:
     """Report a transaction that took effect; the rows have `at.version`."""
 
-    at: Moment
+    at: StoreTimestamp
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
     rows: tuple[Row, ...]
     has_more: bool
-    at: Moment
+    at: StoreTimestamp
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     """Hold changed rows in order; a removed row has version 0."""
 
     rows: tuple[Row, ...]
-    at: Moment
+    at: StoreTimestamp
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -78,9 +78,9 @@
 
     def transact(
         self,
-        checks: dict[Place, int],
-        puts: dict[Place, bytes],
-        removals: tuple[Place, ...] = (),
+        checks: dict[RowId, int],
+        puts: dict[RowId, bytes],
+        removals: tuple[RowId, ...] = (),
     ) -> Committed | Rejected | errors.Failure:
         """Apply all changes if every checked row has its version, else none.
 
@@ -115,7 +115,7 @@
     rack: str
     labels: frozenset[str]
     capacity: resources.Resources
-    born: int = 0  # Unix milliseconds of its start; 0 if not told
+    incarnation: int = 0  # Unix milliseconds of its start; 0 if not told
     draining: bool = False
     leaves_in_ms: int = -1
 
@@ -142,17 +142,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Look:
+class PollReply:
     """Hold what a worker says of its tasks, with its own clock."""
 
     clock_ms: int
-    born: int
+    incarnation: int
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Done:
+class OrderDone:
     """Report an order that the worker carried out."""
 
     clock_ms: int
@@ -168,7 +168,7 @@
 TOO_LATE = "too late"
 NO_ROOM = "no room"
 NO_TICKET = "no ticket"
-OTHER_LIFE = "other life"  # the worker has restarted
+OTHER_INCARNATION = "other life"  # the worker has restarted
 UNHEALTHY = "unhealthy"
 INVALID = "invalid"
 
@@ -191,23 +191,23 @@
 
     def start(
         self, worker: WorkerEntry, order: Start
-    ) -> Done | OrderRefused | errors.Failure:
+    ) -> OrderDone | OrderRefused | errors.Failure:
         """Start a run; a repeat of the same run changes nothing."""
 
     def stop(
         self, worker: WorkerEntry, task: str, run: int, epoch: int
-    ) -> Done | OrderRefused | errors.Failure:
+    ) -> OrderDone | OrderRefused | errors.Failure:
         """Stop a run, or forbid it if it has not started."""
 
-    def look(
+    def poll(
         self,
         worker: WorkerEntry,
         epoch: int,
-        seen_end: int,
+        acked_end: int,
         lease_until_ms: int | None,
         wait_ms: int,
-    ) -> Look | OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `seen_end` and return the others."""
+    ) -> PollReply | OrderRefused | errors.Failure:
+        """Renew the lease, forget ends up to `acked_end` and return the others."""
 
     def forget(self, worker_id: str) -> None:
         """Close the connections to a worker that has left."""
--- a/toucanspring/coordinator/recovery.py
+++ b/toucanspring/coordinator/recovery.py
@@ -17,9 +17,9 @@
 
 
 def restore(
-    records: cell_state.Book,
+    cell: cell_state.CellState,
     jobs: Iterable[ports.Row],
-    progress: table_cache.Reading,
+    progress: table_cache.TableSnapshot,
     now: float,
 ) -> None:
     """Take in all readable jobs, the oldest first, with what has become of them."""
@@ -27,16 +27,16 @@
     for row in progress.rows.values():
         decoded = rows.decode(rows.Progress, row.value)
         if isinstance(decoded, errors.Malformed):
-            log.error("progress of {}: {}", row.place.key, decoded)
+            log.error("progress of {}: {}", row.id.key, decoded)
             continue
-        found[row.place.key] = decoded
+        found[row.id.key] = decoded
     known = [rows.decode(job_specs.Job, row.value) for row in jobs]
     specs = [spec for spec in known if isinstance(spec, job_specs.Job)]
     if len(specs) < len(known):
         log.error("{} job rows are unreadable", len(known) - len(specs))
     for spec in sorted(specs, key=lambda each: each.accepted_at_ms):
-        if spec.id not in records.jobs:
-            records.restore(spec, found.get(spec.id), now, age_s(spec))
+        if spec.id not in cell.jobs:
+            cell.restore(spec, found.get(spec.id), now, age_s(spec))
 
 
 def age_s(spec: job_specs.Job) -> float:
--- a/toucanspring/coordinator/rows.py
+++ b/toucanspring/coordinator/rows.py
@@ -11,20 +11,20 @@
 
 JOBS = "jobs"
 PROGRESS = "progress"
-SEAT = "seat"
+LEADER_LEASE_TABLE = "seat"
 MEMBERS = "members"
 COORDINATOR_PART = "coordinator"
 # Acceptance is spread over parts, since a part takes its transactions one by one. While
 # the store is 70 times slower, each takes 0.4 s; at 40 jobs a second 17 are under way.
 JOB_PARTS = 32
-JOB_PLACES = 3
+PARTS_PER_JOB = 3
 PART_STRIDE = 11  # no divisor of the number of parts
 
-SEAT_PLACE = ports.Place(SEAT, COORDINATOR_PART, "coordinator")
+LEADER_LEASE_ROW = ports.RowId(LEADER_LEASE_TABLE, COORDINATOR_PART, "coordinator")
 
 
-class Seat(msgspec.Struct, frozen=True, array_like=True):
-    """Say which process coordinates; `commit` rises with each of its writes.
+class LeaderLease(msgspec.Struct, frozen=True, array_like=True):
+    """Say which process coordinates; `sequence` rises with each of its writes.
 
     `expires_ms` is on the store's clock.
     """
@@ -32,9 +32,9 @@
     process: str
     address: str
     epoch: int
-    commit: int
+    sequence: int
     expires_ms: int
-    life: str  # distinguishes the runs of one process
+    instance_id: str  # distinguishes the runs of one process
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
@@ -52,7 +52,7 @@
     run: int
     failures: int = 0
     worker: str = ""
-    born: int = 0
+    incarnation: int = 0
     checkpoint: str = ""
     done: bool = False
     failed_run: int = 0
@@ -77,7 +77,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
     kind: msgspec.msgpack.Decoder(kind)
-    for kind in (Seat, MemberRow, Progress, job_specs.Job)
+    for kind in (LeaderLease, MemberRow, Progress, job_specs.Job)
 }
 
 encode = _encoder.encode
@@ -91,7 +91,7 @@
         return errors.Malformed(reason=f"{kind.__name__} row: {error}")
 
 
-def job_places(job_id: str) -> list[ports.Place]:
+def job_row_ids(job_id: str) -> list[ports.RowId]:
     """Return where an accepted job may be, in the order in which that is tried.
 
     A part of the store may be down alone. A job in several places is one job, since
@@ -99,15 +99,15 @@
     """
     first = zlib.crc32(job_id.encode()) % JOB_PARTS
     return [
-        ports.Place(JOBS, f"{(first + number * PART_STRIDE) % JOB_PARTS}", job_id)
-        for number in range(JOB_PLACES)
+        ports.RowId(JOBS, f"{(first + number * PART_STRIDE) % JOB_PARTS}", job_id)
+        for number in range(PARTS_PER_JOB)
     ]
 
 
 def find_job(store: ports.Store, job_id: str) -> ports.Row | errors.Failure:
     """Return the row of an accepted job; `NotFound` only if no place has it."""
     failure: errors.Failure | None = None
-    for place in (*job_places(job_id), copy_place(job_id)):
+    for place in (*job_row_ids(job_id), job_copy_row_id(job_id)):
         page = store.read(place.table, place.part, job_id, job_id + "\0")
         if isinstance(page, errors.Failure):
             failure = page
@@ -116,11 +116,11 @@
     return failure or errors.NotFound(reason=f"no job {job_id}")
 
 
-def copy_place(job_id: str) -> ports.Place:
+def job_copy_row_id(job_id: str) -> ports.RowId:
     """Return the coordinator's copy of a job, written with its first progress."""
-    return ports.Place(JOBS, COORDINATOR_PART, job_id)
+    return ports.RowId(JOBS, COORDINATOR_PART, job_id)
 
 
-def progress_place(job_id: str) -> ports.Place:
+def progress_row_id(job_id: str) -> ports.RowId:
     """Return the row of a job's progress."""
-    return ports.Place(PROGRESS, COORDINATOR_PART, job_id)
+    return ports.RowId(PROGRESS, COORDINATOR_PART, job_id)
--- a/toucanspring/coordinator/service.py
+++ b/toucanspring/coordinator/service.py
@@ -73,21 +73,21 @@
         self._client = metered.Workers(client, meters)
         self._directory = directory
         self._meters = meters
-        self._life = uuid.uuid4().hex[:12]
+        self._instance_id = uuid.uuid4().hex[:12]
         self._clock = leader_lease.StoreClock()
-        self._seat: rows.Seat | None = None
-        self._tenure: leadership.Tenure | None = None
+        self._lease: rows.LeaderLease | None = None
+        self._leadership: leadership.Leadership | None = None
         self._draining = False
         self._looked = event.Event()
         self._vacated = 0  # epoch of a coordinator that is given up
-        self._members = table_cache.Feed(
+        self._members = table_cache.TableCache(
             store, rows.MEMBERS, self._take_member, wait_s=MEMBERS_WAIT_S
         )
-        self._intake = job_writer.Intake(store)
-        self._approvals = approval_dispatcher.Desk(
+        self._intake = job_writer.JobWriter(store)
+        self._approvals = approval_dispatcher.ApprovalDispatcher(
             kernel, metered.Approvals(approvals, meters), self._answered
         )
-        self._succession = failover.Succession(
+        self._failover = failover.Failover(
             options.process, kernel.find("peers"), store, self._give_up, self._leave
         )
         self._greenlets: list[gevent.Greenlet] = []
@@ -102,7 +102,7 @@
         peers.handle(approval_dispatcher.METHOD, self._approvals.serve)
         peers.handle_notice(ANNOUNCE, self._take_announcement)
         self._intake.__enter__()
-        self._succession.__enter__()
+        self._failover.__enter__()
         self._members.__enter__()
         self._greenlets = [
             gevent.spawn(self._register),
@@ -112,9 +112,9 @@
 
     def stop_accepting(self) -> None:
         """Leave the seat to others."""
-        self._draining = self._succession.closing = True
-        if self._tenure is not None:
-            self._tenure.release()
+        self._draining = self._failover.closing = True
+        if self._leadership is not None:
+            self._leadership.release()
         self._announce_vacancy()
 
     def stop(self) -> None:
@@ -122,8 +122,8 @@
         gevent.killall(self._greenlets, block=False)
         self._members.close()
         self._intake.__exit__()
-        self._succession.__exit__()
-        place = ports.Place(rows.MEMBERS, "", self._options.process)
+        self._failover.__exit__()
+        place = ports.RowId(rows.MEMBERS, "", self._options.process)
         row = self._members.rows.get(place)
         if row is not None:
             answer = self._store.transact({place: row.version}, {}, (place,))
@@ -132,9 +132,9 @@
 
     def measure(self) -> dict[str, float]:
         """Return what this process believes, as numbers by name."""
-        held = self._tenure
+        held = self._leadership
         known = {
-            "epoch": self._seat.epoch if self._seat is not None else 0,
+            "epoch": self._lease.epoch if self._lease is not None else 0,
             "coordinates": float(held is not None and held.ready.is_set()),
             "view_age_seconds": min(
                 UNKNOWN_AGE_S, self._directory.age(time.monotonic())
@@ -146,7 +146,7 @@
     # Calls
 
     def submit(self, spec: job_specs.Job, timeout_s: float) -> None | errors.Failure:
-        """Store a job; see `job_writer.Intake.accept`."""
+        """Store a job; see `job_writer.JobWriter.accept`."""
         return self._intake.accept(spec, timeout_s)
 
     def status(self, job_id: str) -> state.JobState | errors.Failure:
@@ -170,11 +170,11 @@
     def relays(self) -> list[str]:
         """Return processes that calls may be passed to, the coordinator first."""
         names = self._targets()
-        first = self._seat.process if self._seat is not None else ""
+        first = self._lease.process if self._lease is not None else ""
         return sorted(names, key=lambda name: (name != first, name))
 
     def _call(self, method: str, argument: str) -> object | errors.Failure:
-        held = self._seat
+        held = self._lease
         if held is None:
             return errors.Unavailable(reason="no coordinator is known")
         if held.process == self._options.process:
@@ -196,7 +196,7 @@
         return handle
 
     def _answer(self, method: str, argument: str) -> object | errors.Failure:
-        held = self._tenure
+        held = self._leadership
         if held is None or not held.ready.is_set():
             return errors.Unavailable(reason="this process does not coordinate")
         match method:
@@ -207,11 +207,11 @@
                 found = held.cancel(argument)
                 return found if isinstance(found, errors.Failure) else found.value
             case _:
-                return held.book.pending(argument)
+                return held.cell.pending(argument)
 
     def _read_status(self, job_id: str) -> state.JobState | errors.Failure:
         """Return the state of a job from its rows."""
-        place = rows.progress_place(job_id)
+        place = rows.progress_row_id(job_id)
         page = self._store.read(place.table, place.part, job_id, job_id + "\0")
         if isinstance(page, errors.Failure):
             return page
@@ -225,17 +225,17 @@
 
     # Approvals
 
-    def _answered(self, question: plans.Question) -> None:
+    def _answered(self, question: plans.ApprovalRequest) -> None:
         del question
-        if self._tenure is not None:
-            self._tenure.wake()
+        if self._leadership is not None:
+            self._leadership.wake()
 
     # Members
 
     def _register(self) -> None:
         """Write where this process listens."""
         options = self._options
-        place = ports.Place(rows.MEMBERS, "", options.process)
+        place = ports.RowId(rows.MEMBERS, "", options.process)
         value = rows.encode(
             rows.MemberRow(options.process, options.address, options.peer_port)
         )
@@ -260,15 +260,15 @@
     def _targets(self) -> list[str]:
         """Return the processes that this one keeps a stream to."""
         members = sorted(self._member_rows())
-        if self._tenure is not None:
+        if self._leadership is not None:
             return members
         chosen = members
         own = self._options.process
         ring = [name for name in members if name > own]
         ring += [name for name in members if name < own]
         chosen = ring[:RELAY_LINKS]
-        if self._seat is not None and self._seat.process in members:
-            chosen = [self._seat.process, *chosen]
+        if self._lease is not None and self._lease.process in members:
+            chosen = [self._lease.process, *chosen]
         return list(dict.fromkeys(chosen))
 
     def _set_targets(self) -> None:
@@ -282,46 +282,46 @@
 
     def _keep_streams(self) -> None:
         while True:
-            leading = self._tenure is not None
+            leading = self._leadership is not None
             gevent.sleep(failover.HEARTBEAT_S if leading else KEEPALIVE_S)
             self._announce()
 
     def _announce(self) -> None:
         """Tell the others who coordinates; keeps the streams to them open."""
         peers = self._kernel.find("peers")
-        held = self._seat
+        held = self._lease
         body = rows.encode(held) if held is not None else b""
         for name in self._targets():
             peers.notify(name, ANNOUNCE, body)
 
     def _announce_vacancy(self) -> None:
-        held = self._seat
+        held = self._lease
         if held is None or held.process != self._options.process:
             return
-        vacant = rows.Seat("", "", held.epoch, held.commit, 0, "")
+        vacant = rows.LeaderLease("", "", held.epoch, held.sequence, 0, "")
         for name in self._targets():
             self._kernel.find("peers").notify(name, ANNOUNCE, rows.encode(vacant))
 
     def _take_announcement(self, sender: str, body: bytes) -> None:
-        self._succession.heard(sender)
+        self._failover.heard(sender)
         if not body:
             return
-        heard = rows.decode(rows.Seat, body)
+        heard = rows.decode(rows.LeaderLease, body)
         if isinstance(heard, errors.Malformed):
             log.warning("announcement of the seat: {}", heard)
             return
-        known = self._seat
+        known = self._lease
         if not heard.process:
             if known is None or heard.epoch >= known.epoch:
                 self._give_up(heard.epoch)  # its holder has left
         elif known is None or heard.epoch > known.epoch:
             self._take_seat(heard)
 
-    def _take_seat(self, held: rows.Seat) -> None:
-        changed = self._seat is None or held.epoch != self._seat.epoch
-        self._seat = held
+    def _take_seat(self, held: rows.LeaderLease) -> None:
+        changed = self._lease is None or held.epoch != self._lease.epoch
+        self._lease = held
         if changed:
-            self._succession.follow(held)
+            self._failover.follow(held)
             structured.decide(
                 log, "coordinator_known", process=held.process, epoch=held.epoch
             )
@@ -335,30 +335,30 @@
         self._looked.set()
 
     def _leave(self, reason: str) -> None:
-        if self._tenure is not None:
-            self._tenure.superseded(reason)
+        if self._leadership is not None:
+            self._leadership.superseded(reason)
 
     def _run_for_seat(self) -> None:
         while True:
             if self._draining:
                 self._follow_seat()
                 continue
-            found = leader_lease.claim(
+            found = leader_lease.acquire(
                 self._store,
                 self._options.process,
                 self._options.address,
-                self._life,
+                self._instance_id,
                 self._vacated,
             )
             match found:
-                case leader_lease.Tenure():
+                case leader_lease.Acquired():
                     self._coordinate(found)
                     self._looked.wait(LOOK_AT_SEAT_S)
-                case leader_lease.Held(seat=held, expires_in_s=left_s):
+                case leader_lease.HeldByOther(lease=held, expires_in_s=left_s):
                     if held.process:
                         self._take_seat(held)
                     pause = left_s + 0.05 * random.random()
-                    if not self._succession.is_quiet():
+                    if not self._failover.is_quiet():
                         pause = min(LOOK_AT_SEAT_S, pause)
                     self._looked.wait(pause)
                 case errors.Conflict():
@@ -374,14 +374,14 @@
             self._take_seat(found[0])
         gevent.sleep(LOOK_AT_SEAT_S / 2)
 
-    def _coordinate(self, taken: leader_lease.Tenure) -> None:
-        self._take_seat(taken.seat)
-        structured.decide(log, "seat_taken", epoch=taken.seat.epoch)
+    def _coordinate(self, taken: leader_lease.Acquired) -> None:
+        self._take_seat(taken.lease)
+        structured.decide(log, "seat_taken", epoch=taken.lease.epoch)
         self._clock = leader_lease.StoreClock()
-        self._clock.take(
-            taken.seat.expires_ms - leader_lease.LEASE_MS, time.monotonic()
+        self._clock.update(
+            taken.lease.expires_ms - leader_lease.LEASE_MS, time.monotonic()
         )
-        self._tenure = leadership.Tenure(
+        self._leadership = leadership.Leadership(
             self._store,
             self._client,
             self._directory,
@@ -389,16 +389,16 @@
             self._clock,
             self._approvals.ask,
             self._options.max_lease_ms,
-            self._succession.writes_fail,
+            self._failover.writes_fail,
             self._meters.count_round,
         )
         self._set_targets()
         self._announce()
         try:
-            self._tenure.run()
+            self._leadership.run()
         except Exception:
-            log.exception("epoch {}: the tenure ended", taken.seat.epoch)
+            log.exception("epoch {}: the tenure ended", taken.lease.epoch)
         finally:
-            self._tenure = None
+            self._leadership = None
             self._approvals.clear()
-            structured.decide(log, "seat_left", epoch=taken.seat.epoch)
+            structured.decide(log, "seat_left", epoch=taken.lease.epoch)
--- a/toucanspring/coordinator/state.py
+++ b/toucanspring/coordinator/state.py
@@ -8,7 +8,7 @@
 from toucanspring.coordinator import job_specs, ports, rows
 
 
-class Phase(enum.Enum):
+class TaskPhase(enum.Enum):
     """Say where a task stands; all but the first and last occupy a worker."""
 
     WAITING = "waiting"
@@ -19,7 +19,9 @@
     DONE = "done"
 
 
-OCCUPYING = frozenset({Phase.STARTING, Phase.IN_DOUBT, Phase.RUNNING, Phase.STOPPING})
+ALLOCATED_PHASES = frozenset(
+    {TaskPhase.STARTING, TaskPhase.IN_DOUBT, TaskPhase.RUNNING, TaskPhase.STOPPING}
+)
 
 
 class JobState(enum.Enum):
@@ -32,7 +34,7 @@
     CANCELLED = "cancelled"
 
 
-FINAL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+FINAL_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -40,23 +42,23 @@
     """Hold one task; times are monotonic seconds."""
 
     index: int
-    phase: Phase = Phase.WAITING
+    phase: TaskPhase = TaskPhase.WAITING
     run: int = 0
     failures: int = 0
     failed_run: int = 0  # the latest run that failed
     worker: str = ""
-    born: int = 0
+    incarnation: int = 0
     checkpoint: str = ""
     percent: int = 0
-    percent_at: float = 0.0
+    progressed_at: float = 0.0
     started_at: float = 0.0
     # When the worker last confirmed an order about the task; a later look that does
     # not list the task proves that it is gone. Infinite while that is not known.
-    settled_at: float = float("inf")
+    confirmed_at: float = float("inf")
     # Workers where it failed; it goes back to them once the others had their chance.
-    avoided: frozenset[str] = frozenset()
+    avoided_workers: frozenset[str] = frozenset()
     avoid_until: float = 0.0
-    preempted: int = 0
+    preemptions: int = 0
     resumed: bool = False  # this run began at a checkpoint
     sampled_at: float = 0.0  # progress as last taken for the speed of its worker
     sampled_percent: int = 0
@@ -77,16 +79,16 @@
     # Approval of workers: a known answer never changes, tickets expire.
     tickets: dict[str, ports.Ticket] = dataclasses.field(default_factory=dict)
     allowed: dict[str, bool] = dataclasses.field(default_factory=dict)
-    unasked: list = dataclasses.field(default_factory=list)
-    asking: bool = False
-    ask_again_at: float = 0.0
-    waits_for: str = ""  # the reason told last
-    blocked_at: int = -1  # capacity version at which no task found room
+    not_requested: list = dataclasses.field(default_factory=list)
+    approval_pending: bool = False
+    approval_retry_at: float = 0.0
+    wait_reason: str = ""  # the reason told last
+    blocked_version: int = -1  # capacity version at which no task found room
     # Workers that a gang waits for.
     reserved: frozenset[str] = frozenset()
     reserved_until: float = 0.0
     # Latest rate of a task on each worker, as part of its work a second.
-    rates: dict[str, float] = dataclasses.field(default_factory=dict)
+    task_rates: dict[str, float] = dataclasses.field(default_factory=dict)
 
     @property
     def id(self) -> str:
@@ -103,19 +105,19 @@
     """Hold an accepted job and its steps, by occurrence and number."""
 
     spec: job_specs.Job
-    learned_at: float
+    accepted_at: float
     steps: dict[tuple[int, int], StepRun] = dataclasses.field(default_factory=dict)
     state: JobState = JobState.QUEUED
-    shown: JobState = JobState.QUEUED  # what is durable
+    durable_state: JobState = JobState.QUEUED  # what is durable
     due_at: float = 0.0  # when an answer in time must be there
     ended_at: float = 0.0
-    beyond_rate: bool = False  # its organisation sent more than its share of jobs
-    copied: bool = False  # the coordinator's part holds a copy of the job
+    over_rate: bool = False  # its organisation sent more than its share of jobs
+    has_copy: bool = False  # the coordinator's part holds a copy of the job
 
     @property
     def is_final(self) -> bool:
         """Return whether the job has ended."""
-        return self.state in FINAL
+        return self.state in FINAL_STATES
 
 
 def parse_task_id(text: str) -> job_specs.TaskId | None:
@@ -126,7 +128,7 @@
     return job_specs.TaskId(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
 
 
-def new_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
+def add_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
     """Add a step whose tasks all wait."""
     step = record.spec.steps[number]
     run = StepRun(
@@ -155,10 +157,10 @@
                 task.index,
                 task.run,
                 task.failures,
-                task.worker if task.phase in OCCUPYING else "",
-                task.born if task.phase in OCCUPYING else 0,
+                task.worker if task.phase in ALLOCATED_PHASES else "",
+                task.incarnation if task.phase in ALLOCATED_PHASES else 0,
                 task.checkpoint,
-                task.phase is Phase.DONE,
+                task.phase is TaskPhase.DONE,
                 task.failed_run,
             )
             for task in run.tasks
@@ -170,16 +172,16 @@
 
 def restore(record: JobRecord, progress: rows.Progress, now: float) -> list[Task]:
     """Take in the durable state; return the tasks that may be running."""
-    record.state = record.shown = JobState(progress.state)
-    record.copied = True
+    record.state = record.durable_state = JobState(progress.state)
+    record.has_copy = True
     uncertain = []
     for row in progress.steps:
         run = record.steps.get((row.occurrence, row.step))
         if run is None:
-            run = new_step(record, row.occurrence, row.step, now)
+            run = add_step(record, row.occurrence, row.step, now)
         if row.complete:
             for task in run.tasks:
-                task.phase = Phase.DONE
+                task.phase = TaskPhase.DONE
             run.waiting.clear()
             run.unfinished = 0
             continue
@@ -189,13 +191,13 @@
             task.failed_run = saved.failed_run
             task.checkpoint = saved.checkpoint
             if saved.done:
-                task.phase = Phase.DONE
+                task.phase = TaskPhase.DONE
                 run.waiting.discard(task.index)
                 run.unfinished -= 1
             elif saved.worker:
-                task.phase = Phase.IN_DOUBT
-                task.worker, task.born = saved.worker, saved.born
-                task.settled_at = 0.0  # the new epoch bars all earlier orders
+                task.phase = TaskPhase.IN_DOUBT
+                task.worker, task.incarnation = saved.worker, saved.incarnation
+                task.confirmed_at = 0.0  # the new epoch bars all earlier orders
                 run.waiting.discard(task.index)
                 uncertain.append(task)
     return uncertain
