--- a/toucanspring/coordinator/table_cache.py
+++ b/toucanspring/coordinator/table_cache.py
@@ -16,27 +16,27 @@
 log = logbook.Logger(__name__)
 
 # A feed without changes is asked again this often, which bounds the age of the copy.
-WAIT_S = 0.8
-PARTS_AT_ONCE = 8
+FOLLOW_TIMEOUT_S = 0.8
+MAX_PARALLEL_READS = 8
 RETRY_FIRST_S = 0.05
 RETRY_MAX_S = 0.4
 
-Listener = Callable[[ports.Row], None]
+RowCallback = Callable[[ports.Row], None]
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class TableSnapshot:
     """Hold the rows of a table; changes after `version` may be missing.
 
-    `unread` maps the parts that could not be read to the reason.
+    `unread_parts` maps the parts that could not be read to the reason.
     """
 
-    rows: dict[ports.Place, ports.Row]
+    rows: dict[ports.RowId, ports.Row]
     version: int
-    unread: dict[str, errors.Failure]
+    unread_parts: dict[str, errors.Failure]
 
 
-def read_table(store: ports.Store, table: str) -> Reading | errors.Failure:
+def read_table(store: ports.Store, table: str) -> TableSnapshot | errors.Failure:
     """Return the rows of all parts of a table that can be read."""
     parts = store.parts(table)
     if isinstance(parts, errors.Failure):
@@ -47,24 +47,24 @@
 
 def read_parts(
     store: ports.Store, table: str, parts: Iterable[str]
-) -> Reading | errors.Failure:
+) -> TableSnapshot | errors.Failure:
     """Return the rows of some parts; a failure if none can be read."""
-    found: dict[ports.Place, ports.Row] = {}
+    found: dict[ports.RowId, ports.Row] = {}
     versions: list[int] = []
-    unread: dict[str, errors.Failure] = {}
+    unread_parts: dict[str, errors.Failure] = {}
     wanted = list(parts)
-    readers = pool.Pool(PARTS_AT_ONCE)
+    readers = pool.Pool(MAX_PARALLEL_READS)
     answers = readers.imap(lambda part: _read_part(store, table, part), wanted)
     for part, read in zip(wanted, answers, strict=True):
         if isinstance(read, errors.Failure):
-            unread[part] = read
+            unread_parts[part] = read
             continue
         rows, version = read
-        found.update((row.place, row) for row in rows)
+        found.update((row.id, row) for row in rows)
         versions.append(version)
     if not versions:
-        return next(iter(unread.values()))
-    return Reading(found, min(versions), unread)
+        return next(iter(unread_parts.values()))
+    return TableSnapshot(found, min(versions), unread_parts)
 
 
 def _read_part(
@@ -80,10 +80,10 @@
         oldest = page.at.version if oldest is None else oldest
         if not page.has_more:
             return rows, oldest
-        start = page.rows[-1].place.key + "\0"
+        start = page.rows[-1].id.key + "\0"
 
 
-class Feed:
+class TableCache:
     """Own the copy of one table; `changed(row)` is called for each change.
 
     `wait_s` is the longest wait of one call for a change. `pause_s` after each call
@@ -94,27 +94,29 @@
         self,
         store: ports.Store,
         table: str,
-        changed: Listener,
+        on_change: RowCallback,
         clock: Callable[[], float] = time.monotonic,
-        wait_s: float = WAIT_S,
+        wait_s: float = FOLLOW_TIMEOUT_S,
         pause_s: float = 0.0,
     ) -> None:
-        self.rows: dict[ports.Place, ports.Row] = {}
+        self.rows: dict[ports.RowId, ports.Row] = {}
         # The copy holds everything that was in the store at this (monotonic) time.
-        self.complete_at = float("-inf")
+        self.synced_at = float("-inf")
         self._store = store
         self._table = table
-        self._changed = changed
+        self._on_change = on_change
         self._clock = clock
         self._wait_s = wait_s
         self._pause_s = pause_s
-        self.unread: frozenset[str] = frozenset()  # parts that could not be read yet
+        self.unread_parts: frozenset[str] = (
+            frozenset()
+        )  # parts that could not be read yet
         self._version: int | None = None
         self._greenlet: gevent.Greenlet | None = None
         self._reader: gevent.Greenlet | None = None
-        self._lost = False
+        self._failing = False
 
-    def __enter__(self) -> Feed:
+    def __enter__(self) -> TableCache:
         self._greenlet = gevent.spawn(self._run)
         return self
 
@@ -131,24 +133,24 @@
 
     def age(self, now: float) -> float:
         """Return for how many seconds changes may have been missed."""
-        return now - self.complete_at
+        return now - self.synced_at
 
-    def step(self) -> None | errors.Failure:
+    def poll(self) -> None | errors.Failure:
         """Read the table, or wait for its next changes."""
         sent = self._clock()
         if self._version is None:
             read = read_table(self._store, self._table)
             if isinstance(read, errors.Failure):
                 return read
-            self._replace(read.rows, read.unread)
+            self._apply_snapshot(read.rows, read.unread_parts)
             self._version = read.version
-            self.unread = frozenset(read.unread)
+            self.unread_parts = frozenset(read.unread_parts)
         else:
             answer = self._store.follow(self._table, self._version, self._wait_s)
             match answer:
                 case ports.Changes(rows=rows, at=at):
                     for row in rows:
-                        self._take(row)
+                        self._apply(row)
                     self._version = max(self._version, at.version)
                     if not rows and self._clock() - sent >= self._wait_s:
                         # The store found nothing until its wait was over.
@@ -159,65 +161,65 @@
                     return None
                 case errors.Failure():
                     return answer
-        if not self.unread:
-            self.complete_at = sent
+        if not self.unread_parts:
+            self.synced_at = sent
         elif self._reader is None or self._reader.ready():
-            self._reader = gevent.spawn(self._read_rest)
+            self._reader = gevent.spawn(self._read_missing_parts)
         return None
 
-    def _read_rest(self) -> None:
+    def _read_missing_parts(self) -> None:
         """Read the parts that could not be read before; changes of them do arrive."""
         gevent.sleep(RETRY_MAX_S)
-        read = read_parts(self._store, self._table, self.unread)
+        read = read_parts(self._store, self._table, self.unread_parts)
         if isinstance(read, errors.Failure):
             return
         for row in read.rows.values():
-            known = self.rows.get(row.place)
+            known = self.rows.get(row.id)
             if known is None or known.version < row.version:
-                self._take(row)
-        self.unread = frozenset(read.unread)
+                self._apply(row)
+        self.unread_parts = frozenset(read.unread_parts)
 
     def _run(self) -> None:
         pause = RETRY_FIRST_S
         while True:
             try:
-                failure = self.step()
+                failure = self.poll()
             except Exception:
                 log.exception("table {}", self._table)
                 failure = errors.Unknown(reason="internal error")
             if failure is None:
-                if self._lost:
+                if self._failing:
                     log.info("table {}: followed again", self._table)
-                self._lost, pause = False, RETRY_FIRST_S
+                self._failing, pause = False, RETRY_FIRST_S
                 gevent.sleep(self._pause_s)
                 continue
-            if not self._lost:
+            if not self._failing:
                 log.warning("table {}: not followed: {}", self._table, failure)
-            self._lost = True
+            self._failing = True
             gevent.sleep(pause)
             pause = min(RETRY_MAX_S, pause * 2)
 
-    def _replace(
-        self, rows: dict[ports.Place, ports.Row], unread: Container[str]
+    def _apply_snapshot(
+        self, rows: dict[ports.RowId, ports.Row], unread_parts: Container[str]
     ) -> None:
         gone = [
             place
             for place in self.rows
-            if place not in rows and place.part not in unread
+            if place not in rows and place.part not in unread_parts
         ]
         for place in gone:
-            self._take(ports.Row(place, b"", 0))
+            self._apply(ports.Row(place, b"", 0))
         for row in rows.values():
-            known = self.rows.get(row.place)
+            known = self.rows.get(row.id)
             if known is None or known.version != row.version:
-                self._take(row)
+                self._apply(row)
 
-    def _take(self, row: ports.Row) -> None:
+    def _apply(self, row: ports.Row) -> None:
         if row.version:
-            self.rows[row.place] = row
+            self.rows[row.id] = row
         else:
-            self.rows.pop(row.place, None)
+            self.rows.pop(row.id, None)
         try:
-            self._changed(row)
+            self._on_change(row)
         except Exception:
-            log.exception("table {}: row {}", self._table, row.place.key)
+            log.exception("table {}: row {}", self._table, row.id.key)
