--- a/toucanspring/coordinator/__init__.py
+++ b/toucanspring/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of dependent steps, scheduled by one elected process over a table service."""
+"""Scheduler for jobs of dependent steps, run by one elected leader process."""
--- a/toucanspring/coordinator/catalogue.py
+++ b/toucanspring/coordinator/catalogue.py
@@ -1,4 +1,4 @@
-"""What operators have configured: queues, organisations, zones out of service."""
+"""Configuration of queues and organisations."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Approval:
-    """Describe a queue whose placements an approval service must allow.
+    """Settings of a queue whose placements need approval by the approval service.
 
-    `decision_s` and `per_worker_s` give the time of one question, `validity_s` how
-    long a ticket lasts.
+    A request is expected to take `decision_s` plus `per_worker_s` for each worker. A
+    ticket is valid for `validity_s`.
     """
 
     decision_s: float
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Queue:
-    """Describe where jobs enter and which pool of workers runs them."""
+    """A queue: its HTTP route, its pool of workers and its deadline targets."""
 
     name: str
     host: str
@@ -32,13 +32,13 @@
     max_attempts: int = 1
     stretch: float = 1.0
     target_s: float = 1.0
-    open: bool = False  # accepts calls without a key
+    open: bool = False  # accepts requests without an API key
     approval: Approval | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Organisation:
-    """Describe a team's share of a full cell and its ceiling (0: no limit)."""
+    """An organisation with its fair-share weight and ceiling (0: no limit)."""
 
     name: str
     keys: frozenset[str]
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Catalogue:
-    """Hold one version of the configuration."""
+    """One version of the configuration."""
 
     version: int = 0
     queues: tuple[Queue, ...] = ()
@@ -62,11 +62,11 @@
             self._by_key.update(dict.fromkeys(organisation.keys, organisation.name))
 
     def queue(self, name: str) -> Queue | None:
-        """Return the queue with a name."""
+        """Return the queue with a name, or None."""
         return self._by_name.get(name)
 
     def route(self, host: str, path: str) -> Queue | errors.NotFound:
-        """Return the queue with the longest prefix of a path on a host."""
+        """Return the queue of a host with the longest matching path prefix."""
         best: Queue | None = None
         for queue in self.queues:
             if (
@@ -78,7 +78,7 @@
         return best or errors.NotFound(reason=f"no queue for {host}{path}")
 
     def organisation_of(self, key: str, queue: Queue) -> str | errors.Forbidden:
-        """Return whose key was presented; an open queue needs none."""
+        """Return the organisation of an API key, or "" if an open queue needs none."""
         found = self._by_key.get(key)
         if found is not None:
             return found
--- a/toucanspring/coordinator/cell_state.py
+++ b/toucanspring/coordinator/cell_state.py
@@ -1,7 +1,7 @@
-"""State machine of all jobs of the cell: what is accepted, runs, has ended.
+"""State machine of all jobs and workers of the cell.
 
-It does no I/O. Changed jobs are collected in `dirty` and orders to stop tasks in
-`stops`; the coordinator makes the former durable and sends the latter.
+It performs no I/O. Changed jobs are collected in `dirty`, to be written by the
+coordinator, and orders to stop tasks in `stops`, to be sent by it.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 log = logbook.Logger(__name__)
 
-# A task does not go back to a worker where it failed for this long, so that others
-# may take it; with few attempts each one should be elsewhere.
+# A task is not placed again on a worker where it failed for this long. Jobs have few
+# attempts, so each should be made on another worker.
 FAILED_WORKER_AVOIDANCE_S = 2.0
-ENDED_JOB_RETENTION_S = 150.0  # callers may ask for 120 s
+ENDED_JOB_RETENTION_S = 150.0  # callers may query a job for 120 s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Order a worker to stop a run."""
+    """Order to a worker to stop a run."""
 
     worker: str
     task: str
@@ -41,7 +41,7 @@
 
 
 class CellState:
-    """Own the jobs and workers of the cell as one coordinator knows them."""
+    """Jobs and workers of the cell; owned by the elected coordinator."""
 
     def __init__(self) -> None:
         self.catalogue = catalogue.Catalogue()
@@ -61,7 +61,7 @@
     # Jobs
 
     def accept(self, spec: job_specs.Job, now: float, age_s: float = 0.0) -> None:
-        """Take in an accepted job; a known one is left alone."""
+        """Add an accepted job, unless it is known already."""
         if spec.id in self.jobs:
             return
         record = self._add(spec, now, age_s)
@@ -74,7 +74,7 @@
         now: float,
         age_s: float,
     ) -> None:
-        """Take in a job with its durable progress, after a takeover."""
+        """Add a job with its stored progress after a failover."""
         record = self._add(spec, now, age_s)
         if progress is not None:
             state.restore(record, progress, now)
@@ -105,7 +105,7 @@
         return record
 
     def open_steps(self, record: state.JobRecord, now: float) -> None:
-        """Make the steps ready whose predecessors are done."""
+        """Open the steps whose predecessors are done."""
         for occurrence in range(max(1, record.spec.repeats)):
             for number, step in enumerate(record.spec.steps):
                 if (occurrence, number) in record.steps:
@@ -114,7 +114,7 @@
                     self.enqueue(state.add_step(record, occurrence, number, now))
 
     def open_due_occurrences(self, unix_ms: int, now: float) -> None:
-        """Open the steps of occurrences whose time has come."""
+        """Open the first steps of the occurrences that are due."""
         for record in self.jobs.values():
             if record.spec.repeats and not record.is_final:
                 due = (unix_ms - record.spec.first_at_ms) // max(
@@ -131,9 +131,9 @@
     def may_open(
         self, record: state.JobRecord, occurrence: int, step: job_specs.Step
     ) -> bool:
-        """Return whether all steps before a step are done."""
+        """Return whether all predecessors of a step are done."""
         if record.spec.repeats and not step.after:
-            return False  # waits for its time
+            return False  # opened by `open_due_occurrences`
         return all(
             (found := record.steps.get((occurrence, before))) is not None
             and found.unfinished == 0
@@ -141,13 +141,13 @@
         )
 
     def enqueue(self, run: state.StepRun) -> None:
-        """Offer a step with waiting tasks to the planner."""
+        """Queue a step that has waiting tasks for planning."""
         if run.waiting:
             run.blocked_version = -1
             self.ready[run.id] = run
 
     def cancel(self, job_id: str, now: float) -> state.JobRecord | None:
-        """End a job at its caller's wish; one that has ended stays as it is."""
+        """Cancel a job, unless it has ended; return its record if it is known."""
         record = self.jobs.get(job_id)
         if record is not None and not record.is_final:
             self.finish(record, state.JobState.CANCELLED, now)
@@ -156,7 +156,7 @@
     def finish(
         self, record: state.JobRecord, outcome: state.JobState, now: float
     ) -> None:
-        """Set the outcome of a job and stop what still runs of it."""
+        """Set the outcome of a job and stop its running tasks."""
         record.state = outcome
         record.ended_at = now
         self.dirty[record.spec.id] = record
@@ -176,14 +176,14 @@
                 self.stop(run, task)
 
     def stop(self, run: state.StepRun, task: state.Task) -> None:
-        """Order a running task to stop."""
+        """Queue an order to stop a task, if it is or may be running."""
         if task.phase in (state.TaskPhase.RUNNING, state.TaskPhase.IN_DOUBT):
             task.phase = state.TaskPhase.STOPPING
             task.confirmed_at = float("inf")
             self.stops.append(Stop(task.worker, run.task_id(task.index), task.run))
 
     def find_expired_jobs(self, now: float) -> list[str]:
-        """Return the jobs that ended so long ago that they may be removed."""
+        """Return the IDs of ended jobs whose retention time is over."""
         return [
             job_id
             for job_id, record in self.jobs.items()
@@ -195,7 +195,7 @@
     # Workers
 
     def register_worker(self, entry: ports.WorkerEntry) -> workers.Worker:
-        """Take in what a worker has registered."""
+        """Add or update a worker from its directory entry."""
         worker = self.workers.get(entry.id)
         if worker is None:
             worker = self.workers[entry.id] = workers.Worker(entry)
@@ -207,7 +207,7 @@
         return worker
 
     def _reattach_tasks(self, worker: workers.Worker) -> None:
-        """Let a worker hold the tasks that restored intents name."""
+        """Allocate restored tasks to their worker, which has just been added."""
         for record in self.jobs.values():
             for run in record.steps.values():
                 for task in run.tasks:
@@ -218,7 +218,7 @@
                         self._add_allocation(worker, run, task)
 
     def add_unregistered_worker(self, worker_id: str) -> workers.Worker:
-        """Return a worker that intents name but that is not registered."""
+        """Add a worker that restored tasks refer to but that is not registered."""
         entry = ports.WorkerEntry(
             id=worker_id, pool="", address="", zone="", rack="",
             labels=frozenset(), capacity=resources.ZERO,
@@ -227,14 +227,14 @@
         return worker
 
     def mark_unregistered(self, worker_id: str) -> None:
-        """Take note that a worker's entry is gone; it may still run tasks."""
+        """Mark a worker whose entry is gone; it may still run tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.registered = False
             self._pools.clear()
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker that holds nothing."""
+        """Remove a worker that has no allocations."""
         self.workers.pop(worker_id, None)
         self._pools.clear()
 
@@ -264,7 +264,7 @@
         self.used[owner] = self.used[owner] + run.step.demand
 
     def release(self, run: state.StepRun, task: state.Task) -> None:
-        """Take a task off its worker, which certainly does not run it any more."""
+        """Free the resources of a task that certainly no longer runs."""
         worker = self.workers.get(task.worker)
         name = run.task_id(task.index)
         if worker is not None and worker.allocations.pop(name, None) is not None:
@@ -279,7 +279,7 @@
     def allocate(
         self, run: state.StepRun, task: state.Task, worker: workers.Worker, number: int
     ) -> None:
-        """Take room for a run that is about to be ordered."""
+        """Allocate resources for a run before it is ordered."""
         task.phase = state.TaskPhase.STARTING
         task.run = number
         task.worker, task.incarnation = worker.id, worker.incarnation
@@ -298,7 +298,7 @@
     def confirm_start(
         self, run: state.StepRun, task: state.Task, number: int, now: float
     ) -> None:
-        """Take note that a worker has confirmed a start."""
+        """Mark a run as running once its worker has confirmed the start."""
         if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
         task.phase = state.TaskPhase.RUNNING
@@ -316,7 +316,7 @@
     def cancel_start(
         self, run: state.StepRun, task: state.Task, number: int, now: float
     ) -> None:
-        """Take note that an order to start certainly had and will have no effect."""
+        """Requeue a task whose start order certainly has no effect."""
         if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
         self.requeue(run, task, now)
@@ -324,23 +324,23 @@
     def mark_start_ambiguous(
         self, run: state.StepRun, task: state.Task, number: int
     ) -> None:
-        """Take note that a run may or may not have started: it is stopped."""
+        """Stop a run that may or may not have started."""
         if task.run != number or task.phase is not state.TaskPhase.STARTING:
             return
         task.phase = state.TaskPhase.IN_DOUBT
         self.stop(run, task)
 
     def confirm_stop(self, worker_id: str, task_id: str, run: int, now: float) -> None:
-        """Take note of a confirmed stop: the run ends or never starts."""
+        """Record a confirmed stop; the run ends or never starts."""
         worker = self.workers.get(worker_id)
         allocation = worker.allocations.get(task_id) if worker is not None else None
         if allocation is not None and allocation.task.run == run:
             allocation.task.confirmed_at = min(allocation.task.confirmed_at, now)
 
-    # Returns to the queue
+    # Requeueing
 
     def return_to_queue(self, run: state.StepRun, task: state.Task, now: float) -> None:
-        """Let a task that occupies no worker wait again, with all of its gang."""
+        """Set an unallocated task to waiting and stop the other members of its gang."""
         task.phase = state.TaskPhase.WAITING
         task.started_at = task.progressed_at = 0.0
         run.waiting.add(task.index)
@@ -353,14 +353,14 @@
         self.enqueue(run)
 
     def requeue(self, run: state.StepRun, task: state.Task, now: float) -> None:
-        """Take a task off its worker and let it wait again."""
+        """Free the resources of a task and set it to waiting."""
         if task.phase in state.ALLOCATED_PHASES:
             self.release(run, task)
         self.return_to_queue(run, task, now)
         self.dirty[run.job.spec.id] = run.job
 
     def pending(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return how many jobs of a queue have not started, recurring jobs excluded."""
         return sum(
             record.spec.queue == queue
             and record.state is state.JobState.QUEUED
--- a/toucanspring/coordinator/dispatch.py
+++ b/toucanspring/coordinator/dispatch.py
@@ -1,4 +1,4 @@
-"""Orders to workers: a loop for each that renews its lease, and starts and stops."""
+"""Dispatch of orders to workers: polls that renew leases, starts and stops."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 
 log = logbook.Logger(__name__)
 
-# Above the time after which a task without progress counts as stuck, so that the second
-# of two looks tells.
+# Exceeds the time without progress after which a task is stuck, so that two successive
+# polls detect it.
 POLL_WAIT_MS = 1400
 POLL_RETRY_S = 0.15
-# A worker that answers no look for this long gets no new tasks.
+# A worker that replies to no poll for this long gets no new tasks.
 UNRESPONSIVE_AFTER_S = 0.8
 MAX_START_ATTEMPTS = 3
 STOP_RETRY_S = 0.25
-MAX_CONCURRENT_ORDERS = 400  # under way at once
-# A worker that no look watches for this long may begin another life unnoticed.
+MAX_CONCURRENT_ORDERS = 400
+# A worker may restart unnoticed if it is not polled for this long.
 MAX_POLL_GAP_S = 0.2
-DURABLE_WAIT_S = 1.0  # how long ends wait for the store before the lease is renewed
-# Within this time after the lease of the seat, leases of workers are still renewed,
-# since an outage of the store is then likelier than another coordinator.
+DURABLE_WAIT_S = 1.0  # limit of a wait for the store before the next lease renewal
+# Worker leases are renewed for this long after the leader lease has expired, since an
+# outage of the store is more likely then than another coordinator.
 STORE_OUTAGE_GRACE_S = 6.0
 
 
 class Leader(Protocol):
-    """What the orders need of the coordinator that gives them."""
+    """The coordinator on whose behalf orders are sent."""
 
     cell: cell_state.CellState
     epoch: int
 
     def may_renew(self, now: float) -> bool:
-        """Return whether leases of workers may be renewed."""
+        """Return whether worker leases may be renewed."""
 
-    def note(self, worker: workers.Worker, last_end: int) -> None:
-        """Forget ends at the worker once the next write is durable."""
+    def acknowledge_ends(self, worker: workers.Worker, last_end: int) -> None:
+        """Acknowledge ends to the worker once the next write is durable."""
 
-    def superseded(self, reason: str) -> None:
-        """End the tenure, since a worker has seen a higher epoch."""
+    def step_down(self, reason: str) -> None:
+        """Stop coordinating, since a worker has seen a higher epoch."""
 
     def wake(self) -> None:
-        """Plan again soon."""
+        """Start a planning round soon."""
 
 
 class Dispatcher:
-    """Own the orders under way and the loops of all workers."""
+    """Orders in flight and a polling loop for each worker."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._max_lease_ms = max_lease_ms
         self._clock = clock
         self._loops: dict[str, gevent.Greenlet] = {}
-        self._noted: dict[str, event.Event] = {}
+        self._acknowledged: dict[str, event.Event] = {}
         self._orders = pool.Pool(MAX_CONCURRENT_ORDERS)
 
     def __enter__(self) -> Dispatcher:
@@ -79,18 +79,18 @@
         self._loops.clear()
 
     def watch(self, worker: workers.Worker) -> None:
-        """Look at a worker until it is lost and no longer registered."""
+        """Poll a worker until its lease has expired and it is unregistered."""
         if worker.id not in self._loops:
-            self._noted[worker.id] = event.Event()
+            self._acknowledged[worker.id] = event.Event()
             self._loops[worker.id] = gevent.spawn(self._run, worker)
 
-    def noted(self, worker: workers.Worker) -> None:
-        """Let a worker forget the ends that have become durable."""
-        signal = self._noted.get(worker.id)
+    def notify_acknowledged(self, worker: workers.Worker) -> None:
+        """End the wait of a worker's loop for the ends to become durable."""
+        signal = self._acknowledged.get(worker.id)
         if signal is not None:
             signal.set()
 
-    # Looks
+    # Polling
 
     def _run(self, worker: workers.Worker) -> None:
         answered_at = self._clock()
@@ -100,7 +100,7 @@
                 gevent.sleep(POLL_RETRY_S)
                 continue
             if not worker.entry.address:
-                # Known from an intent only; it may register late.
+                # Known from restored tasks only; it may register later.
                 if self._expire_lease(worker, now):
                     return
                 gevent.sleep(POLL_RETRY_S)
@@ -117,7 +117,7 @@
             gevent.sleep(POLL_RETRY_S)
 
     def _expire_lease(self, worker: workers.Worker, now: float) -> bool:
-        """Give up the tasks of a worker whose lease is over; return whether it left."""
+        """Requeue tasks if the lease has expired; return whether the worker left."""
         if now > worker.lease_expires_at:
             if worker.allocations or worker.unknown_tasks:
                 reports.mark_lost(self._leader.cell, worker, now)
@@ -131,17 +131,18 @@
 
     def _poll(self, worker: workers.Worker) -> bool:
         sent = self._clock()
-        until = None
-        # A look that is not answered may still arrive: without a lease in it, the work
-        # of a worker that is gone is given up in time.
+        lease_until_ms = None
+        # A poll without a reply may still arrive and extend the lease. Further polls
+        # carry no lease, so that the tasks of a lost worker are requeued in time.
         if worker.clock_ms and not worker.may_have_restarted:
-            until = worker.estimate_clock(sent) + self._max_lease_ms
-            worker.extend_lease(until, sent)
+            lease_until_ms = worker.estimate_clock(sent) + self._max_lease_ms
+            worker.extend_lease(lease_until_ms, sent)
         wait_ms = POLL_WAIT_MS if worker.confirmed and worker.responsive else 0
-        # Another life counts its ends anew: it would forget some that nobody has read.
+        # A new incarnation counts ends from 1, so acknowledging an old number would
+        # drop ends that were never read.
         acked_end = 0 if worker.may_have_restarted else worker.acked_end
         answer = self._client.poll(
-            worker.entry, self._leader.epoch, acked_end, until, wait_ms
+            worker.entry, self._leader.epoch, acked_end, lease_until_ms, wait_ms
         )
         now = self._clock()
         worker.may_have_restarted = not isinstance(answer, ports.PollReply)
@@ -150,22 +151,22 @@
                 self._apply_reply(worker, answer, sent, now)
                 return True
             case ports.OrderRefused(reason=ports.FENCED):
-                self._leader.superseded(f"worker {worker.id} has seen a higher epoch")
+                self._leader.step_down(f"worker {worker.id} has seen a higher epoch")
             case ports.OrderRefused(reason=ports.OTHER_INCARNATION):
-                log.info("worker {} has another life than registered", worker.id)
+                log.info("worker {} is not the registered incarnation", worker.id)
         return False
 
     def _apply_reply(
-        self, worker: workers.Worker, look: ports.PollReply, sent: float, now: float
+        self, worker: workers.Worker, reply: ports.PollReply, sent: float, now: float
     ) -> None:
         cell = self._leader.cell
-        last = max((end.number for end in look.ended), default=worker.acked_end)
-        fresh = last > worker.acked_end
-        restarted = look.incarnation != worker.incarnation
-        touched = reports.apply_poll_reply(cell, worker, look, sent, now)
+        last = max((end.number for end in reply.ended), default=worker.acked_end)
+        has_new_ends = last > worker.acked_end
+        restarted = reply.incarnation != worker.incarnation
+        changed_jobs = reports.apply_poll_reply(cell, worker, reply, sent, now)
         if restarted:
-            last = max((end.number for end in look.ended), default=0)
-            fresh = last > 0
+            last = max((end.number for end in reply.ended), default=0)
+            has_new_ends = last > 0
         for allocation in reports.find_stuck(worker, now):
             structured.decide(
                 log,
@@ -176,13 +177,13 @@
             )
             worker.backoff_until = now + workers.MIN_QUARANTINE_S
             cell.stop(allocation.step, allocation.task)
-        if touched or fresh or cell.stops:
+        if changed_jobs or has_new_ends or cell.stops:
             self._leader.wake()
-        if fresh:
-            signal = self._noted[worker.id]
+        if has_new_ends:
+            signal = self._acknowledged[worker.id]
             signal.clear()
-            self._leader.note(worker, last)
-            # A look before the ends are durable would only return them again.
+            self._leader.acknowledge_ends(worker, last)
+            # A poll before the ends are durable would only return them again.
             signal.wait(DURABLE_WAIT_S)
             if self._clock() - now > MAX_POLL_GAP_S:
                 worker.may_have_restarted = True
@@ -190,7 +191,7 @@
     # Starts and stops
 
     def start(self, start: plans.Start) -> None:
-        """Order a run whose intent is durable."""
+        """Send a start order whose intent is durable."""
         self._orders.spawn(self._start, start)
 
     def _start(self, start: plans.Start) -> None:
@@ -202,16 +203,16 @@
         for attempt in range(MAX_START_ATTEMPTS):
             sent = self._clock()
             if not self._leader.may_renew(sent):
-                return  # a successor counts on this
-            until = worker.estimate_clock(sent) + self._max_lease_ms
-            worker.extend_lease(until, sent)
+                return  # a successor relies on no lease being renewed
+            lease_until_ms = worker.estimate_clock(sent) + self._max_lease_ms
+            worker.extend_lease(lease_until_ms, sent)
             answer = self._client.start(
                 worker.entry,
                 ports.Start(
                     task=task_id,
                     run=start.run,
                     payload=run.job.spec.payload,
-                    lease_until_ms=until,
+                    lease_until_ms=lease_until_ms,
                     epoch=self._leader.epoch,
                     checkpoint=start.task.checkpoint,
                     ticket=start.ticket,
@@ -226,12 +227,12 @@
                     return
                 case errors.Ambiguous() if attempt + 1 < MAX_START_ATTEMPTS:
                     worker.may_have_restarted = True
-                    continue  # a repeat of the same run changes nothing
+                    continue  # starting the same run again is idempotent
                 case errors.Ambiguous():
                     worker.backoff_until = now + workers.BACKOFF_S
                     cell.mark_start_ambiguous(run, start.task, start.run)
                 case ports.OrderRefused(reason=reason):
-                    self._refused(start, reason, attempt > 0, now)
+                    self._handle_refusal(start, reason, attempt > 0, now)
                 case _ if attempt > 0:
                     cell.mark_start_ambiguous(run, start.task, start.run)
                 case _:
@@ -244,12 +245,12 @@
             self._leader.wake()
             return
 
-    def _refused(
+    def _handle_refusal(
         self, start: plans.Start, reason: str, repeated: bool, now: float
     ) -> None:
         cell, worker, run = self._leader.cell, start.worker, start.step
         if reason == ports.FENCED:
-            self._leader.superseded(f"worker {worker.id} has seen a higher epoch")
+            self._leader.step_down(f"worker {worker.id} has seen a higher epoch")
             return
         if reason == ports.NO_TICKET:
             run.tickets.pop(worker.id, None)
@@ -259,13 +260,13 @@
             start.task.avoided_workers = start.task.avoided_workers | {worker.id}
             start.task.avoid_until = now + cell_state.FAILED_WORKER_AVOIDANCE_S
         if repeated or reason == ports.OLD_RUN:
-            # The first order may have been carried out, or its run has ended.
+            # The first order may have taken effect, and its run may have ended.
             cell.mark_start_ambiguous(run, start.task, start.run)
         else:
             cell.cancel_start(run, start.task, start.run, now)
 
     def stop(self, order: cell_state.Stop) -> None:
-        """Order a stop, and repeat it until it is confirmed or without object."""
+        """Send a stop order until it is confirmed or the run is gone."""
         self._orders.spawn(self._stop, order)
 
     def _stop(self, order: cell_state.Stop) -> None:
@@ -290,7 +291,7 @@
                     )
                     return
                 case ports.OrderRefused(reason=ports.FENCED):
-                    self._leader.superseded(f"worker {worker.id} refused a stop")
+                    self._leader.step_down(f"worker {worker.id} refused a stop")
                     return
                 case ports.OrderRefused(reason=ports.OLD_RUN | ports.OTHER_INCARNATION):
                     self._leader.cell.confirm_stop(
--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs start whole; a blocked one keeps and clears the room that it needs."""
+"""Gang scheduling: all or nothing, with reservation and preemption."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     workers,
 )
 
-# A blocked gang keeps other work off the workers that it needs after this time, and
-# stops less urgent work there after that one, if the work does not end by itself.
+# A blocked gang reserves workers after the first time, and preempts tasks of lower
+# priority on them after the second, if these have not ended by then.
 RESERVE_AFTER_S = 0.2
 PREEMPT_AFTER_S = 1.5
-# Work is stopped only for a gang that would be late otherwise, with so much to spare.
+# A gang preempts only if its slack to the deadline is positive and below this.
 MAX_PREEMPTING_SLACK_S = 4.0
-# Each stop costs up to a second of a task's room.
+# For each task; a preemption costs up to a second of the task's allocation.
 MAX_PREEMPTIONS = 2
-# It keeps to the workers that it chose for this long.
+# A gang keeps its reserved workers for this long.
 RESERVATION_S = 3.0
 MAX_RESERVING_GANGS = 3
-# Work of a preempted task that has no checkpoint is lost; tasks further than this
-# are left alone.
+# A preempted task without checkpoints loses its work; tasks that have run for longer
+# than this are not preempted.
 MAX_LOST_WORK_S = 0.5
 
 
 class PlannerInterface(Protocol):
-    """What the planner does for single tasks and gangs alike."""
+    """Methods of the planner that single tasks and gangs share."""
 
     def request_approval(
         self,
@@ -41,31 +41,31 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers, unless a question is open."""
+        """Request approval of workers, unless a request is pending or must wait."""
 
     def ticket(
         self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
-        """Return a valid ticket; empty if none is needed, None if there is none."""
+        """Return a valid ticket, "" if none is needed, or None if there is none."""
 
     def start(
         self,
         run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
-        number: int,
+        run_number: int,
         queue: catalogue.Queue,
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Book a run."""
+        """Allocate resources for a run and add its start to the plan."""
 
     def not_requested_with_room(self, run: state.StepRun) -> list[str]:
-        """Return workers with room that the approval service was not asked about."""
+        """Return workers with free capacity that no approval was requested for."""
 
 
 class Gangs:
-    """Plan the gangs of one book."""
+    """Planner for the gangs of one cell."""
 
     def __init__(self, cell: cell_state.CellState, planner: PlannerInterface) -> None:
         self._cell = cell
@@ -79,7 +79,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Start a gang that fits, or make room for it."""
+        """Start a gang if it fits, else reserve workers and preempt tasks for it."""
         count = run.step.count
         if len(run.waiting) < count:
             plan.record_wait(run, plans.GANG_STILL_RUNNING)
@@ -105,21 +105,21 @@
         ]
         if missing:
             plan.record_wait(run, plans.AWAITING_APPROVAL)
-            # All that are allowed, as the room may have changed by the answer.
+            # Ask for all approved workers: capacity may change before the reply.
             names = [worker.id for worker in eligible]
             self._planner.request_approval(run, queue, names, plan, now)
             plan.reserved.update(worker.id for worker, _ in chosen)
             return
-        number = max(task.run for task in run.tasks) + 1
+        run_number = max(task.run for task in run.tasks) + 1
         indices = iter(sorted(run.waiting))
         for worker, share in chosen:
             for _ in range(share):
                 task = run.tasks[next(indices)]
-                self._planner.start(run, task, worker, number, queue, plan, now)
+                self._planner.start(run, task, worker, run_number, queue, plan, now)
 
     @staticmethod
     def _align_checkpoints(run: state.StepRun) -> None:
-        """Give all members the latest checkpoint, which is valid for each of them."""
+        """Set the latest checkpoint for all members; it is valid for each of them."""
         latest = max(run.tasks, key=lambda task: (task.percent, task.checkpoint))
         for task in run.tasks:
             task.checkpoint = latest.checkpoint
@@ -132,7 +132,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Keep others off the workers that a blocked gang needs, and clear them."""
+        """Reserve workers for a blocked gang; preempt tasks there if it is urgent."""
         if plan.reserving_gangs >= MAX_RESERVING_GANGS:
             return
         plan.reserving_gangs += 1
@@ -170,7 +170,7 @@
         victims: dict[str, list[workers.Allocation]],
         now: float,
     ) -> list[tuple[workers.Worker, int]] | None:
-        """Return the workers that a gang waits for, the same as before if possible."""
+        """Return the workers to reserve for a gang, the same as before if possible."""
         reclaimable = {
             name: sum(
                 (allocation.step.step.occupied() for allocation in found),
@@ -192,7 +192,7 @@
     def _find_victims(
         self, worker: workers.Worker, priority: int, now: float
     ) -> list[workers.Allocation]:
-        """Return the tasks that may be stopped, those already stopping first."""
+        """Return the tasks that may be preempted, those already stopping first."""
         found: list[tuple[float, workers.Allocation]] = []
         for allocation in worker.allocations.values():
             if allocation.task.phase is state.TaskPhase.STOPPING:
--- a/toucanspring/coordinator/job_specs.py
+++ b/toucanspring/coordinator/job_specs.py
@@ -1,4 +1,4 @@
-"""Jobs of dependent steps, as accepted from callers."""
+"""Specifications of jobs and their dependent steps, as submitted by callers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True, kw_only=True, gc=False):
-    """Describe equal tasks that may start once the steps in `after` are done.
+    """A set of identical tasks that may start once the steps in `after` are done.
 
-    `estimate_ms` is the caller's guess for one task. `max_per_worker` 0 means no limit.
-    A long-running step has no end of its own and restarts whatever ends it.
+    `estimate_ms` is the caller's estimate of the run time of one task.
+    `max_per_worker` 0 means no limit. A task of a long-running step is restarted
+    however it ends.
     """
 
     count: int
@@ -25,20 +26,20 @@
     max_per_worker: int = 0
     checkpointing: bool = False
     long_running: bool = False
-    uses_idle_cpus: bool = False  # its cpus are not counted against a worker
+    uses_idle_cpus: bool = False  # CPUs are not counted against the worker's capacity
 
     def occupied(self) -> resources.Resources:
-        """Return what one task takes of a worker's capacity."""
+        """Return the worker capacity that one task is counted with."""
         if self.uses_idle_cpus:
             return resources.Resources(0, self.demand.memory, self.demand.accelerators)
         return self.demand
 
 
 class Job(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Hold what a caller submitted; the payload is passed to the tasks unread.
+    """A job as submitted; the payload is opaque and passed on to the tasks.
 
-    With `repeats` above 0 the steps run that many times, the first at `first_at_ms`
-    (Unix milliseconds) and each further one `interval_ms` later.
+    With `repeats` above 0 the steps run that many times, first at `first_at_ms`
+    (Unix milliseconds), then every `interval_ms`.
     """
 
     id: str
@@ -53,7 +54,7 @@
 
 
 class TaskId(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Name one task of one occurrence of a job."""
+    """Identifier of one task in one occurrence of a job."""
 
     job: str
     occurrence: int
--- a/toucanspring/coordinator/job_writer.py
+++ b/toucanspring/coordinator/job_writer.py
@@ -1,4 +1,4 @@
-"""Acceptance of jobs by any process: a job is accepted once its row is in the store."""
+"""Acceptance of jobs by any process: a job is accepted once its row is stored."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
 
 
 class PendingJob:
-    """Hold one job until its row is written or certainly not."""
+    """A submitted job whose row is not yet known to be stored or rejected."""
 
     def __init__(self, spec: job_specs.Job, give_up_at: float) -> None:
         self.spec = spec
         self.value = rows.encode(spec)
         self.give_up_at = give_up_at
         self.result = event.AsyncResult()
-        self.places = rows.job_row_ids(spec.id)
-        self.tries = 0
-        self.uncertain = False  # a write that had no answer may have taken effect
+        self.row_ids = rows.job_row_ids(spec.id)
+        self.attempts = 0
+        self.uncertain = False  # an earlier write without a reply may have taken effect
 
     @property
-    def place(self) -> ports.RowId:
-        """Return the row that is tried now."""
-        return self.places[self.tries % len(self.places)]
+    def row_id(self) -> ports.RowId:
+        """Return the ID of the row to write in the current attempt."""
+        return self.row_ids[self.attempts % len(self.row_ids)]
 
 
 class JobWriter:
-    """Own the writers of accepted jobs, one for each part of the table."""
+    """Batching writers of submitted jobs, one for each part of the table."""
 
     def __init__(self, store: ports.Store) -> None:
         self._store = store
         self._queues: dict[str, collections.deque[PendingJob]] = {}
-        self._woken: dict[str, event.Event] = {}
+        self._wake_events: dict[str, event.Event] = {}
         self._greenlets: list[gevent.Greenlet] = []
 
     def __enter__(self) -> JobWriter:
         for number in range(rows.JOB_PARTS):
             part = f"{number}"
             self._queues[part] = collections.deque()
-            self._woken[part] = event.Event()
+            self._wake_events[part] = event.Event()
             self._greenlets.append(gevent.spawn(self._run, part))
         return self
 
@@ -59,98 +59,100 @@
         gevent.killall(self._greenlets, block=False)
 
     def accept(self, spec: job_specs.Job, timeout_s: float) -> None | errors.Failure:
-        """Return once a job is stored; a repeat of the same job is accepted again.
+        """Store a job; submitting the same job again succeeds.
 
-        `Unavailable` means that it was not accepted and never will be by this call,
-        `Ambiguous` that it may be; `Conflict` that another job has its ID.
+        `Unavailable` means that this call did not and will not store the job,
+        `Ambiguous` that it may have, and `Conflict` that another job has the same ID.
         """
-        waiting = PendingJob(spec, time.monotonic() + timeout_s)
-        self._enqueue(waiting)
+        pending = PendingJob(spec, time.monotonic() + timeout_s)
+        self._enqueue(pending)
         try:
-            return waiting.result.get(timeout=timeout_s)
+            return pending.result.get(timeout=timeout_s)
         except gevent.Timeout:
-            return self._withdraw(waiting)
-
-    def _enqueue(self, waiting: PendingJob) -> None:
-        part = waiting.place.part
-        self._queues[part].append(waiting)
-        self._woken[part].set()
-
-    def _withdraw(self, waiting: PendingJob) -> errors.Unavailable | errors.Ambiguous:
-        """Give up a job; one whose write has not begun is certainly not accepted."""
-        queue = self._queues[waiting.place.part]
-        if waiting in queue:
-            queue.remove(waiting)
-            if not waiting.uncertain:
-                return errors.Unavailable(reason="the store is too slow")
-        return errors.Ambiguous(reason="the store did not answer in time")
+            return self._withdraw(pending)
+
+    def _enqueue(self, pending: PendingJob) -> None:
+        part = pending.row_id.part
+        self._queues[part].append(pending)
+        self._wake_events[part].set()
+
+    def _withdraw(self, pending: PendingJob) -> errors.Unavailable | errors.Ambiguous:
+        """Give up a job at its timeout; it is not stored if no write has begun."""
+        queue = self._queues[pending.row_id.part]
+        if pending in queue:
+            queue.remove(pending)
+            if not pending.uncertain:
+                return errors.Unavailable(
+                    reason="the write did not begin before the timeout"
+                )
+        return errors.Ambiguous(reason="the store did not reply before the timeout")
 
     def _run(self, part: str) -> None:
-        queue, woken = self._queues[part], self._woken[part]
+        queue, wake_event = self._queues[part], self._wake_events[part]
         while True:
-            woken.wait()
-            woken.clear()
+            wake_event.wait()
+            wake_event.clear()
             while queue:
                 batch = self._take(queue)
                 try:
                     self._write(batch)
                 except Exception:
-                    log.exception("part {}: accepting {} jobs", part, len(batch))
-                    self._finish(batch, errors.Ambiguous(reason="internal error"))
+                    log.exception("part {}: writing {} jobs failed", part, len(batch))
+                    self._set_results(batch, errors.Ambiguous(reason="internal error"))
 
     @staticmethod
     def _take(queue: collections.deque[PendingJob]) -> list[PendingJob]:
-        batch, size, places = [], 0, set()
+        batch, size, job_ids = [], 0, set()
         while queue and len(batch) < MAX_JOBS_PER_WRITE and size < MAX_BYTES_PER_WRITE:
-            if queue[0].spec.id in places:
-                break  # the same job twice: the second finds the row of the first
-            places.add(queue[0].spec.id)
+            if queue[0].spec.id in job_ids:
+                break  # same ID: the second write has to find the row of the first
+            job_ids.add(queue[0].spec.id)
             size += len(queue[0].value)
             batch.append(queue.popleft())
         return batch
 
     def _write(self, batch: list[PendingJob]) -> None:
         while batch:
-            places = {each.place: each for each in batch}
+            by_row_id = {each.row_id: each for each in batch}
             answer = self._store.transact(
-                dict.fromkeys(places, 0),
-                {place: each.value for place, each in places.items()},
+                dict.fromkeys(by_row_id, 0),
+                {row_id: each.value for row_id, each in by_row_id.items()},
             )
             match answer:
                 case ports.Committed():
-                    self._finish(batch, None)
+                    self._set_results(batch, None)
                     return
                 case ports.Rejected(rows=found):
-                    batch = self._settle(places, found)
+                    batch = self._resolve_existing(by_row_id, found)
                 case _:
                     for each in batch:
                         each.uncertain |= isinstance(answer, errors.Ambiguous)
-                        self._try_elsewhere(each, answer)
+                        self._retry_in_next_part(each, answer)
                     return
 
-    def _try_elsewhere(self, waiting: PendingJob, failure: errors.Failure) -> None:
-        """Go on with another part of the store, which may be up."""
-        waiting.tries += 1
-        rounds, place = divmod(waiting.tries, len(waiting.places))
-        if place == 0 and not waiting.uncertain:
-            waiting.result.set(failure)
-        elif waiting.result.ready() or time.monotonic() >= waiting.give_up_at:
-            waiting.result.set(errors.Ambiguous(reason="the store did not answer"))
-        elif place == 0:
+    def _retry_in_next_part(self, pending: PendingJob, failure: errors.Failure) -> None:
+        """Retry in the next part of the store, which may be available."""
+        pending.attempts += 1
+        rounds, part_index = divmod(pending.attempts, len(pending.row_ids))
+        if part_index == 0 and not pending.uncertain:
+            pending.result.set(failure)
+        elif pending.result.ready() or time.monotonic() >= pending.give_up_at:
+            pending.result.set(errors.Ambiguous(reason="the store did not reply"))
+        elif part_index == 0:
             pause = min(RETRY_MAX_S, RETRY_FIRST_S * 2**rounds)
-            gevent.spawn_later(pause, self._enqueue, waiting)
+            gevent.spawn_later(pause, self._enqueue, pending)
         else:
-            self._enqueue(waiting)
+            self._enqueue(pending)
 
     @staticmethod
-    def _settle(
-        places: dict[ports.RowId, PendingJob], found: tuple[ports.Row, ...]
+    def _resolve_existing(
+        by_row_id: dict[ports.RowId, PendingJob], found: tuple[ports.Row, ...]
     ) -> list[PendingJob]:
-        """Answer the jobs whose rows exist; return the others."""
+        """Set the results of jobs whose rows exist already; return the other jobs."""
         existing = {row.id: row for row in found if row.version}
         left = []
-        for place, each in places.items():
-            row = existing.get(place)
+        for row_id, each in by_row_id.items():
+            row = existing.get(row_id)
             if row is None:
                 left.append(each)
                 continue
@@ -167,11 +169,11 @@
                 each.spec.steps,
             )
             each.result.set(
-                None if same else errors.Conflict(reason="another job has this ID")
+                None if same else errors.Conflict(reason="another job has the same ID")
             )
         return left
 
     @staticmethod
-    def _finish(batch: list[PendingJob], result: None | errors.Failure) -> None:
+    def _set_results(batch: list[PendingJob], result: None | errors.Failure) -> None:
         for each in batch:
             each.result.set(result)
--- a/toucanspring/coordinator/placement.py
+++ b/toucanspring/coordinator/placement.py
@@ -1,4 +1,4 @@
-"""Which workers a task or a gang fits on, and which of them are better."""
+"""Feasibility and ranking of workers for tasks and gangs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def is_eligible(run: state.StepRun, worker: workers.Worker) -> bool:
-    """Return whether a worker could run tasks of a step if it were empty."""
+    """Return whether an idle worker could run tasks of a step."""
     step = run.step
     if step.required_label and step.required_label not in worker.entry.labels:
         return False
@@ -21,7 +21,7 @@
     on_worker: dict[str, int],
     now: float,
 ) -> bool:
-    """Return whether a task may go to a worker beside those of its step there."""
+    """Return whether a task may be placed, given the step's tasks on each worker."""
     limit = run.step.max_per_worker
     if limit and on_worker.get(worker.id, 0) >= limit:
         return False
@@ -29,12 +29,12 @@
 
 
 def may_retry_on(task: state.Task, worker: workers.Worker, now: float) -> bool:
-    """Return whether a task may go to a worker, where it may have failed before."""
+    """Return whether a task need not avoid a worker because of an earlier failure."""
     return worker.id not in task.avoided_workers or now >= task.avoid_until
 
 
 def count_per_worker(run: state.StepRun) -> dict[str, int]:
-    """Return how many tasks of a step each worker has, if that is limited."""
+    """Return the number of a step's tasks by worker, if the step limits it."""
     counts: dict[str, int] = {}
     if run.step.max_per_worker:
         for task in run.tasks:
@@ -46,7 +46,7 @@
 def rank(
     run: state.StepRun, worker: workers.Worker, free: resources.Resources
 ) -> tuple:
-    """Prefer the rack of the data, then workers with few failures and little room."""
+    """Return a sort key: preferred rack, fewest failures, then best fit by CPUs."""
     remote = bool(run.step.preferred_rack) and (
         run.step.preferred_rack != worker.entry.rack
     )
@@ -58,7 +58,11 @@
     eligible: list[workers.Worker],
     reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
-    """Return workers with counts of members, in one rack if the step asks for it."""
+    """Return workers with counts of members, or None if the gang does not fit.
+
+    With `same_rack` a single rack is preferred. `reclaimable` is capacity by worker ID
+    that preemption could free.
+    """
     if not run.step.same_rack:
         return _pack(run, eligible, reclaimable)
     racks: dict[str, list[workers.Worker]] = {}
--- a/toucanspring/coordinator/planner.py
+++ b/toucanspring/coordinator/planner.py
@@ -1,6 +1,7 @@
-"""Which waiting tasks start where, which approvals to ask for, what makes room.
+"""Planning of starts, approval requests and preemptions.
 
-It does no I/O and reads no clock: it sees the book and returns decisions.
+The planner performs no I/O and reads no clock: it reads and updates the cell state and
+returns its decisions.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 )
 
 TOP_PRIORITY = 0
-# Estimates are off by up to 0.9 either way; a job counts as late once this part of the
-# estimated time is missing.
+# A job counts as late once this fraction of its estimated run time does not fit before
+# the deadline; estimates are off by up to 0.9 in either direction.
 LATE_ESTIMATE_FRACTION = 0.6
-# An order travels and may be repeated before its ticket is read.
+# Remaining validity of a ticket at a start: the order may be delayed and retried.
 TICKET_MARGIN_S = 0.15
-# More steps than this are not looked at in one round, to bound its time.
+# Limits the duration of a round.
 MAX_STEPS_PER_ROUND = 400
 MAX_STARTS_PER_ROUND = 120
-MAX_WORKERS_PER_REQUEST = 100  # workers in one question
+MAX_WORKERS_PER_REQUEST = 100
 
 
 class Planner:
-    """Decide for the jobs of one book."""
+    """Planner for the jobs of one cell."""
 
     def __init__(self, cell: cell_state.CellState) -> None:
         self._cell = cell
         self._gangs = gangs.Gangs(cell, self)
 
     def plan(self, now: float) -> plans.Plan:
-        """Return what to start and to ask now; takes the room for the starts."""
+        """Plan one round and allocate the resources for its starts."""
         plan = plans.Plan()
         usable: dict[str, list[workers.Worker]] = {}
         over_share = self._find_over_share()
@@ -58,7 +59,7 @@
         return plan
 
     def _find_over_share(self) -> frozenset[str]:
-        """Return the organisations that use more than their share of the cell."""
+        """Return the organisations that use more than their fair share of the cell."""
         capacity = workers.total_capacity(self._cell.workers.values())
         organisations = self._cell.catalogue.organisations.values()
         total = sum(each.weight for each in organisations)
@@ -72,16 +73,16 @@
     def _rank(
         self, run: state.StepRun, over_share: frozenset[str], now: float
     ) -> tuple[bool, bool, int, bool, bool, float]:
-        """Order by entitlement and urgency, then by what can still be in time.
+        """Return a sort key: fair share and priority first, then the deadline.
 
-        Under overload the earliest due time alone makes everything late: work that is
-        late already waits for work that is not, but for the most urgent.
+        Under overload, earliest deadline first alone would make all jobs late. So late
+        jobs wait for jobs that are not, except at the top priority.
         """
         spec = run.job.spec
         queue = self._cell.catalogue.queue(spec.queue)
         priority = queue.priority if queue is not None else 9
-        left_s = LATE_ESTIMATE_FRACTION * run.step.estimate_ms / 1000
-        late = now + left_s > run.job.due_at
+        needed_s = LATE_ESTIMATE_FRACTION * run.step.estimate_ms / 1000
+        late = now + needed_s > run.job.due_at
         return (
             run.job.over_rate,
             late and priority > TOP_PRIORITY,
@@ -120,7 +121,7 @@
                     else plans.NOT_APPROVED,
                 )
                 return
-        # Capacity alone decides here; without a change nothing new can fit.
+        # Only capacity is missing, so nothing fits until the capacity changes.
         if run.blocked_version == self._cell.capacity_version and not run.step.gang:
             return
         if not self._within_ceiling(run, run.step.count if run.step.gang else 1):
@@ -143,7 +144,7 @@
     ) -> None:
         unknown = [worker.id for worker in eligible if worker.id not in run.allowed]
         known = len(eligible) - len(unknown)
-        # A few new workers are not worth a question while others are known.
+        # A few new workers are not worth a request while others have a decision.
         if unknown and len(unknown) * 3 > known:
             self.request_approval(run, queue, unknown, plan, now)
 
@@ -155,7 +156,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers, unless a question is open."""
+        """Request approval of workers, unless a request is pending or must wait."""
         if (
             run.approval_pending
             or now < run.approval_retry_at
@@ -173,14 +174,14 @@
 
     @staticmethod
     def not_requested_with_room(run: state.StepRun) -> list[str]:
-        """Return workers with room that the approval service was not asked about."""
+        """Return workers with free capacity that no approval was requested for."""
         demand = run.step.occupied()
         return [each.id for each in run.not_requested if demand.fits(each.free())]
 
     def ticket(
         self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
-        """Return a valid ticket; empty if none is needed, None if there is none."""
+        """Return a valid ticket, "" if none is needed, or None if there is none."""
         if queue.approval is None:
             return ""
         ticket = run.tickets.get(worker)
@@ -221,7 +222,7 @@
                 if self.ticket(run, queue, worker.id, now) is not None
             ]
             if not valid and task.avoided_workers and now < task.avoid_until:
-                continue  # the others of the step may still fit
+                continue  # other tasks of the step may still fit
             if not valid:
                 self._request_or_block(
                     run, queue, [each.id for each in fits], plan, now
@@ -241,7 +242,7 @@
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers that have room, or wait until something has changed."""
+        """Request approval of workers with capacity, or block the step without any."""
         names = without_ticket or self.not_requested_with_room(run)
         plan.record_wait(run, plans.AWAITING_APPROVAL if names else plans.NO_ROOM)
         if names:
@@ -254,15 +255,15 @@
         run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
-        number: int,
+        run_number: int,
         queue: catalogue.Queue,
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Book a run."""
+        """Allocate resources for a run and add its start to the plan."""
         ticket = self.ticket(run, queue, worker.id, now) or ""
-        self._cell.allocate(run, task, worker, number)
-        plan.starts.append(plans.Start(run, task, worker, number, ticket))
+        self._cell.allocate(run, task, worker, run_number)
+        plan.starts.append(plans.Start(run, task, worker, run_number, ticket))
 
     def _within_ceiling(self, run: state.StepRun, count: int) -> bool:
         organisation = self._cell.catalogue.organisations.get(run.job.spec.organisation)
--- a/toucanspring/coordinator/plans.py
+++ b/toucanspring/coordinator/plans.py
@@ -1,4 +1,4 @@
-"""Decisions of one round: starts, questions for approval, reasons to wait."""
+"""Decisions of one planning round: starts, approval requests, reasons to wait."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from toucanspring.coordinator import ports, state, workers
 
-# Why a step waits, as logged.
+# Reasons why a step waits, as logged.
 NO_USABLE_WORKER = "no usable worker"
 AWAITING_APPROVAL = "approval asked for"
 NOT_APPROVED = "no approved worker"
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """Start a run of a task on a worker."""
+    """Decision to start a run of a task on a worker."""
 
     step: state.StepRun
     task: state.Task
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApprovalRequest:
-    """Ask the approval service about workers for a step."""
+    """Request to approve workers for a step; durations are seconds."""
 
     step: state.StepRun
     workers: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Say why a step has waiting tasks."""
+    """Reason why a step has waiting tasks."""
 
     step: state.StepRun
     reason: str
@@ -47,17 +47,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Collect the decisions of one round; starts are already booked."""
+    """Decisions of one round; resources for the starts are already allocated."""
 
     starts: list[Start] = dataclasses.field(default_factory=list)
     approval_requests: list[ApprovalRequest] = dataclasses.field(default_factory=list)
-    # Steps that begin to wait for another reason than before.
+    # Steps whose reason to wait has changed.
     waits: list[Wait] = dataclasses.field(default_factory=list)
     reserved: set[str] = dataclasses.field(default_factory=set)
     reserving_gangs: int = 0
 
     def record_wait(self, run: state.StepRun, reason: str) -> None:
-        """Take note of why a step waits, once for each reason in turn."""
+        """Record why a step waits, if the reason has changed."""
         if run.wait_reason != reason:
             run.wait_reason = reason
             self.waits.append(Wait(run, reason))
@@ -68,7 +68,7 @@
     tickets: dict[str, str],
     expires_at: float,
 ) -> None:
-    """Keep what the approval service said about a step."""
+    """Store the reply of the approval service in the step."""
     run = question.step
     for name in question.workers:
         run.allowed[name] = name in tickets
--- a/toucanspring/coordinator/rate_limits.py
+++ b/toucanspring/coordinator/rate_limits.py
@@ -1,6 +1,6 @@
-"""Which jobs an organisation sends beyond its weight in jobs a second.
+"""Submission rates of organisations; the limit is the weight in jobs per second.
 
-They are accepted and run, after the work that the organisations are entitled to.
+Jobs above the rate are accepted but are scheduled after the jobs within it.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 
 from toucanspring.coordinator import catalogue
 
-# Jobs come in bunches; so many seconds of the rate may come at once.
+# Jobs arrive in bursts; a bucket holds the tokens of this many seconds.
 BURST_S = 2.0
 MIN_BURST_JOBS = 4.0
 
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Hold what an organisation may still send; times are seconds."""
+    """Token bucket of one organisation; times are monotonic seconds."""
 
     tokens: float
     refilled_at: float
 
 
 class RateLimits:
-    """Count the jobs of each organisation against its weight."""
+    """Token buckets by organisation."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, TokenBucket] = {}
@@ -31,7 +31,7 @@
     def count_job(
         self, name: str, organisation: catalogue.Organisation | None, now: float
     ) -> bool:
-        """Count one job; return whether it is beyond the rate."""
+        """Count one job; return whether it is above the rate."""
         if organisation is None or organisation.weight <= 0:
             return False
         capacity = max(MIN_BURST_JOBS, organisation.weight * BURST_S)
--- a/toucanspring/coordinator/reports.py
+++ b/toucanspring/coordinator/reports.py
@@ -1,4 +1,4 @@
-"""What workers say of their tasks: progress, ends, silence; changes the book."""
+"""Application of worker reports (progress, ended runs) to the cell state."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 
 log = logbook.Logger(__name__)
 
-# How a run ended, as workers report it.
+# Outcomes of a run, as reported by workers.
 DONE = "done"
 FAILED = "failed"
 COMPLETE_PERCENT = 100
-# Without a queue in the configuration a job keeps the attempts of a careful one.
+# Attempts of jobs whose queue is no longer configured.
 DEFAULT_ATTEMPTS = 1
 
 
 def apply_poll_reply(
     cell: cell_state.CellState,
     worker: workers.Worker,
-    look: ports.PollReply,
+    reply: ports.PollReply,
     sent_at: float,
     now: float,
 ) -> list[str]:
-    """Take in what a worker runs and what has ended; return the jobs concerned."""
-    if look.incarnation != worker.incarnation:
+    """Apply running and ended tasks of a worker; return the IDs of changed jobs."""
+    if reply.incarnation != worker.incarnation:
         if worker.incarnation and worker.confirmed:
             structured.decide(
                 log, "worker_restarted", worker=worker.id, held=len(worker.allocations)
             )
-        worker.record_restart(look.incarnation)
+        worker.record_restart(reply.incarnation)
     if not worker.confirmed or not worker.responsive:
         cell.capacity_version += 1
     worker.confirmed = worker.responsive = True
-    worker.update_clock(look.clock_ms, now)
-    listed = {(row.task, row.run) for row in look.running}
-    touched = []
-    for end in look.ended:
+    worker.update_clock(reply.clock_ms, now)
+    listed = {(row.task, row.run) for row in reply.running}
+    changed_jobs = []
+    for end in reply.ended:
         if end.number > worker.acked_end and _apply_end(cell, worker, end, now):
-            touched.append(end.task.partition(".")[0])
+            changed_jobs.append(end.task.partition(".")[0])
         listed.add((end.task, end.run))
-    _reconcile_running(cell, worker, look.running, now)
+    _reconcile_running(cell, worker, reply.running, now)
     for task_id, allocation in list(worker.allocations.items()):
         task = allocation.task
         if (task_id, task.run) not in listed and task.confirmed_at < sent_at:
@@ -52,8 +52,8 @@
                 log, "run_vanished", task=task_id, run=task.run, worker=worker.id
             )
             cell.requeue(allocation.step, task, now)
-            touched.append(allocation.step.job.spec.id)
-    return touched
+            changed_jobs.append(allocation.step.job.spec.id)
+    return changed_jobs
 
 
 def _reconcile_running(
@@ -91,7 +91,7 @@
     name = state.parse_task_id(task_id)
     record = cell.jobs.get(name.job) if name is not None else None
     if record is None or name.step >= len(record.spec.steps):
-        # An unknown task may be of any size, so nothing starts beside it.
+        # The demand is unknown, so nothing else is started on the worker.
         return resources.UNLIMITED
     return record.spec.steps[name.step].occupied()
 
@@ -99,7 +99,7 @@
 def _apply_end(
     cell: cell_state.CellState, worker: workers.Worker, end: ports.EndedTask, now: float
 ) -> bool:
-    """Take in how a run ended; return whether it changed a job."""
+    """Apply the end of a run; return whether it changed a job."""
     name = state.parse_task_id(end.task)
     record = cell.jobs.get(name.job) if name is not None else None
     run = record.steps.get((name.occurrence, name.step)) if record else None
@@ -115,17 +115,17 @@
         "run_ended",
         task=end.task,
         run=end.run,
-        how=end.how,
+        how=end.outcome,
         worker=worker.id,
         lasted_s=round(now - task.started_at, 3) if task.started_at else 0,
     )
-    if end.how == DONE:
+    if end.outcome == DONE:
         stragglers.record_completion(worker, workers.Allocation(run, task), now)
     cell.release(run, task)
-    if end.how == DONE:
+    if end.outcome == DONE:
         worker.record_success()
         _complete_task(cell, run, task, now)
-    elif end.how == FAILED:
+    elif end.outcome == FAILED:
         if worker.record_failure(record.spec.id, now):
             structured.decide(
                 log,
@@ -149,7 +149,7 @@
     task.phase = state.TaskPhase.DONE
     run.unfinished -= 1
     if run.step.gang:
-        # The members end together, and one end stands for all.
+        # Members complete together, so one report completes all of them.
         for other in run.tasks:
             if other.phase in state.ALLOCATED_PHASES and other.run == task.run:
                 cell.release(run, other)
@@ -181,7 +181,7 @@
     worker_id: str,
     now: float,
 ) -> None:
-    # A gang fails as a whole, however many of its members do in one run.
+    # A gang fails as a whole: several failed members of one run count once.
     failing = run.tasks if run.step.gang else [task]
     if task.run > max(each.failed_run for each in failing):
         for each in failing:
@@ -198,7 +198,7 @@
 
 
 def mark_lost(cell: cell_state.CellState, worker: workers.Worker, now: float) -> None:
-    """Take note that a silent worker's lease is over: it runs nothing."""
+    """Requeue the tasks of a worker whose lease has expired, so that it runs none."""
     worker.responsive = worker.confirmed = False
     structured.decide(
         log, "worker_lost", worker=worker.id, tasks=len(worker.allocations)
@@ -209,13 +209,13 @@
 
 
 def find_stuck(worker: workers.Worker, now: float) -> list[workers.Allocation]:
-    """Return the tasks whose progress stands still although the worker answers."""
+    """Return the tasks without progress although their worker responds."""
     found = []
     for allocation in worker.allocations.values():
         task, step = allocation.task, allocation.step.step
         if task.phase is not state.TaskPhase.RUNNING or step.long_running:
             continue
-        # A member of a gang that is through waits there for the others.
+        # A gang member that has completed its work waits for the other members.
         if task.percent >= COMPLETE_PERCENT:
             continue
         if not task.progressed_at or now - task.progressed_at < workers.STUCK_S:
@@ -226,7 +226,7 @@
             for other in allocation.step.tasks
         ):
             continue
-        # One percent of a long task takes longer than the usual limit.
+        # Progress is in whole percent, and 1% of a long task may exceed the limit.
         if now - task.progressed_at > workers.STUCK_S + step.estimate_ms / 1000 / 20:
             found.append(allocation)
     return found
--- a/toucanspring/coordinator/state.py
+++ b/toucanspring/coordinator/state.py
@@ -1,4 +1,4 @@
-"""Tasks, steps and jobs as the coordinator knows them."""
+"""Scheduling state of tasks, steps and jobs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class TaskPhase(enum.Enum):
-    """Say where a task stands; all but the first and last occupy a worker."""
+    """Phase of a task; all but the first and the last are allocated to a worker."""
 
     WAITING = "waiting"
-    STARTING = "starting"  # the intent is being written or the order is under way
-    IN_DOUBT = "in doubt"  # it may be running; its worker has to tell
+    STARTING = "starting"  # the intent is being written or the order is in flight
+    IN_DOUBT = "in doubt"  # it may be running, until its worker reports
     RUNNING = "running"
     STOPPING = "stopping"
     DONE = "done"
@@ -25,7 +25,7 @@
 
 
 class JobState(enum.Enum):
-    """Say what callers are told of a job."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     ACTIVE = "active"
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Task:
-    """Hold one task; times are monotonic seconds."""
+    """State of one task; times are monotonic seconds."""
 
     index: int
     phase: TaskPhase = TaskPhase.WAITING
@@ -52,21 +52,21 @@
     percent: int = 0
     progressed_at: float = 0.0
     started_at: float = 0.0
-    # When the worker last confirmed an order about the task; a later look that does
-    # not list the task proves that it is gone. Infinite while that is not known.
+    # When the worker last confirmed an order about the task. If a poll sent later does
+    # not list the task, it has ended. Infinite while an order is unconfirmed.
     confirmed_at: float = float("inf")
-    # Workers where it failed; it goes back to them once the others had their chance.
+    # Workers where the task failed; not used again before `avoid_until`.
     avoided_workers: frozenset[str] = frozenset()
     avoid_until: float = 0.0
     preemptions: int = 0
-    resumed: bool = False  # this run began at a checkpoint
-    sampled_at: float = 0.0  # progress as last taken for the speed of its worker
+    resumed: bool = False  # this run started from a checkpoint
+    sampled_at: float = 0.0  # latest progress sample for the speed of the worker
     sampled_percent: int = 0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class StepRun:
-    """Hold the tasks of one step in one occurrence of a job."""
+    """The tasks of one step in one occurrence of a job."""
 
     job: JobRecord
     occurrence: int
@@ -76,43 +76,43 @@
     waiting: set[int]
     unfinished: int
     ready_at: float = 0.0
-    # Approval of workers: a known answer never changes, tickets expire.
+    # Approval by worker ID: a decision is final, but tickets expire.
     tickets: dict[str, ports.Ticket] = dataclasses.field(default_factory=dict)
     allowed: dict[str, bool] = dataclasses.field(default_factory=dict)
     not_requested: list = dataclasses.field(default_factory=list)
     approval_pending: bool = False
     approval_retry_at: float = 0.0
-    wait_reason: str = ""  # the reason told last
-    blocked_version: int = -1  # capacity version at which no task found room
-    # Workers that a gang waits for.
+    wait_reason: str = ""  # reason logged last
+    blocked_version: int = -1  # capacity version at which no task could be placed
+    # Workers that are reserved for a gang.
     reserved: frozenset[str] = frozenset()
     reserved_until: float = 0.0
-    # Latest rate of a task on each worker, as part of its work a second.
+    # Latest progress rate of a task by worker ID, as a fraction of the task per second.
     task_rates: dict[str, float] = dataclasses.field(default_factory=dict)
 
     @property
     def id(self) -> str:
-        """Return the step's name, unique in the cell."""
+        """Return the ID of the step, unique in the cell."""
         return f"{self.job.spec.id}.{self.occurrence}.{self.number}"
 
     def task_id(self, index: int) -> str:
-        """Return the name of a task, unique in the cell."""
+        """Return the ID of a task, unique in the cell."""
         return f"{self.id}.{index}"
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class JobRecord:
-    """Hold an accepted job and its steps, by occurrence and number."""
+    """An accepted job with its open steps by occurrence and step number."""
 
     spec: job_specs.Job
     accepted_at: float
     steps: dict[tuple[int, int], StepRun] = dataclasses.field(default_factory=dict)
     state: JobState = JobState.QUEUED
-    durable_state: JobState = JobState.QUEUED  # what is durable
-    due_at: float = 0.0  # when an answer in time must be there
+    durable_state: JobState = JobState.QUEUED  # as last written
+    due_at: float = 0.0  # deadline for the result
     ended_at: float = 0.0
-    over_rate: bool = False  # its organisation sent more than its share of jobs
-    has_copy: bool = False  # the coordinator's part holds a copy of the job
+    over_rate: bool = False  # submitted above the organisation's rate
+    has_copy: bool = False  # a copy of the spec is stored in the coordinator's part
 
     @property
     def is_final(self) -> bool:
@@ -121,7 +121,7 @@
 
 
 def parse_task_id(text: str) -> job_specs.TaskId | None:
-    """Return the parts of a task's name; None if it has another form."""
+    """Return a parsed task ID, or None if the text has another form."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
@@ -129,7 +129,7 @@
 
 
 def add_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
-    """Add a step whose tasks all wait."""
+    """Add a step to a job with all tasks waiting."""
     step = record.spec.steps[number]
     run = StepRun(
         record,
@@ -146,7 +146,7 @@
 
 
 def to_progress(record: JobRecord) -> rows.Progress:
-    """Return the durable part of a job's state."""
+    """Return the part of a job's state that is stored."""
     steps = []
     for (occurrence, number), run in record.steps.items():
         if run.unfinished == 0:
@@ -171,7 +171,7 @@
 
 
 def restore(record: JobRecord, progress: rows.Progress, now: float) -> list[Task]:
-    """Take in the durable state; return the tasks that may be running."""
+    """Restore the stored state; return the tasks that may be running."""
     record.state = record.durable_state = JobState(progress.state)
     record.has_copy = True
     uncertain = []
@@ -197,7 +197,7 @@
             elif saved.worker:
                 task.phase = TaskPhase.IN_DOUBT
                 task.worker, task.incarnation = saved.worker, saved.incarnation
-                task.confirmed_at = 0.0  # the new epoch bars all earlier orders
+                task.confirmed_at = 0.0  # the new epoch fences all earlier orders
                 run.waiting.discard(task.index)
                 uncertain.append(task)
     return uncertain
--- a/toucanspring/coordinator/stragglers.py
+++ b/toucanspring/coordinator/stragglers.py
@@ -1,8 +1,8 @@
-"""How fast workers run their tasks, judged by progress, and which of them are slow.
+"""Detection of slow workers by the progress of their tasks.
 
-The estimates of tasks are off by up to 0.9, but the tasks of one step are alike, so a
+Estimates of run times are off by up to 0.9, but the tasks of one step are alike, so a
 worker is compared with the others that run the same step. A slow worker gets no new
-tasks for a while, then is tried again.
+tasks for `SLOW_WORKER_PAUSE_S`, then is sampled again.
 """
 
 from __future__ import annotations
@@ -12,54 +12,58 @@
 
 from toucanspring.coordinator import state, workers
 
-# Weight of one sample in a worker's mean.
+# Weight of a new sample in the moving average of a worker's speed.
 SAMPLE_WEIGHT = 0.25
 MIN_SAMPLES = 3
-# Beside a slow worker all others look fast.
+# Limits the speed of the other workers when one worker of a step is slow.
 MAX_SPEED = 1.5
-# Progress is reported in whole percent, so a sample needs some of them.
+# Progress is reported in whole percent, so a sample has to span several.
 MIN_SAMPLE_S = 0.25
-# Workers of different kinds differ by 1.6; a slow one is below this part of the median.
+# Slow workers are below this fraction of the median speed; the speeds of different
+# kinds of worker differ by a factor of 1.6.
 SLOW_FRACTION = 0.35
 SLOW_WORKER_PAUSE_S = 4.0
-MIN_SAMPLED_WORKERS = 4  # workers with samples, without which there is no median
-# A task goes elsewhere if it would take this many times as long here.
+MIN_SAMPLED_WORKERS = 4  # sampled workers that a meaningful median needs
+# A task is moved if staying would take this many times as long as moving it.
 MIN_MOVE_GAIN = 2.0
-RESTART_COST_S = 0.6  # a stop, a checkpoint read, a start
+RESTART_COST_S = 0.6  # for a stop, a checkpoint read and a start
 
 
 def record_progress(
     worker: workers.Worker, allocation: workers.Allocation, percent: int, now: float
 ) -> None:
-    """Take in the progress of a task; those of gangs wait for each other."""
+    """Sample the progress of a task.
+
+    Members of gangs wait for each other, so their progress is no measure of the worker.
+    """
     task, step = allocation.task, allocation.step.step
     if step.gang or step.long_running:
         return
     if not task.sampled_at or percent < task.sampled_percent:
         task.sampled_at, task.sampled_percent = now, percent
         return
-    passed_s = now - task.sampled_at
-    if passed_s < MIN_SAMPLE_S:
+    elapsed_s = now - task.sampled_at
+    if elapsed_s < MIN_SAMPLE_S:
         return
     done = (percent - task.sampled_percent) / 100
     task.sampled_at, task.sampled_percent = now, percent
-    _record_rate(worker, allocation.step, done / passed_s)
+    _record_rate(worker, allocation.step, done / elapsed_s)
 
 
 def record_completion(
     worker: workers.Worker, allocation: workers.Allocation, now: float
 ) -> None:
-    """Take in a task that ended well."""
+    """Sample the run time of a task that completed."""
     task, step = allocation.task, allocation.step.step
     if step.gang or step.long_running or task.resumed:
         return
-    lasted_s = now - task.started_at
-    if task.started_at and lasted_s > 0:
-        _record_rate(worker, allocation.step, 1 / lasted_s)
+    run_time_s = now - task.started_at
+    if task.started_at and run_time_s > 0:
+        _record_rate(worker, allocation.step, 1 / run_time_s)
 
 
 def _record_rate(worker: workers.Worker, run: state.StepRun, rate: float) -> None:
-    """Compare the rate of a task, a part of its work a second, with other workers'."""
+    """Update a worker's speed from a rate, in fractions of a task per second."""
     run.task_rates[worker.id] = rate
     others = [each for name, each in run.task_rates.items() if name != worker.id]
     if not others or not any(others):
@@ -71,10 +75,10 @@
     worker.samples += 1
 
 
-def find_slow(known: Iterable[workers.Worker], now: float) -> list[workers.Worker]:
-    """Return the workers that have turned slow, which get nothing new for a while."""
+def find_slow(candidates: Iterable[workers.Worker], now: float) -> list[workers.Worker]:
+    """Return the workers that have become slow and exclude them from new starts."""
     sampled = [
-        each for each in known if each.samples >= MIN_SAMPLES and each.responsive
+        each for each in candidates if each.samples >= MIN_SAMPLES and each.responsive
     ]
     if len(sampled) < MIN_SAMPLED_WORKERS:
         return []
@@ -83,14 +87,14 @@
     for worker in slow:
         worker.slow_until = now + SLOW_WORKER_PAUSE_S
         worker.slowness = worker.speed * SLOW_FRACTION / limit if limit else 1.0
-        worker.samples = 0  # judged anew once it is tried again
+        worker.samples = 0  # sampled anew after the pause
     return slow
 
 
 def find_movable(worker: workers.Worker, now: float) -> list[workers.Allocation]:
-    """Return the tasks of a slow worker that would end sooner elsewhere.
+    """Return the tasks of a slow worker that would end sooner on another worker.
 
-    What is left is judged by the progress so far, as estimates are too rough for it.
+    The remaining time is derived from the progress, as estimates are too inaccurate.
     """
     found = []
     for allocation in worker.allocations.values():
@@ -101,9 +105,9 @@
         done = max(task.percent, 1) / 100
         if task.resumed or ran_s < MIN_SAMPLE_S:
             continue
-        here_s = ran_s * (1 - done) / done
-        again = 1 - done if step.checkpointing else 1.0
-        elsewhere_s = ran_s / done * again * worker.slowness + RESTART_COST_S
-        if here_s > MIN_MOVE_GAIN * elsewhere_s:
+        remaining_s = ran_s * (1 - done) / done
+        repeated_fraction = 1 - done if step.checkpointing else 1.0
+        moved_s = ran_s / done * repeated_fraction * worker.slowness + RESTART_COST_S
+        if remaining_s > MIN_MOVE_GAIN * moved_s:
             found.append(allocation)
     return found
--- a/toucanspring/coordinator/table_cache.py
+++ b/toucanspring/coordinator/table_cache.py
@@ -1,4 +1,4 @@
-"""Copies of the store's tables, kept up to date through its change feed."""
+"""Local copies of tables in the store, kept current by its change feed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 log = logbook.Logger(__name__)
 
-# A feed without changes is asked again this often, which bounds the age of the copy.
+# Timeout of a call that waits for changes; bounds the age of an unchanged copy.
 FOLLOW_TIMEOUT_S = 0.8
 MAX_PARALLEL_READS = 8
 RETRY_FIRST_S = 0.05
@@ -26,9 +26,9 @@
 
 @dataclasses.dataclass(slots=True)
 class TableSnapshot:
-    """Hold the rows of a table; changes after `version` may be missing.
+    """Rows of a table as read part by part; complete up to `version`.
 
-    `unread_parts` maps the parts that could not be read to the reason.
+    `unread_parts` maps each part that could not be read to the failure.
     """
 
     rows: dict[ports.RowId, ports.Row]
@@ -37,18 +37,18 @@
 
 
 def read_table(store: ports.Store, table: str) -> TableSnapshot | errors.Failure:
-    """Return the rows of all parts of a table that can be read."""
+    """Read all parts of a table; a part may fail without failing the others."""
     parts = store.parts(table)
     if isinstance(parts, errors.Failure):
         return parts
-    # The empty part is read even if it holds nothing: the answer tells the version.
+    # The part "" is always read, since any reply carries the version of the store.
     return read_parts(store, table, {"", *parts})
 
 
 def read_parts(
     store: ports.Store, table: str, parts: Iterable[str]
 ) -> TableSnapshot | errors.Failure:
-    """Return the rows of some parts; a failure if none can be read."""
+    """Read some parts of a table; fails only if none can be read."""
     found: dict[ports.RowId, ports.Row] = {}
     versions: list[int] = []
     unread_parts: dict[str, errors.Failure] = {}
@@ -84,10 +84,10 @@
 
 
 class TableCache:
-    """Own the copy of one table; `changed(row)` is called for each change.
+    """Copy of one table; `on_change(row)` is called for each changed row.
 
-    `wait_s` is the longest wait of one call for a change. `pause_s` after each call
-    bundles the changes of a busy table.
+    `wait_s` is the timeout of one call that waits for changes. A pause of `pause_s`
+    after each call batches the changes of a busy table.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         pause_s: float = 0.0,
     ) -> None:
         self.rows: dict[ports.RowId, ports.Row] = {}
-        # The copy holds everything that was in the store at this (monotonic) time.
+        # The copy includes every write made before this time (monotonic seconds).
         self.synced_at = float("-inf")
         self._store = store
         self._table = table
@@ -108,9 +108,7 @@
         self._clock = clock
         self._wait_s = wait_s
         self._pause_s = pause_s
-        self.unread_parts: frozenset[str] = (
-            frozenset()
-        )  # parts that could not be read yet
+        self.unread_parts: frozenset[str] = frozenset()  # could not be read yet
         self._version: int | None = None
         self._greenlet: gevent.Greenlet | None = None
         self._reader: gevent.Greenlet | None = None
@@ -124,7 +122,7 @@
         self.close()
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop updating the copy."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
             self._greenlet = None
@@ -132,11 +130,11 @@
             self._reader.kill(block=False)
 
     def age(self, now: float) -> float:
-        """Return for how many seconds changes may have been missed."""
+        """Return for how many seconds the copy may have missed changes."""
         return now - self.synced_at
 
     def poll(self) -> None | errors.Failure:
-        """Read the table, or wait for its next changes."""
+        """Read the whole table, or wait for its next changes and apply them."""
         sent = self._clock()
         if self._version is None:
             read = read_table(self._store, self._table)
@@ -153,10 +151,10 @@
                         self._apply(row)
                     self._version = max(self._version, at.version)
                     if not rows and self._clock() - sent >= self._wait_s:
-                        # The store found nothing until its wait was over.
+                        # The table did not change while the store waited.
                         sent += self._wait_s
                 case ports.HistoryGone():
-                    log.info("table {}: reading all rows again", self._table)
+                    log.info("table {}: history is gone, reading all rows", self._table)
                     self._version = None
                     return None
                 case errors.Failure():
@@ -168,7 +166,7 @@
         return None
 
     def _read_missing_parts(self) -> None:
-        """Read the parts that could not be read before; changes of them do arrive."""
+        """Retry the parts that could not be read; the feed does cover their changes."""
         gevent.sleep(RETRY_MAX_S)
         read = read_parts(self._store, self._table, self.unread_parts)
         if isinstance(read, errors.Failure):
@@ -185,16 +183,16 @@
             try:
                 failure = self.poll()
             except Exception:
-                log.exception("table {}", self._table)
+                log.exception("table {}: update failed", self._table)
                 failure = errors.Unknown(reason="internal error")
             if failure is None:
                 if self._failing:
-                    log.info("table {}: followed again", self._table)
+                    log.info("table {}: following changes again", self._table)
                 self._failing, pause = False, RETRY_FIRST_S
                 gevent.sleep(self._pause_s)
                 continue
             if not self._failing:
-                log.warning("table {}: not followed: {}", self._table, failure)
+                log.warning("table {}: cannot follow changes: {}", self._table, failure)
             self._failing = True
             gevent.sleep(pause)
             pause = min(RETRY_MAX_S, pause * 2)
--- a/toucanspring/coordinator/workers.py
+++ b/toucanspring/coordinator/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the coordinator sees them: room, leases and how they behave."""
+"""Workers as the coordinator sees them: capacity, leases and health."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from toucanspring import resources
 from toucanspring.coordinator import ports, state
 
-# A worker's clock may be this much slow, so that its leases last longer.
+# A worker's clock may run slow by this fraction, which makes its leases last longer.
 MAX_CLOCK_DRIFT = 0.02
 LEASE_EXPIRY_SLACK_S = 0.3
-# Calls are given up before their answers are this old.
+# Longer than any call timeout, so no delayed reply is older than this.
 MAX_REPLY_AGE_MS = 3000
-# After so many failures in a row, of at least two jobs, a worker gets no work.
+# Consecutive failures, from at least two jobs, after which a worker is quarantined.
 QUARANTINE_FAILURES = 2
 MIN_QUARANTINE_S = 3.0
 MAX_QUARANTINE_S = 24.0
-# A worker that did not answer, or refused while unhealthy, is left alone this long.
+# Delay before new starts on a worker that did not reply, is unhealthy or has no room.
 BACKOFF_S = 0.5
-# A task whose progress stands still for this long on an answering worker is stuck.
+# A task is stuck if its progress has not changed for this long while its worker
+# responds.
 STUCK_S = 1.2
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Allocation:
-    """Say that a task takes room on a worker."""
+    """A task that is allocated to a worker."""
 
     step: state.StepRun
     task: state.Task
@@ -33,19 +34,19 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Worker:
-    """Hold one worker; times are monotonic seconds."""
+    """State of one worker; times are monotonic seconds."""
 
     entry: ports.WorkerEntry
     incarnation: int = 0
-    registered: bool = True  # its entry is in the store
-    confirmed: bool = False  # it has answered under the present epoch
+    registered: bool = True  # its entry is in the worker directory
+    confirmed: bool = False  # it has replied to a poll in the current epoch
     responsive: bool = False
-    # The latest look had no answer, or an answer came from a younger clock: the worker
-    # may have begun another life.
+    # The latest poll had no reply, or a reply carried an earlier clock time than
+    # expected.
     may_have_restarted: bool = False
     used: resources.Resources = resources.ZERO
     allocations: dict[str, Allocation] = dataclasses.field(default_factory=dict)
-    # Tasks that it runs and that nobody asked this coordinator to keep.
+    # Resources of tasks that the worker runs without an allocation.
     unknown_tasks: dict[str, resources.Resources] = dataclasses.field(
         default_factory=dict
     )
@@ -57,28 +58,28 @@
     backoff_until: float = 0.0
     failures: int = 0
     failed_jobs: set[str] = dataclasses.field(default_factory=set)
-    # Rate of its tasks beside those of the same steps elsewhere.
+    # Rate of its tasks relative to tasks of the same steps on other workers.
     speed: float = 1.0
     samples: int = 0
     slow_until: float = 0.0
-    slowness: float = 1.0  # its speed beside the others' when it was found slow
+    slowness: float = 1.0  # speed relative to the median when it was found slow
     quarantine_s: float = MIN_QUARANTINE_S
     quarantined_until: float = 0.0
 
     @property
     def id(self) -> str:
-        """Return the worker's name."""
+        """Return the ID of the worker."""
         return self.entry.id
 
     def free(self) -> resources.Resources:
-        """Return the room that nothing known takes."""
+        """Return the capacity that no known task uses."""
         free = self.entry.capacity - self.used
         for demand in self.unknown_tasks.values():
             free = free - demand
         return free
 
     def is_usable(self, now: float, zones_out: frozenset[str]) -> bool:
-        """Return whether new tasks may start here."""
+        """Return whether new tasks may start on the worker."""
         return (
             self.confirmed
             and self.responsive
@@ -91,13 +92,13 @@
         )
 
     def estimate_clock(self, now: float) -> int:
-        """Return a time that the worker's clock has reached."""
+        """Return a lower bound of the current time on the worker's clock, in ms."""
         return self.clock_ms + int(
             (now - self.clock_read_at) * 1000 * (1 - MAX_CLOCK_DRIFT)
         )
 
     def update_clock(self, clock_ms: int, received_at: float) -> None:
-        """Take in the worker's clock from an answer."""
+        """Update the clock estimate from a reply of the worker."""
         known_ms = self.estimate_clock(received_at) if self.clock_ms else 0
         if clock_ms >= known_ms:
             self.clock_ms, self.clock_read_at = clock_ms, received_at
@@ -105,7 +106,7 @@
             self.may_have_restarted = True
 
     def extend_lease(self, until_ms: int, now: float) -> None:
-        """Take note that an order carrying a lease is about to be sent."""
+        """Record the lease in an order before the order is sent."""
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
         self._update_lease_expiry(now)
 
@@ -116,7 +117,7 @@
         )
 
     def record_restart(self, incarnation: int) -> None:
-        """Take note that this is another life of the worker, with nothing running."""
+        """Reset the state for a new incarnation, which runs no tasks."""
         self.incarnation = incarnation
         self.acked_end = 0
         self.unknown_tasks.clear()
@@ -139,7 +140,7 @@
         return True
 
     def record_success(self) -> None:
-        """Take note of a run that ended well."""
+        """Record a run that succeeded."""
         self.failures = 0
         self.failed_jobs.clear()
         self.quarantine_s = MIN_QUARANTINE_S
