--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -28,7 +28,7 @@
     "end": "standins.lease_workers.LeaseWorkers.poll",
     "lapse": "standins.lease_workers.LeaseWorkers.poll",
     "look": "toucanspring.coordinator.reports.apply_poll_reply",
-    "note": "toucanspring.coordinator.leadership.Leadership.note",
+    "note": "toucanspring.coordinator.leadership.Leadership.acknowledge_ends",
     "give up": "toucanspring.coordinator.reports.mark_lost",
 }
 NOWHERE = -1
--- a/standins/lease_workers.py
+++ b/standins/lease_workers.py
@@ -177,7 +177,7 @@
             for end in life.ended:
                 # An end that nobody had read when the lease was over does not count.
                 counts = life.lapsed_end < end.number <= acked_end
-                if counts and end.how == "done":
+                if counts and end.outcome == "done":
                     self.noted.add(end.task)
             life.ended = [end for end in life.ended if end.number > acked_end]
             if life.ended or time.monotonic() >= deadline:
--- a/test/test_coordinator_leadership.py
+++ b/test/test_coordinator_leadership.py
@@ -1,4 +1,4 @@
-"""Whole tenures over a store and workers in memory, with takeovers and lost answers."""
+"""The coordinator on in-memory stores and workers, with failovers and lost replies."""
 
 import contextlib
 import itertools
@@ -15,7 +15,7 @@
 
 
 class Directory:
-    """Know two workers and one configuration."""
+    """A directory with fixed workers and one configuration."""
 
     def __init__(self, *entries, catalogue_=None):
         self.catalogue = catalogue_ or case.configure()
@@ -36,7 +36,7 @@
         yield
 
 
-class TenureCase(testtools.TestCase):
+class LeadershipCase(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.store = rowstore.MemoryStore()
@@ -45,38 +45,38 @@
         for each in entries:
             self.workers.add(each)
         self.directory = Directory(*entries)
-        self.tenures = []
-        self.addCleanup(self.end)
+        self.leaderships = []
+        self.addCleanup(self.stop_leaderships)
 
-    def end(self):
-        for greenlet, _ in self.tenures:
+    def stop_leaderships(self):
+        for greenlet, _ in self.leaderships:
             greenlet.kill()
 
     def coordinate(self, process="one"):
-        """Start a tenure; one of another process waits for no lease to expire."""
-        taken = leader_lease.acquire(self.store, process, "10.0.0.1", process)
-        self.assertIsInstance(taken, leader_lease.Acquired)
+        """Acquire the leader lease, which must be free for it, and coordinate."""
+        acquired = leader_lease.acquire(self.store, process, "10.0.0.1", process)
+        self.assertIsInstance(acquired, leader_lease.Acquired)
         store_clock = leader_lease.StoreClock()
         store_clock.update(self.store.moment().store_ms, leadership.time.monotonic())
-        held = leadership.Leadership(
+        leader = leadership.Leadership(
             self.store,
             self.workers,
             self.directory,
-            taken,
+            acquired,
             store_clock,
             lambda question: self.fail(question),
             MAX_LEASE_MS,
         )
-        self.tenures.append((gevent.spawn(held.run), held))
-        self.assertTrue(held.ready.wait(2.0))
-        return held
+        self.leaderships.append((gevent.spawn(leader.run), leader))
+        self.assertTrue(leader.ready.wait(2.0))
+        return leader
 
     def kill(self):
-        """End the latest tenure as a killed process does, without a word."""
-        greenlet, held = self.tenures[-1]
+        """Stop the latest coordinator without a release, as if it was killed."""
+        greenlet, leader = self.leaderships[-1]
         greenlet.kill()
-        held._desk.__exit__()
-        held._jobs.close()
+        leader._dispatcher.__exit__()
+        leader._jobs.close()
 
     def accept(self, *steps, job_id=JOB, **changes):
         spec = case.job(job_id, *steps, **changes)
@@ -96,57 +96,57 @@
         found = self.progress(job_id)
         return found is not None and found.state == state.JobState.COMPLETED.value
 
-    def assert_promises_kept(self):
+    def assert_no_violations(self):
         self.assertEqual([], self.workers.violations)
 
 
-class WorkTest(TenureCase):
+class SchedulingTest(LeadershipCase):
     def test_steps_run_in_order_and_once(self):
-        held = self.coordinate()
+        leader = self.coordinate()
         self.accept(case.step(6), case.step(3, after=(0,)))
         self.wait_for(self.is_complete)
-        self.assertEqual(state.JobState.COMPLETED, held.status(JOB))
+        self.assertEqual(state.JobState.COMPLETED, leader.status(JOB))
         self.assertEqual({1}, set(self.workers.done.values()))
         self.assertEqual(9, len(self.workers.done))
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_job_that_was_stored_in_several_places_runs_once(self):
+    def test_a_job_stored_in_several_rows_runs_once(self):
         self.coordinate()
         self.accept(case.step(3))
-        for place in rows.job_row_ids(JOB)[1:]:
-            self.store.put(place, rows.encode(self.workers.jobs[JOB]))
+        for row_id in rows.job_row_ids(JOB)[1:]:
+            self.store.put(row_id, rows.encode(self.workers.jobs[JOB]))
         self.wait_for(self.is_complete)
         gevent.sleep(0.1)
         self.assertEqual(3, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_start_whose_answer_is_lost_is_repeated_not_doubled(self):
+    def test_a_start_whose_reply_is_lost_is_retried_and_runs_once(self):
         self.coordinate()
         self.workers.lose = 2
         self.accept(case.step(4))
         self.wait_for(self.is_complete)
         self.assertEqual(4, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_start_that_is_carried_out_late_runs_nothing_twice(self):
+    def test_a_delayed_start_runs_nothing_twice(self):
         self.coordinate()
-        self.workers.hold_back = 3  # all tries of one order
+        self.workers.hold_back = 3  # all attempts of one order
         self.accept(case.step(1))
         self.wait_for(self.is_complete)
         self.workers.carry_out_late()
         self.assertEqual({f"{JOB}.0.0.0": 1}, self.workers.done)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
     def test_a_cancelled_job_stops(self):
         self.workers.run_s = 30
-        held = self.coordinate()
+        leader = self.coordinate()
         self.accept(case.step(2))
         self.wait_for(lambda: self.workers.starts == 2)
-        self.assertEqual(state.JobState.CANCELLED, held.cancel(JOB))
+        self.assertEqual(state.JobState.CANCELLED, leader.cancel(JOB))
         self.wait_for(lambda: not any(x.runs for x in self.workers.lives.values()))
-        self.assertEqual(state.JobState.CANCELLED, held.status(JOB))
+        self.assertEqual(state.JobState.CANCELLED, leader.status(JOB))
 
-    def test_nothing_starts_on_a_view_that_is_too_old(self):
+    def test_nothing_starts_while_the_view_is_too_old(self):
         self.coordinate()
         self.directory.view_age = 5.0
         self.accept(case.step(1))
@@ -156,8 +156,8 @@
         self.wait_for(self.is_complete)
 
     def test_a_job_that_nobody_submitted_is_not_found(self):
-        held = self.coordinate()
-        self.assertEqual("NotFound", held.status("f" * 16).kind)
+        leader = self.coordinate()
+        self.assertEqual("NotFound", leader.status("f" * 16).kind)
 
     def test_an_outage_of_the_store_stops_starts_and_loses_nothing(self):
         self.workers.run_s = 0.3
@@ -170,33 +170,33 @@
         self.store.reachable = True
         self.wait_for(self.is_complete)
         self.assertEqual(8, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
 
-class TakeoverTest(TenureCase):
-    def test_a_seat_is_released_although_a_write_is_under_way(self):
-        held = self.coordinate()
+class FailoverTest(LeadershipCase):
+    def test_the_lease_is_released_although_a_write_is_in_progress(self):
+        leader = self.coordinate()
         self.accept(case.step(30))
         self.wait_for(lambda: self.workers.starts > 0)
-        held.release()
-        self.assertTrue(held.ended.is_set())
-        taken = leader_lease.acquire(self.store, "two", "10.0.0.2", "two")
-        self.assertIsInstance(taken, leader_lease.Acquired)
-        self.assertFalse(taken.predecessor_may_live)
+        leader.release()
+        self.assertTrue(leader.ended.is_set())
+        acquired = leader_lease.acquire(self.store, "two", "10.0.0.2", "two")
+        self.assertIsInstance(acquired, leader_lease.Acquired)
+        self.assertFalse(acquired.predecessor_may_live)
 
-    def test_a_successor_goes_on_with_what_runs(self):
+    def test_a_new_coordinator_keeps_the_running_tasks(self):
         self.workers.run_s = 0.5
         self.coordinate()
         self.accept(case.step(8), case.step(2, after=(0,)))
         self.wait_for(lambda: self.workers.starts == 8)
         self.kill()
-        held = self.coordinate()
-        self.assertEqual(2, held.epoch)
+        leader = self.coordinate()
+        self.assertEqual(2, leader.epoch)
         self.wait_for(self.is_complete)
         self.assertEqual(10, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_start_that_was_recorded_but_never_sent_is_made_up(self):
+    def test_a_recorded_start_that_was_never_sent_is_repeated(self):
         self.workers.hold_back = 100
         self.coordinate()
         self.accept(case.step(1))
@@ -205,12 +205,12 @@
         self.workers.hold_back = 0
         self.coordinate()
         self.wait_for(self.is_complete)
-        # The order of the former coordinator arrives now.
+        # The start order of the former coordinator arrives only now.
         self.workers.carry_out_late()
         self.assertEqual({f"{JOB}.0.0.0": 1}, self.workers.done)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_work_of_a_silent_worker_waits_until_its_lease_is_over(self):
+    def test_tasks_of_a_silent_worker_wait_until_its_lease_expires(self):
         self.workers.run_s = 30
         self.coordinate()
         self.accept(case.step(1))
@@ -218,47 +218,50 @@
         self.kill()
         [busy] = [name for name, each in self.workers.lives.items() if each.runs]
         self.workers.silent.add(busy)
-        held = self.coordinate()
+        leader = self.coordinate()
         gevent.sleep(0.5)
         self.assertEqual(1, self.workers.starts)
-        worker = held.cell.workers[busy]
+        worker = leader.cell.workers[busy]
         self.assertGreater(
-            worker.lease_expires_at - held._claimed_at, MAX_LEASE_MS / 1000
+            worker.lease_expires_at - leader._acquired_at, MAX_LEASE_MS / 1000
         )
 
-    def test_looks_without_answer_do_not_prolong_the_lease(self):
-        """Else the work of a worker that is gone for good never runs again."""
+    def test_polls_without_reply_do_not_extend_the_lease(self):
+        """Otherwise the tasks of a worker that is gone for good never run again."""
         self.workers.run_s = 30
-        held = self.coordinate()
+        leader = self.coordinate()
         self.accept(case.step(1))
         self.wait_for(lambda: self.workers.starts == 1)
         [busy] = [name for name, each in self.workers.lives.items() if each.runs]
-        worker = held.cell.workers[busy]
+        worker = leader.cell.workers[busy]
         self.workers.silent.add(busy)
         self.wait_for(lambda: not worker.responsive)
         lease_expires_at = worker.lease_expires_at
         gevent.sleep(0.6)
         self.assertEqual(lease_expires_at, worker.lease_expires_at)
 
-    def test_a_start_is_not_sent_long_after_the_seat_was_lost(self):
-        """Found by the model `spec.coordination`, rule `expiry`."""
-        held = self.coordinate()
+    def test_a_start_is_not_sent_after_the_renewal_limit(self):
+        """A process that may not renew worker leases any more sends no start either.
+
+        Found by the model `spec.coordination`, rule `expiry`.
+        """
+        leader = self.coordinate()
         self.accept(case.step(1))
-        held.may_renew = lambda _now: False
+        leader.may_renew = lambda _now: False
         self.wait_for(lambda: self.progress() is not None)
         gevent.sleep(0.1)
         self.assertEqual(0, self.workers.starts)
 
-    def test_other_work_starts_at_once_beside_a_silent_worker(self):
+    def test_other_tasks_start_at_once_despite_a_silent_worker(self):
         self.coordinate()
         self.kill()
         self.workers.silent.add("w1")
         self.accept(case.step(2))
         self.coordinate()
         self.wait_for(self.is_complete)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_part_that_is_down_does_not_hold_up_a_takeover(self):
+    def test_a_part_that_is_down_does_not_delay_a_failover(self):
         self.workers.run_s = 0.3
         self.coordinate()
         self.accept(case.step(8))
@@ -268,9 +271,9 @@
         self.coordinate()
         self.wait_for(self.is_complete)
         self.assertEqual(8, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
 
-    def test_a_restarted_worker_runs_nothing_of_before(self):
+    def test_a_restarted_worker_has_lost_its_earlier_tasks(self):
         self.workers.run_s = 0.3
         self.coordinate()
         self.accept(case.step(8))
@@ -278,46 +281,50 @@
         self.workers.add(case.entry("w1", cpus=4000, incarnation=2))
         self.wait_for(self.is_complete)
         self.assertEqual(12, self.workers.starts)
-        self.assert_promises_kept()
+        self.assert_no_violations()
+
+    def test_a_poll_after_a_failed_one_acknowledges_no_ends(self):
+        """A new incarnation of a worker numbers its ends from 1 again.
 
-    def test_a_look_after_a_miss_forgets_no_ends(self):
-        """Found by the soak, seeds 101 and 102: another life counts its ends anew."""
-        looks = []
-        look = self.workers.poll
+        A poll with an old number would drop ends that nobody has read. Found by the
+        soak with seeds 101 and 102.
+        """
+        polls = []
+        poll = self.workers.poll
 
         def record(worker, epoch, acked_end, *rest):
-            answer = look(worker, epoch, acked_end, *rest)
+            answer = poll(worker, epoch, acked_end, *rest)
             if worker.id == "w1":
-                looks.append((acked_end, isinstance(answer, ports.PollReply)))
+                polls.append((acked_end, isinstance(answer, ports.PollReply)))
             return answer
 
         self.workers.poll = record
         self.coordinate()
         self.accept(case.step(8))
         self.wait_for(self.is_complete)
-        self.wait_for(lambda: looks[-1][0] > 0)
+        self.wait_for(lambda: polls[-1][0] > 0)
         self.workers.silent.add("w1")
-        self.wait_for(lambda: not looks[-1][1])
-        count = len(looks)
+        self.wait_for(lambda: not polls[-1][1])
+        count = len(polls)
         self.workers.silent.discard("w1")
-        self.wait_for(lambda: looks[-1][1] and len(looks) > count)
+        self.wait_for(lambda: polls[-1][1] and len(polls) > count)
         after_misses = [
             seen
-            for (_, answered), (seen, _) in itertools.pairwise(looks)
+            for (_, answered), (seen, _) in itertools.pairwise(polls)
             if not answered
         ]
         self.assertEqual({0}, set(after_misses))
 
-    def test_a_look_after_a_start_without_answer_forgets_no_ends(self):
-        held = self.coordinate()
+    def test_a_poll_after_a_start_without_reply_acknowledges_no_ends(self):
+        leader = self.coordinate()
         self.accept(case.step(1))
         self.workers.lose = 1
         self.wait_for(
-            lambda: any(w.may_have_restarted for w in held.cell.workers.values())
+            lambda: any(w.may_have_restarted for w in leader.cell.workers.values())
         )
         self.wait_for(self.is_complete)
         self.wait_for(
-            lambda: not any(w.may_have_restarted for w in held.cell.workers.values())
+            lambda: not any(w.may_have_restarted for w in leader.cell.workers.values())
         )
 
     def test_an_unreadable_row_does_not_stop_the_others(self):
--- a/test/test_coordinator_metered.py
+++ b/test/test_coordinator_metered.py
@@ -54,7 +54,7 @@
     def test_rounds_and_gauges_are_shown(self):
         self.meters.count_round(3, 0.01)
         self.meters.count_round(0, 0.01)
-        self.meters.show({"jobs": 7})
+        self.meters.set_gauges({"jobs": 7})
         lines = self.shown()
         self.assertIn("toucanspring_runs_placed_total 3", lines)
         self.assertIn("toucanspring_round_seconds_count 2", lines)
--- a/test/test_coordinator_processes.py
+++ b/test/test_coordinator_processes.py
@@ -1,4 +1,4 @@
-"""Several processes around one store: candidacy, takeovers, questions, calls."""
+"""Several processes on one store: election, failover, approval requests and calls."""
 
 import gevent
 import testtools
@@ -22,7 +22,7 @@
 
 
 class Network:
-    """Carry calls between the peers of several processes."""
+    """Delivers calls between the peers of several processes."""
 
     def __init__(self):
         self.members = {}
@@ -98,14 +98,14 @@
         self.entry = entry
         self.network = Network()
         self.processes = {}
-        self.addCleanup(self.end)
+        self.addCleanup(self.stop_processes)
 
-    def end(self):
+    def stop_processes(self):
         for each in self.processes.values():
             each._failover.closing = each._draining = True
             gevent.killall(each._greenlets, block=False)
             each._members.close()
-            each._intake.__exit__()
+            each._job_writer.__exit__()
             each._failover.__exit__()
 
     def run_process(self, name):
@@ -130,19 +130,19 @@
             while not condition():
                 gevent.sleep(0.01)
 
-    def holder(self):
+    def stored_lease(self):
         row = self.store.rows.get(rows.LEADER_LEASE_ROW)
         return None if row is None else rows.decode(rows.LeaderLease, row.value)
 
-    def coordinates(self, name):
+    def is_coordinator(self, name):
         held = self.processes[name]._leadership
         return held is not None and held.ready.is_set()
 
     def start_cell(self, *names):
         for name in names:
             self.run_process(name)
-        self.wait_for(lambda: any(self.coordinates(name) for name in names))
-        [first] = [name for name in names if self.coordinates(name)]
+        self.wait_for(lambda: any(self.is_coordinator(name) for name in names))
+        [first] = [name for name in names if self.is_coordinator(name)]
         others = [name for name in names if name != first]
         self.wait_for(
             lambda: all(
@@ -155,12 +155,14 @@
         return first, others
 
 
-class CandidacyTest(ProcessCase):
+class ElectionTest(ProcessCase):
     def test_one_of_several_processes_coordinates(self):
         first, _ = self.start_cell("one", "two", "three")
-        self.assertEqual((first, 1), (self.holder().process, self.holder().epoch))
+        self.assertEqual(
+            (first, 1), (self.stored_lease().process, self.stored_lease().epoch)
+        )
 
-    def test_a_job_that_any_process_accepts_is_run_and_told_by_all(self):
+    def test_a_job_accepted_by_any_process_runs_and_all_return_its_state(self):
         self.start_cell("one", "two", "three")
         spec = case.job(JOB, case.step(2))
         self.workers.jobs[JOB] = spec
@@ -170,7 +172,7 @@
             self.assertEqual(0, each.pending(case.QUEUE))
         self.assertEqual([], self.workers.violations)
 
-    def test_without_a_coordinator_the_store_tells_the_state(self):
+    def test_without_a_coordinator_the_state_is_read_from_the_store(self):
         process = self.run_process("one")
         process._draining = True
         self.store.put(rows.job_row_ids(JOB)[0], rows.encode(case.job(JOB)))
@@ -180,146 +182,148 @@
         self.assertIsInstance(process.cancel(JOB), errors.Unavailable)
 
 
-class SuccessionTest(ProcessCase):
-    def test_a_process_that_stops_hands_the_seat_on(self):
+class FailoverTest(ProcessCase):
+    def test_a_process_that_stops_releases_the_lease(self):
         first, others = self.start_cell("one", "two")
         self.processes[first].stop_accepting()
-        self.wait_for(lambda: self.coordinates(others[0]))
-        self.assertEqual(2, self.holder().epoch)
+        self.wait_for(lambda: self.is_coordinator(others[0]))
+        self.assertEqual(2, self.stored_lease().epoch)
 
-    def test_a_coordinator_that_cannot_write_offers_the_seat(self):
+    def test_a_coordinator_that_cannot_write_hands_the_lease_over(self):
         first, others = self.start_cell("one", "two", "three")
-        # The store refuses this process alone.
+        # The store is unavailable for this process only.
         alone = rowstore.MemoryStore()
         alone.reachable = False
         self.processes[first]._store = alone
         self.processes[first]._leadership._writer._store = alone
-        self.wait_for(lambda: any(self.coordinates(name) for name in others))
-        self.wait_for(lambda: not self.coordinates(first))
-        self.assertEqual(2, self.holder().epoch)
+        self.wait_for(lambda: any(self.is_coordinator(name) for name in others))
+        self.wait_for(lambda: not self.is_coordinator(first))
+        self.assertEqual(2, self.stored_lease().epoch)
 
-    def test_nobody_takes_the_seat_while_no_process_reaches_the_store(self):
+    def test_there_is_no_failover_while_no_process_reaches_the_store(self):
         first, _ = self.start_cell("one", "two")
         self.store.reachable = False
         gevent.sleep(failover.HAND_OVER_AFTER_S * 2)
         self.store.reachable = True
-        self.wait_for(lambda: self.coordinates(first))
-        self.assertEqual((first, 1), (self.holder().process, self.holder().epoch))
+        self.wait_for(lambda: self.is_coordinator(first))
+        self.assertEqual(
+            (first, 1), (self.stored_lease().process, self.stored_lease().epoch)
+        )
 
-    def test_a_coordinator_that_others_miss_too_is_given_up(self):
-        given_up = []
+    def test_a_coordinator_unreachable_for_two_processes_is_replaced(self):
+        takeovers = []
         network = Network()
         watcher, witness = network.join("two"), network.join("three")
         network.join("one")
         for each in (watcher, witness):
             each.targets = {"one": 0, "two": 0, "three": 0}
-        watches = [
-            failover.Failover(name, peers, self.store, given_up.append, None)
+        failovers = [
+            failover.Failover(name, peers, self.store, takeovers.append, None)
             for name, peers in (("two", watcher), ("three", witness))
         ]
         held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
-        for each in watches:
-            each.follow(held)
-            each._since -= failover.YOUNG_S
+        for each in failovers:
+            each.set_coordinator(held)
+            each._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
             each.__enter__()
             self.addCleanup(each.__exit__)
         network.cut.add("one")
-        self.wait_for(lambda: given_up)
-        self.assertEqual({4}, set(given_up))
-
-    def test_only_a_coordinator_of_some_standing_that_is_heard_is_quiet(self):
-        watch = failover.Failover("two", Network().join("two"), self.store, None, None)
-        self.assertFalse(watch.is_quiet())
-        watch.follow(rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life"))
-        self.assertFalse(watch.is_quiet())
-        watch._since -= failover.YOUNG_S
-        watch.heard("one")
-        self.assertTrue(watch.is_quiet())
-        watch._heard_at -= failover.SILENT_AFTER_S
-        self.assertFalse(watch.is_quiet())
-
-    def test_a_coordinator_that_another_process_reaches_is_kept(self):
-        given_up = []
+        self.wait_for(lambda: takeovers)
+        self.assertEqual({4}, set(takeovers))
+
+    def test_a_coordinator_is_stable_after_its_grace_period_while_it_is_heard(self):
+        first = failover.Failover("two", Network().join("two"), self.store, None, None)
+        self.assertFalse(first.has_stable_coordinator())
+        first.set_coordinator(rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life"))
+        self.assertFalse(first.has_stable_coordinator())
+        first._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
+        first.record_heartbeat("one")
+        self.assertTrue(first.has_stable_coordinator())
+        first._heartbeat_at -= failover.HEARTBEAT_TIMEOUT_S
+        self.assertFalse(first.has_stable_coordinator())
+
+    def test_a_coordinator_reachable_for_another_process_is_not_replaced(self):
+        takeovers = []
         network = Network()
         watcher, witness = network.join("two"), network.join("three")
         network.join("one")
-        watcher.targets = {"three": 0}  # its own stream to the coordinator is cut
+        watcher.targets = {"three": 0}  # it is disconnected from the coordinator
         witness.targets = {"one": 0, "two": 0}
-        watch = failover.Failover("two", watcher, self.store, given_up.append, None)
-        other = failover.Failover("three", witness, self.store, given_up.append, None)
+        first = failover.Failover("two", watcher, self.store, takeovers.append, None)
+        second = failover.Failover("three", witness, self.store, takeovers.append, None)
         held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
-        for each in (watch, other):
-            each.follow(held)
-            each._since -= failover.YOUNG_S
+        for each in (first, second):
+            each.set_coordinator(held)
+            each._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
             each.__enter__()
             self.addCleanup(each.__exit__)
-        other._heard_at = float("inf")  # it hears the coordinator all the while
-        gevent.sleep(failover.DEAD_AFTER_S * 2)
-        self.assertEqual([], given_up)
+        second._heartbeat_at = float("inf")  # it keeps receiving heartbeats
+        gevent.sleep(failover.DISCONNECT_TIMEOUT_S * 2)
+        self.assertEqual([], takeovers)
 
 
-class QuestionTest(testtools.TestCase):
+class ApprovalDispatcherTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.network = Network()
         self.approvals = {}
-        self.desks = {}
-        self.answered = []
+        self.dispatchers = {}
+        self.replied = []
         for name in ("one", "two", "three", "four"):
             peers = self.network.join(name)
             peers.targets = dict.fromkeys(["one", "two", "three", "four"], 0)
             peers.targets.pop(name)
             self.approvals[name] = Approvals()
-            self.desks[name] = approval_dispatcher.ApprovalDispatcher(
-                Kernel(peers), self.approvals[name], self.answered.append
+            self.dispatchers[name] = approval_dispatcher.ApprovalDispatcher(
+                Kernel(peers), self.approvals[name], self.replied.append
             )
-            peers.handle(approval_dispatcher.METHOD, self.desks[name].serve)
+            peers.handle(approval_dispatcher.METHOD, self.dispatchers[name].serve)
 
-    def question(self, cost_s, priority=1):
+    def request(self, cost_s, priority=1):
         records = case.new_cell()
         records.accept(case.job(JOB), 1.0)
         run = records.jobs[JOB].steps[0, 0]
         run.approval_pending = True
         return plans.ApprovalRequest(run, ("w1",), cost_s, priority, 2.5)
 
-    def wait_for_answers(self, count):
+    def wait_for_replies(self, count):
         with gevent.Timeout(5.0, AssertionError("no answer")):
-            while len(self.answered) < count:
+            while len(self.replied) < count:
                 gevent.sleep(0.005)
 
-    def test_long_questions_are_put_by_other_processes(self):
-        questions = [self.question(0.5) for _ in range(2)]
-        for each in questions:
-            self.desks["one"].ask(each)
-        self.wait_for_answers(2)
+    def test_long_requests_are_relayed_through_other_processes(self):
+        requests = [self.request(0.5) for _ in range(2)]
+        for each in requests:
+            self.dispatchers["one"].submit(each)
+        self.wait_for_replies(2)
         self.assertEqual([], self.approvals["one"].asked)
-        self.assertEqual({"w1": True}, questions[0].step.allowed)
+        self.assertEqual({"w1": True}, requests[0].step.allowed)
 
-    def test_some_callers_are_kept_for_short_questions(self):
+    def test_some_callers_are_reserved_for_short_requests(self):
         for _ in range(5):
-            self.desks["one"].ask(self.question(0.5))
+            self.dispatchers["one"].submit(self.request(0.5))
         busy = sum(
-            cost > approval_dispatcher.LONG_S
-            for cost in self.desks["one"]._busy.values()
+            cost > approval_dispatcher.LONG_REQUEST_S
+            for cost in self.dispatchers["one"]._in_flight.values()
         )
-        self.assertEqual(4 - approval_dispatcher.KEPT_FOR_SHORT, busy)
-        self.desks["one"].ask(self.question(0.01, priority=0))
-        self.assertEqual(busy + 1, len(self.desks["one"]._busy))
-        self.wait_for_answers(6)
+        self.assertEqual(4 - approval_dispatcher.CALLERS_FOR_SHORT_REQUESTS, busy)
+        self.dispatchers["one"].submit(self.request(0.01, priority=0))
+        self.assertEqual(busy + 1, len(self.dispatchers["one"]._in_flight))
+        self.wait_for_replies(6)
 
-    def test_a_failed_question_may_be_asked_again_after_a_pause(self):
+    def test_a_failed_request_may_be_retried_after_a_delay(self):
         for each in self.approvals.values():
             each.failure = errors.Unavailable(reason="busy")
-        question = self.question(0.01)
-        self.desks["one"].ask(question)
-        self.wait_for_answers(1)
-        self.assertFalse(question.step.approval_pending)
-        self.assertGreater(question.step.approval_retry_at, 0.0)
-        self.assertEqual({}, question.step.allowed)
+        request = self.request(0.01)
+        self.dispatchers["one"].submit(request)
+        self.wait_for_replies(1)
+        self.assertFalse(request.step.approval_pending)
+        self.assertGreater(request.step.approval_retry_at, 0.0)
+        self.assertEqual({}, request.step.allowed)
 
 
-class SeatTest(testtools.TestCase):
-    def test_the_lease_outlasts_two_renewals_that_fail(self):
+class LeaderLeaseTest(testtools.TestCase):
+    def test_the_lease_outlasts_two_failed_renewals(self):
         self.assertGreater(
             leader_lease.LEASE_MS / 1000, 3 * leader_lease.RENEW_INTERVAL_S
         )
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -1,4 +1,4 @@
-"""Acceptance, feeds, the seat and the ledger over a store that loses answers."""
+"""Job writes, table caches, the leader lease and fenced writes on a faulty store."""
 
 import gevent
 import testtools
@@ -25,52 +25,52 @@
         return self.now
 
 
-class IntakeTest(testtools.TestCase):
+class JobWriterTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.store = rowstore.MemoryStore()
-        self.intake = job_writer.JobWriter(self.store)
-        self.intake.__enter__()
-        self.addCleanup(self.intake.__exit__)
+        self.writer = job_writer.JobWriter(self.store)
+        self.writer.__enter__()
+        self.addCleanup(self.writer.__exit__)
 
     def stored(self):
-        """Return the IDs of the stored jobs; one may be in several places."""
+        """Return the IDs of the stored jobs; one may be stored in several rows."""
         found = {
             rows.decode(job_specs.Job, row.value).id for row in self.store.rows.values()
         }
         return sorted(found)
 
     def test_a_job_is_accepted_once_it_is_stored(self):
-        self.assertIsNone(self.intake.accept(case.job(), 1.0))
+        self.assertIsNone(self.writer.accept(case.job(), 1.0))
         self.assertEqual(["0" * 16], self.stored())
 
     def test_a_repeat_is_accepted_and_stored_once(self):
-        self.intake.accept(case.job(), 1.0)
-        self.assertIsNone(self.intake.accept(case.job(accepted_at_ms=9), 1.0))
+        self.writer.accept(case.job(), 1.0)
+        self.assertIsNone(self.writer.accept(case.job(accepted_at_ms=9), 1.0))
         self.assertEqual(["0" * 16], self.stored())
 
     def test_another_job_of_the_same_id_is_refused(self):
-        self.intake.accept(case.job(), 1.0)
-        answer = self.intake.accept(case.job(payload="other"), 1.0)
+        self.writer.accept(case.job(), 1.0)
+        answer = self.writer.accept(case.job(payload="other"), 1.0)
         self.assertIsInstance(answer, errors.Conflict)
 
-    def test_a_lost_answer_is_settled_by_a_repeat(self):
+    def test_a_lost_reply_is_resolved_by_a_retry(self):
         self.store.lose_answers = 1
-        self.assertIsNone(self.intake.accept(case.job(), 1.0))
+        self.assertIsNone(self.writer.accept(case.job(), 1.0))
         self.assertEqual(["0" * 16], self.stored())
 
-    def test_a_refusing_store_means_not_accepted(self):
+    def test_a_job_is_not_accepted_if_the_store_refuses(self):
         self.store.reachable = False
-        answer = self.intake.accept(case.job(), 1.0)
+        answer = self.writer.accept(case.job(), 1.0)
         self.assertIsInstance(answer, errors.Unavailable)
         self.store.reachable = True
         gevent.sleep(0.05)
         self.assertEqual([], self.stored())
 
-    def test_a_write_that_may_come_late_is_never_called_refused(self):
-        """The store holds the write back, then refuses all calls."""
+    def test_a_write_that_may_still_take_effect_is_ambiguous(self):
+        """The store delays the write, then refuses all calls."""
         self.store.delay = rows.PARTS_PER_JOB
-        accepting = gevent.spawn(self.intake.accept, case.job(), 0.15)
+        accepting = gevent.spawn(self.writer.accept, case.job(), 0.15)
         gevent.sleep(0.01)
         self.store.reachable = False
         self.assertIsInstance(accepting.get(), errors.Ambiguous)
@@ -78,73 +78,73 @@
         self.store.carry_out_late()
         self.assertEqual(["0" * 16], self.stored())
 
-    def test_a_part_that_is_down_alone_refuses_nothing(self):
+    def test_a_single_part_that_is_down_refuses_nothing(self):
         self.store.parts_down = {rows.job_row_ids("0" * 16)[0].part}
-        self.assertIsNone(self.intake.accept(case.job(), 1.0))
+        self.assertIsNone(self.writer.accept(case.job(), 1.0))
         self.assertEqual(["0" * 16], self.stored())
 
-    def test_jobs_that_come_together_share_their_writes(self):
+    def test_concurrent_jobs_are_written_in_batches(self):
         jobs = [case.job(f"{number:016x}") for number in range(200)]
-        accepting = [gevent.spawn(self.intake.accept, each, 2.0) for each in jobs]
+        accepting = [gevent.spawn(self.writer.accept, each, 2.0) for each in jobs]
         self.assertEqual({None}, {each.get() for each in accepting})
         self.assertLessEqual(self.store.transactions, 2 * rows.JOB_PARTS)
 
 
-class FeedTest(testtools.TestCase):
+class TableCacheTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.store = rowstore.MemoryStore()
         self.seen = []
-        self.feed = table_cache.TableCache(self.store, "t", self.seen.append)
+        self.cache = table_cache.TableCache(self.store, "t", self.seen.append)
 
     def put(self, key, part=""):
         self.store.put(ports.RowId("t", part, key), key.encode())
 
-    def keys(self):
-        return sorted(place.key for place in self.feed.rows)
+    def cached_keys(self):
+        return sorted(row_id.key for row_id in self.cache.rows)
 
-    def test_all_parts_are_read_then_changes_followed(self):
+    def test_all_parts_are_read_and_then_their_changes(self):
         self.put("a", "1")
         self.put("b", "2")
-        self.assertIsNone(self.feed.poll())
+        self.assertIsNone(self.cache.poll())
         self.put("c", "3")
-        self.assertIsNone(self.feed.poll())
-        self.assertEqual(["a", "b", "c"], self.keys())
+        self.assertIsNone(self.cache.poll())
+        self.assertEqual(["a", "b", "c"], self.cached_keys())
 
-    def test_a_removed_row_leaves_the_copy(self):
+    def test_a_removed_row_is_removed_from_the_cache(self):
         self.put("a")
-        self.feed.poll()
-        place = ports.RowId("t", "", "a")
-        self.store.transact({}, {}, (place,))
-        self.feed.poll()
-        self.assertEqual([], self.keys())
+        self.cache.poll()
+        row_id = ports.RowId("t", "", "a")
+        self.store.transact({}, {}, (row_id,))
+        self.cache.poll()
+        self.assertEqual([], self.cached_keys())
         self.assertEqual(0, self.seen[-1].version)
 
-    def test_dropped_history_is_made_up_by_reading_again(self):
+    def test_all_rows_are_read_again_after_the_history_is_gone(self):
         self.put("a")
         self.put("b")
-        self.feed.poll()
+        self.cache.poll()
         self.store.transact({}, {}, (ports.RowId("t", "", "a"),))
         self.put("c")
         self.store.drop_history()
-        self.feed.poll()
-        self.feed.poll()
-        self.assertEqual(["b", "c"], self.keys())
+        self.cache.poll()
+        self.cache.poll()
+        self.assertEqual(["b", "c"], self.cached_keys())
 
-    def test_a_part_that_cannot_be_read_is_made_up_later(self):
+    def test_a_part_that_cannot_be_read_is_read_later(self):
         self.put("a", "1")
         self.put("b", "2")
         self.store.parts_down = {"2"}
-        self.assertIsNone(self.feed.poll())
-        self.assertEqual(["a"], self.keys())
-        self.assertEqual(float("-inf"), self.feed.synced_at)
+        self.assertIsNone(self.cache.poll())
+        self.assertEqual(["a"], self.cached_keys())
+        self.assertEqual(float("-inf"), self.cache.synced_at)
         self.store.parts_down = set()
-        self.feed._read_missing_parts()
-        self.assertEqual(["a", "b"], self.keys())
-        self.assertEqual(frozenset(), self.feed.unread_parts)
+        self.cache._read_missing_parts()
+        self.assertEqual(["a", "b"], self.cached_keys())
+        self.assertEqual(frozenset(), self.cache.unread_parts)
 
-    def test_a_pause_bundles_the_changes_of_a_busy_table(self):
-        # The load: a table in which many writers change their rows all the time.
+    def test_a_pause_batches_the_changes_of_a_busy_table(self):
+        # The load is a table whose rows are changed by many writers all the time.
         calls = []
         follow = self.store.follow
 
@@ -155,77 +155,79 @@
         self.store.follow = count
         with table_cache.TableCache(
             self.store, "t", self.seen.append, pause_s=0.2
-        ) as feed:
+        ) as cache:
             for number in range(30):
                 self.put(f"{number}")
                 gevent.sleep(0.01)
             gevent.sleep(0.3)
-        self.assertEqual(30, len(feed.rows))
+        self.assertEqual(30, len(cache.rows))
         self.assertLess(len(calls), 10)
 
-    def test_an_outage_makes_the_copy_age(self):
+    def test_the_cache_ages_during_an_outage(self):
         clock = Clock()
-        feed = table_cache.TableCache(self.store, "t", self.seen.append, clock)
-        feed.poll()
+        cache = table_cache.TableCache(self.store, "t", self.seen.append, clock)
+        cache.poll()
         self.store.reachable = False
         clock.now += 5
-        self.assertIsInstance(feed.poll(), errors.Unavailable)
-        self.assertEqual(5, feed.age(clock.now))
+        self.assertIsInstance(cache.poll(), errors.Unavailable)
+        self.assertEqual(5, cache.age(clock.now))
 
 
-class SeatCase(testtools.TestCase):
+class LeaderLeaseCase(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.clock = Clock()
         self.store = rowstore.MemoryStore(self.clock)
 
-    def claim(self, process="one"):
+    def acquire(self, process="one"):
         return leader_lease.acquire(
             self.store, process, "10.0.0.1", f"life of {process}"
         )
 
-    def ledger(self, taken):
+    def fenced_writer_of(self, acquired):
         store_clock = leader_lease.StoreClock()
         store_clock.update(self.store.moment().store_ms, self.clock.now)
-        return fenced_writer.FencedWriter(self.store, taken, store_clock, self.clock)
+        return fenced_writer.FencedWriter(self.store, acquired, store_clock, self.clock)
 
 
-class SeatTest(SeatCase):
-    def test_the_first_claim_takes_the_seat(self):
-        self.assertEqual(1, self.claim().lease.epoch)
-        self.assertIsInstance(self.claim("two"), leader_lease.HeldByOther)
+class LeaderLeaseTest(LeaderLeaseCase):
+    def test_the_first_process_acquires_the_lease(self):
+        self.assertEqual(1, self.acquire().lease.epoch)
+        self.assertIsInstance(self.acquire("two"), leader_lease.HeldByOther)
 
-    def test_an_expired_seat_is_taken_under_a_later_epoch(self):
-        self.claim()
+    def test_an_expired_lease_is_acquired_under_a_later_epoch(self):
+        self.acquire()
         self.clock.now += (
             leader_lease.LEASE_MS + leader_lease.CLOCK_MARGIN_MS
         ) / 1000 + 0.01
-        taken = self.claim("two")
-        self.assertEqual(2, taken.lease.epoch)
-        self.assertTrue(taken.predecessor_may_live)
+        acquired = self.acquire("two")
+        self.assertEqual(2, acquired.lease.epoch)
+        self.assertTrue(acquired.predecessor_may_live)
 
-    def test_a_process_takes_the_seat_of_its_earlier_life_at_once(self):
-        self.claim()
-        taken = self.claim()
-        self.assertEqual(2, taken.lease.epoch)
-        self.assertFalse(taken.predecessor_may_live)
+    def test_a_restarted_process_acquires_its_earlier_lease_at_once(self):
+        self.acquire()
+        acquired = self.acquire()
+        self.assertEqual(2, acquired.lease.epoch)
+        self.assertFalse(acquired.predecessor_may_live)
 
-    def test_a_claim_without_answer_is_found_by_the_next(self):
+    def test_a_lease_acquired_without_a_reply_is_acquired_again(self):
         self.store.lose_answers = 1
-        self.assertIsInstance(self.claim(), errors.Ambiguous)
-        self.assertEqual(2, self.claim().lease.epoch)
+        self.assertIsInstance(self.acquire(), errors.Ambiguous)
+        self.assertEqual(2, self.acquire().lease.epoch)
 
-    def test_a_holder_that_is_given_up_is_replaced_at_once(self):
-        holder = self.ledger(self.claim())
-        taken = leader_lease.acquire(
+    def test_a_holder_that_is_considered_failed_is_replaced_at_once(self):
+        previous = self.fenced_writer_of(self.acquire())
+        acquired = leader_lease.acquire(
             self.store, "two", "10.0.0.2", "two", takeover_epoch=1
         )
-        self.assertEqual(2, taken.lease.epoch)
-        self.assertTrue(taken.predecessor_may_live)
-        # It may renew leases of workers for as long as it believes in its own.
-        self.assertEqual(leader_lease.LEASE_MS / 1000, taken.predecessor_lease_left_s)
-        place = ports.RowId("progress", rows.COORDINATOR_PART, "job")
-        self.assertIsInstance(holder.commit({place: b"old"}), errors.Fenced)
+        self.assertEqual(2, acquired.lease.epoch)
+        self.assertTrue(acquired.predecessor_may_live)
+        # It may renew worker leases for as long as it considers its own lease valid.
+        self.assertEqual(
+            leader_lease.LEASE_MS / 1000, acquired.predecessor_lease_left_s
+        )
+        row_id = ports.RowId("progress", rows.COORDINATOR_PART, "job")
+        self.assertIsInstance(previous.commit({row_id: b"old"}), errors.Fenced)
         self.assertIsInstance(
             leader_lease.acquire(
                 self.store, "three", "10.0.0.3", "three", takeover_epoch=1
@@ -233,70 +235,70 @@
             leader_lease.HeldByOther,
         )
 
-    def test_a_released_seat_is_free_at_once(self):
-        book = self.ledger(self.claim())
-        self.assertIsNone(book.release())
-        self.assertFalse(self.claim("two").predecessor_may_live)
+    def test_a_released_lease_is_free_at_once(self):
+        writer = self.fenced_writer_of(self.acquire())
+        self.assertIsNone(writer.release())
+        self.assertFalse(self.acquire("two").predecessor_may_live)
 
 
-class LedgerTest(SeatCase):
+class FencedWriterTest(LeaderLeaseCase):
     PLACE = ports.RowId("progress", rows.COORDINATOR_PART, "job")
 
     def value(self):
         return self.store.rows[self.PLACE].value
 
     def test_a_commit_renews_the_lease(self):
-        book = self.ledger(self.claim())
+        writer = self.fenced_writer_of(self.acquire())
         self.clock.now += 2
-        self.assertIsNone(book.commit({self.PLACE: b"1"}))
+        self.assertIsNone(writer.commit({self.PLACE: b"1"}))
         self.clock.now += 2
-        self.assertTrue(book.holds_lease(self.clock.now))
-        self.assertIsInstance(self.claim("two"), leader_lease.HeldByOther)
+        self.assertTrue(writer.holds_lease(self.clock.now))
+        self.assertIsInstance(self.acquire("two"), leader_lease.HeldByOther)
 
-    def test_a_commit_whose_answer_was_lost_counts_once(self):
-        book = self.ledger(self.claim())
+    def test_a_commit_whose_reply_is_lost_is_applied_once(self):
+        writer = self.fenced_writer_of(self.acquire())
         self.store.lose_answers = 1
-        self.assertIsNone(book.commit({self.PLACE: b"1"}))
-        self.assertIsNone(book.commit({self.PLACE: b"2"}))
+        self.assertIsNone(writer.commit({self.PLACE: b"1"}))
+        self.assertIsNone(writer.commit({self.PLACE: b"2"}))
         self.assertEqual(b"2", self.value())
 
-    def test_a_commit_that_takes_effect_late_does_not_undo_a_later_one(self):
-        book = self.ledger(self.claim())
+    def test_a_delayed_commit_does_not_overwrite_a_later_one(self):
+        writer = self.fenced_writer_of(self.acquire())
         self.store.delay = 1
-        self.assertIsNone(book.commit({self.PLACE: b"1"}))
-        self.assertIsNone(book.commit({self.PLACE: b"2"}))
+        self.assertIsNone(writer.commit({self.PLACE: b"1"}))
+        self.assertIsNone(writer.commit({self.PLACE: b"2"}))
         [late] = self.store.carry_out_late()
         self.assertIsInstance(late, ports.Rejected)
         self.assertEqual(b"2", self.value())
 
-    def test_a_former_coordinator_writes_nothing(self):
-        """A process that was paused goes on after another took the seat."""
-        paused = self.ledger(self.claim())
+    def test_a_former_coordinator_cannot_write(self):
+        """A paused process resumes after another one has acquired the lease."""
+        paused = self.fenced_writer_of(self.acquire())
         self.clock.now += 10
         self.assertFalse(paused.holds_lease(self.clock.now))
-        current = self.ledger(self.claim("two"))
+        current = self.fenced_writer_of(self.acquire("two"))
         self.assertIsNone(current.commit({self.PLACE: b"new"}))
         self.assertIsInstance(paused.commit({self.PLACE: b"old"}), errors.Fenced)
         self.assertTrue(paused.lost)
         self.assertEqual(b"new", self.value())
 
-    def test_a_former_coordinator_is_fenced_after_a_lost_answer_too(self):
-        paused = self.ledger(self.claim())
+    def test_a_former_coordinator_is_fenced_after_a_lost_reply(self):
+        paused = self.fenced_writer_of(self.acquire())
         self.store.delay = 1
         writing = gevent.spawn(paused.commit, {self.PLACE: b"old"})
         gevent.sleep(0)
         gevent.sleep(0)
         self.clock.now += 10
-        self.claim("two")
+        self.acquire("two")
         self.assertIsInstance(writing.get(), errors.Fenced)
         self.store.carry_out_late()
         self.assertNotIn(self.PLACE, self.store.rows)
 
-    def test_many_rows_go_in_several_transactions(self):
-        book = self.ledger(self.claim())
+    def test_many_rows_are_split_into_several_transactions(self):
+        writer = self.fenced_writer_of(self.acquire())
         puts = {
             ports.RowId("progress", rows.COORDINATOR_PART, f"{number}"): b"x"
             for number in range(250)
         }
-        self.assertIsNone(book.commit(puts))
-        self.assertEqual(3, book.writes)
+        self.assertIsNone(writer.commit(puts))
+        self.assertEqual(3, writer.writes)
--- a/test/test_platform_directory.py
+++ b/test/test_platform_directory.py
@@ -107,24 +107,24 @@
 
     def test_zones_go_out_and_come_back(self):
         self.put("evacuate/bern-a", {})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual({"bern-a"}, self.directory.zones_out)
         self.store.transact({}, {}, (ports.RowId("op", "", "evacuate/bern-a"),))
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual(frozenset(), self.directory.zones_out)
 
     def test_an_older_configuration_does_not_replace_a_newer_one(self):
         self.put("config", {"version": 7})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.put("config", {"version": 6})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual(7, self.directory.catalogue.version)
 
     def test_a_faulty_configuration_leaves_the_one_in_force(self):
         self.put("config", {"version": 7})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.put("config", {"version": "x"})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual(7, self.directory.catalogue.version)
 
 
--- a/toucanspring/coordinator/failover.py
+++ b/toucanspring/coordinator/failover.py
@@ -1,7 +1,8 @@
-"""Takeovers of the seat from a holder that cannot write, is dead or leaves.
+"""Failover before the leader lease expires: failure detection and handover.
 
-To give a live holder up by mistake does no harm but the takeover; see
-`leader_lease.acquire`.
+A coordinator that cannot reach the store hands the lease over to a process that can.
+One that is disconnected from its peers, or silent, is considered failed. Replacing a
+live coordinator by mistake is safe; see `leader_lease.acquire`.
 """
 
 from __future__ import annotations
@@ -22,29 +23,31 @@
 
 TAKE_OVER = "take over"
 REACHES = "reaches"
-# A coordinator whose writes fail for this long asks others, which may reach the store.
+# A coordinator whose writes fail for this long asks its peers to take over, since they
+# may reach the store.
 HAND_OVER_AFTER_S = 0.2
-HAND_OVER_TRIES = 4
-HAND_OVER_TIMEOUT_S = 0.5
-# A coordinator without a stream for this long, to this process and another, is taken
-# for dead; processes later in the order wait longer, so that one claims.
-WATCH_S = 0.1
-DEAD_AFTER_S = 0.5
-# A VM without power leaves its streams open; its holder of the seat is missed by its
-# announcements, which come every `HEARTBEAT_S`.
-HEARTBEAT_S = 0.3
-SILENT_AFTER_S = 1.0
+HAND_OVER_ATTEMPTS = 4
+PEER_CALL_TIMEOUT_S = 0.5
+# A coordinator that is disconnected from this process and from another one for this
+# long is considered failed. Each next process in the order of names waits for
+# `RANK_DELAY_S` more, so that only one of them takes over.
+CHECK_INTERVAL_S = 0.1
+DISCONNECT_TIMEOUT_S = 0.5
+# The streams of a VM that loses its power stay open. The failure of a coordinator on it
+# is detected by missing heartbeats.
+HEARTBEAT_INTERVAL_S = 0.3
+HEARTBEAT_TIMEOUT_S = 1.0
 RANK_DELAY_S = 0.1
-# One that took the seat a short while ago has not got all its streams.
-YOUNG_S = 3.0
-WITNESSES = 2  # processes asked whether they have a stream to the coordinator
+# A new coordinator is not considered failed while it still connects to its peers.
+NEW_COORDINATOR_GRACE_S = 3.0
+WITNESSES = 2  # peers that are asked whether they are connected to the coordinator
 
 
 class Failover:
-    """Watch the holder of the seat and offer the own seat to others.
+    """Detects a failed coordinator, and hands the lease over while writes fail.
 
-    `give_up(epoch)` makes this process claim the seat of that epoch, `leave(reason)`
-    ends its own tenure.
+    `take_over(epoch)` makes this process acquire the lease although a process holds it
+    under that epoch; `step_down(reason)` ends the leadership of this process.
     """
 
     def __init__(
@@ -52,126 +55,134 @@
         process: str,
         streams: peers.Service,
         store: ports.Store,
-        give_up: Callable[[int], None],
-        leave: Callable[[str], None],
+        take_over: Callable[[int], None],
+        step_down: Callable[[str], None],
     ) -> None:
         self.closing = False
         self._process = process
         self._peers = streams
         self._store = store
-        self._give_up = give_up
-        self._leave = leave
+        self._take_over = take_over
+        self._step_down = step_down
         self._lease: rows.LeaderLease | None = None
-        self._since = 0.0
-        self._heard_at = 0.0
-        self._given_up = 0
-        self._handing_over: gevent.Greenlet | None = None
-        self._watching: gevent.Greenlet | None = None
+        self._lease_seen_at = 0.0
+        self._heartbeat_at = 0.0
+        self._taken_over_epoch = 0
+        self._hand_over_task: gevent.Greenlet | None = None
+        self._watcher: gevent.Greenlet | None = None
 
     def __enter__(self) -> Failover:
         self._peers.handle(TAKE_OVER, self._serve_take_over)
-        self._peers.handle(REACHES, self._serve_reaches)
-        self._watching = gevent.spawn(self._watch_coordinator)
+        self._peers.handle(REACHES, self._serve_reachability)
+        self._watcher = gevent.spawn(self._watch_coordinator)
         return self
 
     def __exit__(self, *_exc: object) -> None:
-        if self._watching is not None:
-            self._watching.kill(block=False)
+        if self._watcher is not None:
+            self._watcher.kill(block=False)
 
-    def follow(self, held: rows.LeaderLease) -> None:
-        """Take note of who holds the seat."""
-        self._lease, self._since = held, time.monotonic()
-        self._heard_at = self._since
+    def set_coordinator(self, lease: rows.LeaderLease) -> None:
+        """Watch the holder of a lease from now on."""
+        self._lease, self._lease_seen_at = lease, time.monotonic()
+        self._heartbeat_at = self._lease_seen_at
 
-    def heard(self, process: str) -> None:
-        """Take note of an announcement of the coordinator."""
+    def record_heartbeat(self, process: str) -> None:
+        """Record a heartbeat if it is from the coordinator."""
         if self._lease is not None and process == self._lease.process:
-            self._heard_at = time.monotonic()
+            self._heartbeat_at = time.monotonic()
 
-    def is_quiet(self) -> bool:
-        """Return whether a coordinator of some standing is heard by itself."""
+    def has_stable_coordinator(self) -> bool:
+        """Return whether the coordinator is past its grace period and alive.
+
+        Only its own heartbeats count.
+        """
         now = time.monotonic()
         return (
             self._lease is not None
-            and now - self._since >= YOUNG_S
-            and now - self._heard_at <= SILENT_AFTER_S
+            and now - self._lease_seen_at >= NEW_COORDINATOR_GRACE_S
+            and now - self._heartbeat_at <= HEARTBEAT_TIMEOUT_S
         )
 
-    def writes_fail(self, for_s: float) -> None:
-        """Look for a process that reaches the store, while this one does not."""
-        if for_s < HAND_OVER_AFTER_S:
+    def report_write_failure(self, failing_for_s: float) -> None:
+        """Start a handover to a process that reaches the store, if not under way.
+
+        Writes of this process have failed for `failing_for_s` seconds.
+        """
+        if failing_for_s < HAND_OVER_AFTER_S:
             return
-        if self._handing_over is None or self._handing_over.ready():
-            self._handing_over = gevent.spawn(self._hand_over)
+        if self._hand_over_task is None or self._hand_over_task.ready():
+            self._hand_over_task = gevent.spawn(self._hand_over)
 
     def _hand_over(self) -> None:
         epoch = self._lease.epoch
         names = self._peers.connected()
         random.shuffle(names)
         body = f"{epoch}".encode()
-        for name in names[:HAND_OVER_TRIES]:
-            answer = self._peers.call(name, TAKE_OVER, body, HAND_OVER_TIMEOUT_S)
+        for name in names[:HAND_OVER_ATTEMPTS]:
+            answer = self._peers.call(name, TAKE_OVER, body, PEER_CALL_TIMEOUT_S)
             if not isinstance(answer, errors.Failure):
-                self._leave(f"handed over to {name}, which reaches the store")
+                self._step_down(f"handed over to {name}, which reaches the store")
                 return
 
     def _serve_take_over(self, sender: str, body: bytes) -> bytes | errors.Failure:
-        """Claim the seat of a coordinator that cannot write."""
+        """Take over from a coordinator that cannot write, if the store is reachable."""
         if self.closing:
             return errors.Refused(reason="this process is stopping")
         found = leader_lease.read(self._store)
         if isinstance(found, errors.Failure):
             return found
         structured.decide(log, "seat_offered", by=sender, epoch=body.decode())
-        self._give_up(int(body))
+        self._take_over(int(body))
         return b""
 
     def _watch_coordinator(self) -> None:
-        """Give up a coordinator to which nobody has a stream any more."""
-        missing_since = None
+        """Take over from a coordinator that this and another process cannot reach."""
+        disconnected_since = None
         while True:
-            gevent.sleep(WATCH_S)
-            held, now = self._lease, time.monotonic()
+            gevent.sleep(CHECK_INTERVAL_S)
+            lease, now = self._lease, time.monotonic()
             connected = self._peers.connected()
             if (
-                held is None
+                lease is None
                 or self.closing
-                or held.process == self._process
-                or self._reaches(held.process, now)
-                or now - self._since < YOUNG_S
+                or lease.process == self._process
+                or self._is_reachable(lease.process, now)
+                or now - self._lease_seen_at < NEW_COORDINATOR_GRACE_S
             ):
-                missing_since = None
+                disconnected_since = None
                 continue
-            missing_since = missing_since or now
+            disconnected_since = disconnected_since or now
             rank = sorted([*connected, self._process]).index(self._process)
-            if now - missing_since < DEAD_AFTER_S + rank * RANK_DELAY_S:
+            if now - disconnected_since < DISCONNECT_TIMEOUT_S + rank * RANK_DELAY_S:
                 continue
-            if held.epoch != self._given_up and self._others_miss(held.process):
+            if lease.epoch != self._taken_over_epoch and self._confirm_unreachable(
+                lease.process
+            ):
                 structured.decide(
-                    log, "coordinator_missing", process=held.process, epoch=held.epoch
+                    log, "coordinator_missing", process=lease.process, epoch=lease.epoch
                 )
-                self._given_up = held.epoch
-                self._give_up(held.epoch)
+                self._taken_over_epoch = lease.epoch
+                self._take_over(lease.epoch)
 
-    def _others_miss(self, process: str) -> bool:
-        """Return whether another process has no stream to it either."""
+    def _confirm_unreachable(self, process: str) -> bool:
+        """Return whether one of the other peers cannot reach a process either."""
         for name in self._peers.connected()[:WITNESSES]:
             answer = self._peers.call(
-                name, REACHES, process.encode(), HAND_OVER_TIMEOUT_S
+                name, REACHES, process.encode(), PEER_CALL_TIMEOUT_S
             )
             if answer == b"no":
                 return True
         return False
 
-    def _serve_reaches(self, _sender: str, body: bytes) -> bytes:
-        reached = self._reaches(body.decode(), time.monotonic())
+    def _serve_reachability(self, _sender: str, body: bytes) -> bytes:
+        reached = self._is_reachable(body.decode(), time.monotonic())
         return b"yes" if reached else b"no"
 
-    def _reaches(self, process: str, now: float) -> bool:
-        """Return whether the coordinator is known to be alive."""
+    def _is_reachable(self, process: str, now: float) -> bool:
+        """Return whether a process is connected and, as coordinator, not silent."""
         if process == self._process:
             return True
-        silent = self._lease is not None and self._lease.process == process
-        if silent and now - self._heard_at > SILENT_AFTER_S:
+        is_coordinator = self._lease is not None and self._lease.process == process
+        if is_coordinator and now - self._heartbeat_at > HEARTBEAT_TIMEOUT_S:
             return False
         return process in self._peers.connected()
--- a/toucanspring/coordinator/leadership.py
+++ b/toucanspring/coordinator/leadership.py
@@ -1,4 +1,8 @@
-"""One tenure of the coordinator: recovery, planning, durable intents, orders."""
+"""The work of the coordinator for one epoch of the leader lease.
+
+It recovers the state of all jobs, then plans in rounds. The starts of a round are
+written to the store as durable intents before they are ordered at the workers.
+"""
 
 from __future__ import annotations
 
@@ -31,22 +35,23 @@
 
 log = logbook.Logger(__name__)
 
-# Starts need a view of the operators' wishes that is younger than this; the bounds
-# on evacuation and configuration are 2 s and more.
+# Nothing is started while the view of the operators' settings is older than this. The
+# required reaction times to evacuations and configuration changes are 2 s and more.
 MAX_VIEW_AGE_S = 1.8
-HOUSEKEEPING_S = 0.25
+HOUSEKEEPING_INTERVAL_S = 0.25
 LOAD_RETRY_S = 0.1
-DURABLE_LIMIT_S = 3.0
-RELEASE_LIMIT_S = 1.5  # of the time for a graceful stop
-# A status asked for while the last tasks end waits for the write under way: an answer
-# that is stale by a few milliseconds makes the caller ask again much later.
-STATUS_WAIT_S = 0.08
-STATUS_DURABLE_LIMIT_S = 0.4
+CANCEL_TIMEOUT_S = 3.0
+RELEASE_TIMEOUT_S = 1.5  # part of the time for a graceful stop
+# A status request that arrives while the last tasks of a job end waits for the write in
+# progress: after an answer that is stale by a few milliseconds, the caller would ask
+# again only much later.
+STATUS_ENDING_WAIT_S = 0.08
+STATUS_WRITE_WAIT_S = 0.4
 
 
 @dataclasses.dataclass(slots=True)
-class Note:
-    """Hold the ends that a worker may forget once they are durable."""
+class PendingAck:
+    """Ends up to `last_end` that a worker may forget once they are durable."""
 
     worker: workers.Worker
     last_end: int
@@ -54,111 +59,120 @@
 
 
 class Leadership:
-    """Own the cell's jobs from the claim of the seat until it is lost."""
+    """Coordinates the jobs of the cell until the leader lease is lost or released.
+
+    `request_approval` queues a request to the approval service, `on_failing` is called
+    while a write fails, with the seconds since its first attempt, and `on_round` after
+    each round, with its number of starts and its duration.
+    """
 
     def __init__(
         self,
         store: ports.Store,
         client: ports.Workers,
         directory: ports.Directory,
-        taken: leader_lease.Acquired,
+        acquired: leader_lease.Acquired,
         store_clock: leader_lease.StoreClock,
-        ask: Callable[[plans.ApprovalRequest], None],
+        request_approval: Callable[[plans.ApprovalRequest], None],
         max_lease_ms: int,
         on_failing: Callable[[float], None] = lambda _for_s: None,
         on_round: Callable[[int, float], None] = lambda _starts, _took_s: None,
     ) -> None:
         self.cell = cell_state.CellState()
-        self.epoch = taken.lease.epoch
+        self.epoch = acquired.lease.epoch
         self.ready = event.Event()
         self.ended = event.Event()
         self._store = store
         self._directory = directory
-        self._taken = taken
-        self._claimed_at = time.monotonic()
-        self._writer = fenced_writer.FencedWriter(store, taken, store_clock)
+        self._acquired = acquired
+        self._acquired_at = time.monotonic()
+        self._writer = fenced_writer.FencedWriter(store, acquired, store_clock)
         self._writer.on_failing = on_failing
         self._on_round = on_round
         self._planner = planner.Planner(self.cell)
-        self._desk = dispatch.Dispatcher(self, client, max_lease_ms)
+        self._dispatcher = dispatch.Dispatcher(self, client, max_lease_ms)
         self._max_lease_s = max_lease_ms / 1000
-        self._ask = ask
-        self._woken = event.Event()
-        self._committed = event.Event()
-        self._notes: list[Note] = []
-        self._waiters: list[event.AsyncResult] = []
-        self._jobs = table_cache.TableCache(store, rows.JOBS, self._take_job)
+        self._request_approval = request_approval
+        self._wake_event = event.Event()
+        self._commit_event = event.Event()
+        self._pending_acks: list[PendingAck] = []
+        self._cancel_waiters: list[event.AsyncResult] = []
+        self._jobs = table_cache.TableCache(store, rows.JOBS, self._on_job_row)
         self._removals: list[ports.RowId] = []
-        self._housekept_at = 0.0
-        self._releasing = False
+        self._housekeeping_at = 0.0
+        self._release_requested = False
 
     def run(self) -> None:
-        """Coordinate until the seat is lost or released."""
+        """Coordinate until the leader lease is lost or released."""
         try:
             if not self._load():
                 return
             with (
-                self._directory.follow_workers(self._take_workers),
-                self._desk,
+                self._directory.follow_workers(self._sync_workers),
+                self._dispatcher,
                 self._jobs,
             ):
-                self._take_workers()
+                self._sync_workers()
                 for worker in list(self.cell.workers.values()):
-                    self._desk.watch(worker)
+                    self._dispatcher.watch(worker)
                 self.ready.set()
                 log.info(
                     "epoch {}: coordinating {} jobs and {} workers",
                     self.epoch, len(self.cell.jobs), len(self.cell.workers),
                 )  # fmt: skip
                 while not self._writer.lost:
-                    self._woken.wait(leader_lease.RENEW_INTERVAL_S / 4)
-                    self._woken.clear()
-                    self._round()
-                    if self._releasing:
-                        self._leave()
+                    self._wake_event.wait(leader_lease.RENEW_INTERVAL_S / 4)
+                    self._wake_event.clear()
+                    self._run_round()
+                    if self._release_requested:
+                        self._release_lease()
         finally:
             self.ready.clear()
             self.ended.set()
-            failure = errors.Unavailable(reason="the seat has moved")
-            for waiter in self._waiters:
+            failure = errors.Unavailable(
+                reason="this process is no longer the coordinator"
+            )
+            for waiter in self._cancel_waiters:
                 waiter.set(failure)
 
     def release(self) -> None:
-        """Give the seat up after the round under way, as at a graceful stop."""
-        self._releasing = True
+        """Release the leader lease after the current round, for a graceful stop."""
+        self._release_requested = True
         self.wake()
-        self.ended.wait(RELEASE_LIMIT_S)
+        self.ended.wait(RELEASE_TIMEOUT_S)
 
-    def _leave(self) -> None:
+    def _release_lease(self) -> None:
         failure = self._writer.release()
         if failure is not None:
-            log.warning("epoch {}: not released: {}", self.epoch, failure)
+            log.warning(
+                "epoch {}: could not release the leader lease: {}", self.epoch, failure
+            )
 
-    # For orders
+    # Used by the dispatcher
 
     def wake(self) -> None:
-        """Plan again soon."""
-        self._woken.set()
+        """Run the next round without delay."""
+        self._wake_event.set()
 
     def may_renew(self, now: float) -> bool:
-        """Return whether leases of workers may be renewed."""
+        """Return whether worker leases may be renewed."""
         lost = self._writer.lost
         return not lost and self._writer.overdue_s(now) < dispatch.STORE_OUTAGE_GRACE_S
 
-    def note(self, worker: workers.Worker, last_end: int) -> None:
-        """Forget ends at the worker once the next write is durable."""
-        self._notes.append(Note(worker, last_end, worker.incarnation))
+    def acknowledge_ends(self, worker: workers.Worker, last_end: int) -> None:
+        """Acknowledge ends up to `last_end` to a worker after the next write."""
+        self._pending_acks.append(PendingAck(worker, last_end, worker.incarnation))
         self.wake()
 
-    def superseded(self, reason: str) -> None:
-        """End the tenure, since a worker has seen a higher epoch."""
+    def step_down(self, reason: str) -> None:
+        """Stop coordinating, since another process does or is about to."""
         if not self._writer.lost:
-            log.warning("epoch {}: superseded: {}", self.epoch, reason)
+            log.warning("epoch {}: stepping down: {}", self.epoch, reason)
         self._writer.lost = True
         self.wake()
 
     def measure(self) -> dict[str, float]:
-        """Return how much work is known, as numbers by name."""
+        """Return the gauges of the known work by name."""
         now = time.monotonic()
         usable = [
             worker
@@ -181,55 +195,55 @@
     def status(self, job_id: str) -> state.JobState | errors.Failure:
         """Return the durable state of a job."""
         if job_id not in self.cell.jobs:
-            failure = self._fetch(job_id)
+            failure = self._load_job(job_id)
             if failure is not None:
                 return failure
-        return self._await_outcome(self.cell.jobs[job_id])
+        return self._await_durable_state(self.cell.jobs[job_id])
 
-    def _await_outcome(self, record: state.JobRecord) -> state.JobState:
-        """Return the durable state, waiting shortly for one that is about to change."""
-        asked = time.monotonic()
+    def _await_durable_state(self, record: state.JobRecord) -> state.JobState:
+        """Return the durable state, after a short wait if it is about to change."""
+        asked_at = time.monotonic()
         while record.durable_state not in state.FINAL_STATES:
-            ending = record.state in state.FINAL_STATES
-            limit_s = STATUS_DURABLE_LIMIT_S if ending else STATUS_WAIT_S
-            left_s = asked + limit_s - time.monotonic()
-            if left_s <= 0 or not (ending or self._is_ending(record)):
+            has_ended = record.state in state.FINAL_STATES
+            limit_s = STATUS_WRITE_WAIT_S if has_ended else STATUS_ENDING_WAIT_S
+            left_s = asked_at + limit_s - time.monotonic()
+            if left_s <= 0 or not (has_ended or self._all_remaining_running(record)):
                 break
-            self._committed.clear()
-            self._committed.wait(left_s)
+            self._commit_event.clear()
+            self._commit_event.wait(left_s)
         return record.durable_state
 
     @staticmethod
-    def _is_ending(record: state.JobRecord) -> bool:
-        """Return whether all remaining tasks of a job run."""
+    def _all_remaining_running(record: state.JobRecord) -> bool:
+        """Return whether no task of a job waits to be started."""
         return not record.spec.repeats and all(
             not run.waiting for run in record.steps.values()
         )
 
     def cancel(self, job_id: str) -> state.JobState | errors.Failure:
-        """Cancel a job durably; one that has ended keeps its outcome."""
+        """Cancel a job durably and return its state; an ended job keeps its outcome."""
         if job_id not in self.cell.jobs:
-            failure = self._fetch(job_id)
+            failure = self._load_job(job_id)
             if failure is not None:
                 return failure
         record = self.cell.cancel(job_id, time.monotonic())
         if record.durable_state is record.state:
             return record.durable_state
         waiter = event.AsyncResult()
-        self._waiters.append(waiter)
+        self._cancel_waiters.append(waiter)
         self.wake()
         try:
-            failure = waiter.get(timeout=DURABLE_LIMIT_S)
+            failure = waiter.get(timeout=CANCEL_TIMEOUT_S)
         except gevent.Timeout:
             return errors.Ambiguous(reason="the cancellation is not durable yet")
         return record.durable_state if failure is None else failure
 
-    def _fetch(self, job_id: str) -> None | errors.Failure:
-        """Read a job that the feed has not brought yet."""
+    def _load_job(self, job_id: str) -> None | errors.Failure:
+        """Read a job from the store that the change feed has not delivered yet."""
         row = rows.find_job(self._store, job_id)
         if isinstance(row, errors.Failure):
             return row
-        self._take_job(row)
+        self._on_job_row(row)
         if job_id not in self.cell.jobs:
             return errors.Malformed(reason=f"job {job_id} is unreadable")
         return None
@@ -237,19 +251,20 @@
     # Recovery
 
     def _load(self) -> bool:
-        """Read all jobs and their progress; return whether the seat is still ours."""
+        """Read all jobs and their progress; return whether the lease is still held."""
         while not self._writer.lost:
             failure = self._try_load()
             if failure is None:
                 return True
-            log.warning("epoch {}: loading: {}", self.epoch, failure)
+            log.warning("epoch {}: loading jobs failed: {}", self.epoch, failure)
             if self._writer.overdue_s(time.monotonic()):
                 return False
             gevent.sleep(LOAD_RETRY_S)
         return False
 
     def _try_load(self) -> None | errors.Failure:
-        # After the claim no earlier commit can take effect, so this is final.
+        # Once the lease is acquired, no write of an earlier epoch can take effect, so
+        # the progress that is read here is final.
         progress = table_cache.read_table(self._store, rows.PROGRESS)
         if isinstance(progress, errors.Failure):
             return progress
@@ -258,17 +273,19 @@
             return failure
         for unread in (progress.unread_parts, self._jobs.unread_parts):
             if rows.COORDINATOR_PART in unread:
-                return errors.Unavailable(reason="the coordinator's part is down")
+                return errors.Unavailable(
+                    reason="the coordinator's part cannot be read"
+                )
         now = time.monotonic()
-        self._take_operators()
+        self._apply_operator_settings()
         self.cell.jobs.clear()
         for entry in self._directory.entries().values():
             self.cell.register_worker(entry)
         recovery.restore(self.cell, self._jobs.rows.values(), progress, now)
-        renewed_until = self._claimed_at + self._max_lease_s
-        if self._taken.predecessor_may_live:
+        renewed_until = self._acquired_at + self._max_lease_s
+        if self._acquired.predecessor_may_live:
             renewed_until += (
-                self._taken.predecessor_lease_left_s + dispatch.STORE_OUTAGE_GRACE_S
+                self._acquired.predecessor_lease_left_s + dispatch.STORE_OUTAGE_GRACE_S
             )
         for worker in self.cell.workers.values():
             worker.lease_expires_at = (
@@ -278,12 +295,12 @@
             )
         return None
 
-    def _take_job(self, row: ports.Row) -> None:
+    def _on_job_row(self, row: ports.Row) -> None:
         if not row.version or row.id.key in self.cell.jobs or not self.ready.is_set():
             return
         spec = rows.decode(job_specs.Job, row.value)
         if isinstance(spec, errors.Malformed):
-            log.error("job {}: {}", row.id.key, spec)
+            log.error("ignoring unreadable job {}: {}", row.id.key, spec)
             return
         self.cell.accept(spec, time.monotonic(), recovery.age_s(spec))
         structured.decide(
@@ -292,22 +309,22 @@
         )  # fmt: skip
         self.wake()
 
-    def _take_workers(self) -> None:
+    def _sync_workers(self) -> None:
         entries = self._directory.entries()
         for entry in entries.values():
             known = self.cell.workers.get(entry.id)
             if known is None or known.entry != entry or not known.registered:
-                self._desk.watch(self.cell.register_worker(entry))
+                self._dispatcher.watch(self.cell.register_worker(entry))
         for worker in list(self.cell.workers.values()):
             if worker.registered and worker.id not in entries:
                 structured.decide(log, "worker_unregistered", worker=worker.id)
                 self.cell.mark_unregistered(worker.id)
         self.wake()
 
-    def _take_operators(self) -> None:
-        known = self._directory.catalogue
-        if known is not None and self.cell.catalogue is not known:
-            self.cell.catalogue = known
+    def _apply_operator_settings(self) -> None:
+        catalogue = self._directory.catalogue
+        if catalogue is not None and self.cell.catalogue is not catalogue:
+            self.cell.catalogue = catalogue
             self.cell.capacity_version += 1
         if self.cell.zones_out != self._directory.zones_out:
             self.cell.zones_out = self._directory.zones_out
@@ -315,15 +332,15 @@
 
     # Rounds
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         now = time.monotonic()
-        self._take_operators()
-        self._keep_house(now)
+        self._apply_operator_settings()
+        self._run_housekeeping(now)
         plan = plans.Plan()
         if self._view_age(now) < MAX_VIEW_AGE_S and self._writer.holds_lease(now):
             plan = self._planner.plan(now)
-        for question in plan.approval_requests:
-            self._ask(question)
+        for request in plan.approval_requests:
+            self._request_approval(request)
         for wait in plan.waits:
             structured.decide(
                 log, "step_waits", step=wait.step.id, reason=wait.reason,
@@ -332,7 +349,7 @@
             )  # fmt: skip
         stops, self.cell.stops[:] = list(self.cell.stops), []
         for stop in stops:
-            self._desk.stop(stop)
+            self._dispatcher.stop(stop)
         self._commit(plan.starts, now)
         self._on_round(len(plan.starts), time.monotonic() - now)
 
@@ -342,12 +359,12 @@
     def _commit(self, starts: list[plans.Start], now: float) -> None:
         dirty = dict(self.cell.dirty)
         self.cell.dirty.clear()
-        notes, self._notes = self._notes, []
-        waiters, self._waiters = self._waiters, []
+        pending_acks, self._pending_acks = self._pending_acks, []
+        cancel_waiters, self._cancel_waiters = self._cancel_waiters, []
         removals, self._removals = tuple(self._removals), []
         renewal_due = now - self._writer.committed_at >= leader_lease.RENEW_INTERVAL_S
-        if not (dirty or waiters or removals or renewal_due):
-            self._noted(notes)
+        if not (dirty or cancel_waiters or removals or renewal_due):
+            self._apply_acks(pending_acks)
             return
         puts = {
             rows.progress_row_id(job_id): rows.encode(state.to_progress(record))
@@ -359,65 +376,69 @@
         states = {job_id: record.state for job_id, record in dirty.items()}
         failure = self._writer.commit(puts, removals)
         if failure is not None:
-            self._waiters.extend(waiters)
+            self._cancel_waiters.extend(cancel_waiters)
             return
         for job_id, record in dirty.items():
             record.durable_state = states[job_id]
             record.has_copy = True
-        self._committed.set()
+        self._commit_event.set()
         if starts:
             structured.decide(
                 log, "starts_recorded", commit=self._writer.writes, epoch=self.epoch,
-                placed=_show_starts(starts), view_age_s=round(self._view_age(now), 2),
+                placed=_format_starts(starts), view_age_s=round(self._view_age(now), 2),
                 count=len(starts), took_ms=round((time.monotonic() - now) * 1000),
             )  # fmt: skip
         for start in starts:
-            self._desk.start(start)
-        self._noted(notes)
-        for waiter in waiters:
+            self._dispatcher.start(start)
+        self._apply_acks(pending_acks)
+        for waiter in cancel_waiters:
             waiter.set(None)
 
-    def _noted(self, notes: list[Note]) -> None:
-        for note in notes:
-            if note.worker.incarnation == note.incarnation:
-                note.worker.acked_end = max(note.worker.acked_end, note.last_end)
-            self._desk.noted(note.worker)
+    def _apply_acks(self, pending_acks: list[PendingAck]) -> None:
+        for ack in pending_acks:
+            if ack.worker.incarnation == ack.incarnation:
+                ack.worker.acked_end = max(ack.worker.acked_end, ack.last_end)
+            self._dispatcher.notify_acknowledged(ack.worker)
 
-    def _keep_house(self, now: float) -> None:
-        if now - self._housekept_at < HOUSEKEEPING_S:
+    def _run_housekeeping(self, now: float) -> None:
+        if now - self._housekeeping_at < HOUSEKEEPING_INTERVAL_S:
             return
-        self._housekept_at = now
+        self._housekeeping_at = now
         for worker in stragglers.find_slow(self.cell.workers.values(), now):
             movable = stragglers.find_movable(worker, now)
             structured.decide(
                 log, "worker_slow", worker=worker.id, share=round(worker.slowness, 2),
                 tasks=len(worker.allocations), moved=len(movable),
             )  # fmt: skip
-            for held in movable:
-                self.cell.stop(held.step, held.task)
+            for allocation in movable:
+                self.cell.stop(allocation.step, allocation.task)
         self.cell.open_due_occurrences(round(time.time() * 1000), now)
         for job_id in self.cell.find_expired_jobs(now):
-            self._forget(job_id)
-
-    def _forget(self, job_id: str) -> None:
-        """Remove an ended job; its progress goes last, or it would run again."""
-        left = [
-            self._jobs.rows[place]
-            for place in rows.job_row_ids(job_id)
-            if place in self._jobs.rows
+            self._remove_job(job_id)
+
+    def _remove_job(self, job_id: str) -> None:
+        """Remove the rows of an ended job.
+
+        Its progress is removed last: a job without progress would run again after a
+        failover.
+        """
+        remaining = [
+            self._jobs.rows[row_id]
+            for row_id in rows.job_row_ids(job_id)
+            if row_id in self._jobs.rows
         ]
-        for row in left:
+        for row in remaining:
             self._store.transact({row.id: row.version}, {}, (row.id,))
-        if left or self._jobs.unread_parts:
-            return  # the feed tells when they are gone
+        if remaining or self._jobs.unread_parts:
+            return  # called again until the change feed reports that they are removed
         del self.cell.jobs[job_id]
         self._removals += [rows.job_copy_row_id(job_id), rows.progress_row_id(job_id)]
 
 
-def _show_starts(starts: list[plans.Start]) -> dict[str, list[str]]:
-    """Return for each step its runs as index, run and worker."""
-    shown: dict[str, list[str]] = {}
+def _format_starts(starts: list[plans.Start]) -> dict[str, list[str]]:
+    """Return the runs of each step, by its ID, as `index#run@worker`."""
+    formatted: dict[str, list[str]] = {}
     for start in starts:
-        runs = shown.setdefault(start.step.id, [])
+        runs = formatted.setdefault(start.step.id, [])
         runs.append(f"{start.task.index}#{start.run}@{start.worker.id}")
-    return shown
+    return formatted
--- a/toucanspring/coordinator/metered.py
+++ b/toucanspring/coordinator/metered.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of what a process calls and is called for."""
+"""Counters and latency histograms of the calls and requests of a process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Meters:
-    """Own the instruments of one process."""
+    """The counters, histograms and gauges of one process."""
 
     def __init__(self, registry: metrics.Service) -> None:
         self._calls = registry.counter(
@@ -44,30 +44,30 @@
     def count_call(
         self, target: str, operation: str, outcome: str, took_s: float, waits: bool
     ) -> None:
-        """Count one call; the time of one that waits for an event tells nothing."""
+        """Count one call, with its latency unless it waits for an event."""
         self._calls.inc({"target": target, "operation": operation, "outcome": outcome})
         if not waits:
             self._call_seconds.add({"target": target, "operation": operation}, took_s)
 
     def count_request(self, method: str, status: int, took_s: float) -> None:
-        """Count one request of a caller."""
+        """Count one request of a caller and its latency."""
         self._requests.inc({"method": method, "status": f"{status}"})
         self._request_seconds.add({"method": method}, took_s)
 
     def count_round(self, starts: int, took_s: float) -> None:
-        """Count one planning round."""
+        """Count one planning round, its duration and the runs that it starts."""
         self._round_seconds.add({}, took_s)
         if starts:
             self._starts.add({}, starts)
 
-    def show(self, values: dict[str, float]) -> None:
-        """Set the gauges."""
+    def set_gauges(self, values: dict[str, float]) -> None:
+        """Set the gauges to the given values by name."""
         for name, value in values.items():
             self._gauges.set({"name": name}, value)
 
 
 class _Metered:
-    """Measure calls of one target."""
+    """Base of the wrappers that measure the calls of one target."""
 
     target = ""
 
@@ -87,7 +87,7 @@
 
 
 class Store(_Metered):
-    """Measure a store; implements `ports.Store`."""
+    """Measures the calls of a store; implements `ports.Store`."""
 
     target = "store"
 
@@ -97,7 +97,7 @@
         puts: dict[ports.RowId, bytes],
         removals: tuple[ports.RowId, ...] = (),
     ) -> ports.Committed | ports.Rejected | errors.Failure:
-        """Apply all changes if every checked row has its version, else none."""
+        """Apply a transaction; see `ports.Store.transact`."""
         return self._call(
             "transact", lambda: self._inner.transact(checks, puts, removals)
         )
@@ -115,7 +115,7 @@
     def follow(
         self, table: str, after: int, wait_s: float
     ) -> ports.Changes | ports.HistoryGone | errors.Failure:
-        """Return what changed in a table after a version, waiting for a change."""
+        """Return the changes of a table; see `ports.Store.follow`."""
         return self._call(
             f"follow {table}",
             lambda: self._inner.follow(table, after, wait_s),
@@ -124,20 +124,20 @@
 
 
 class Workers(_Metered):
-    """Measure a client of workers; implements `ports.Workers`."""
+    """Measures the calls of workers; implements `ports.Workers`."""
 
     target = "worker"
 
     def start(
         self, worker: ports.WorkerEntry, order: ports.Start
     ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
-        """Start a run; a repeat of the same run changes nothing."""
+        """Start a run; idempotent for the same run."""
         return self._call("start", lambda: self._inner.start(worker, order))
 
     def stop(
         self, worker: ports.WorkerEntry, task: str, run: int, epoch: int
     ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
-        """Stop a run, or forbid it if it has not started."""
+        """Stop a run; if it has not started, make the worker refuse to start it."""
         return self._call("stop", lambda: self._inner.stop(worker, task, run, epoch))
 
     def poll(
@@ -148,7 +148,7 @@
         lease_until_ms: int | None,
         wait_ms: int,
     ) -> ports.PollReply | ports.OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `acked_end` and return the others."""
+        """Renew a lease and return the tasks of a worker; see `ports.Workers.poll`."""
         return self._call(
             "look",
             lambda: self._inner.poll(worker, epoch, acked_end, lease_until_ms, wait_ms),
@@ -156,17 +156,17 @@
         )
 
     def forget(self, worker_id: str) -> None:
-        """Close the connections to a worker that has left."""
+        """Close the connections to a worker that is gone."""
         self._inner.forget(worker_id)
 
 
 class Approvals(_Metered):
-    """Measure a client of the approval service; implements `ports.Approvals`."""
+    """Measures the calls of the approval service; implements `ports.Approvals`."""
 
     target = "approval"
 
     def ask(
         self, step: str, workers: list[str], timeout_s: float
     ) -> dict[str, str] | errors.Failure:
-        """Return the tickets of the workers that may run the step."""
+        """Return tickets, by worker, for those workers that may run the step."""
         return self._call("ask", lambda: self._inner.ask(step, workers, timeout_s))
--- a/toucanspring/coordinator/ports.py
+++ b/toucanspring/coordinator/ports.py
@@ -1,4 +1,8 @@
-"""What the coordinator needs of a platform: a table store, workers, approvals."""
+"""Interfaces of the coordinator to a platform: a table store, workers and approvals.
+
+A table of the store consists of parts; a transaction covers the rows of one part. Rows
+have versions, and the store has a steady clock of its own.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowId:
-    """Name a row."""
+    """The table, part and key that identify a row."""
 
     table: str
     part: str
@@ -22,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """Hold a row; version 0 means that it does not exist."""
+    """A row of a table; version 0 means that it does not exist."""
 
     id: RowId
     value: bytes
@@ -31,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreTimestamp:
-    """Say when the store answered: its steady clock and its newest version."""
+    """The newest version and the steady clock of the store at the time of a reply."""
 
     version: int
     store_ms: int
@@ -39,21 +43,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Committed:
-    """Report a transaction that took effect; the rows have `at.version`."""
+    """The transaction took effect; its rows now have version `at.version`."""
 
     at: StoreTimestamp
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """Report a transaction without effect, with the rows that were checked."""
+    """The transaction had no effect; `rows` are the checked rows as they are."""
 
     rows: tuple[Row, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Hold rows of one part at one moment, in order of their keys."""
+    """Rows of one part in order of their keys, from a consistent read."""
 
     rows: tuple[Row, ...]
     has_more: bool
@@ -62,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Hold changed rows in order; a removed row has version 0."""
+    """Changed rows in order of their changes; a removed row has version 0."""
 
     rows: tuple[Row, ...]
     at: StoreTimestamp
@@ -74,7 +78,7 @@
 
 
 class Store(Protocol):
-    """Read and change rows; a transaction covers rows of one part."""
+    """Client of the table store."""
 
     def transact(
         self,
@@ -82,9 +86,10 @@
         puts: dict[RowId, bytes],
         removals: tuple[RowId, ...] = (),
     ) -> Committed | Rejected | errors.Failure:
-        """Apply all changes if every checked row has its version, else none.
+        """Apply all changes if every row in `checks` has the given version, else none.
 
-        Returns `Unavailable` if it certainly had no effect, else `Ambiguous`.
+        A failure is `Unavailable` if the transaction certainly has no effect, else
+        `Ambiguous`.
         """
 
     def read(
@@ -98,14 +103,15 @@
     def follow(
         self, table: str, after: int, wait_s: float
     ) -> Changes | HistoryGone | errors.Failure:
-        """Return what changed in a table after a version, waiting for a change."""
+        """Return the changes of a table after a version; wait for one if none exist."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerEntry:
-    """Describe a worker as it registered itself.
+    """A worker as it registered itself.
 
-    `leaves_in_ms` is how long a draining worker stays at least, -1 if unknown.
+    `incarnation` identifies the run of its process. `leaves_in_ms` is the minimum time
+    that a draining worker stays, -1 if unknown.
     """
 
     id: str
@@ -115,14 +121,14 @@
     rack: str
     labels: frozenset[str]
     capacity: resources.Resources
-    incarnation: int = 0  # Unix milliseconds of its start; 0 if not told
+    incarnation: int = 0  # start time in Unix milliseconds; 0 if not reported
     draining: bool = False
     leaves_in_ms: int = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningTask:
-    """Report one task that a worker runs; `percent` is its progress."""
+    """A task that a worker runs; `percent` is its progress."""
 
     task: str
     run: int
@@ -132,18 +138,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedTask:
-    """Report how a run ended; `number` counts the ends of one life of a worker."""
+    """The end of a run; `number` counts the ends of one incarnation of a worker."""
 
     number: int
     task: str
     run: int
-    how: str
+    outcome: str
     checkpoint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollReply:
-    """Hold what a worker says of its tasks, with its own clock."""
+    """The tasks of a worker and the time of its clock."""
 
     clock_ms: int
     incarnation: int
@@ -153,17 +159,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderDone:
-    """Report an order that the worker carried out."""
+    """The worker carried out an order; `clock_ms` is the time of its clock."""
 
     clock_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class OrderRefused(errors.Failure):
-    """The worker did nothing; `reason` is one of the constants below."""
+    """The worker refused an order; `reason` is one of the constants below."""
 
 
-FENCED = "fenced"  # it has seen a higher epoch
+FENCED = "fenced"  # the worker has seen a higher epoch
 OLD_RUN = "old run"
 TOO_LATE = "too late"
 NO_ROOM = "no room"
@@ -175,7 +181,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Start:
-    """Order one run of a task."""
+    """An order to start one run of a task."""
 
     task: str
     run: int
@@ -187,17 +193,17 @@
 
 
 class Workers(Protocol):
-    """Give orders to workers; entries name them."""
+    """Client of the workers."""
 
     def start(
         self, worker: WorkerEntry, order: Start
     ) -> OrderDone | OrderRefused | errors.Failure:
-        """Start a run; a repeat of the same run changes nothing."""
+        """Start a run; idempotent for the same run."""
 
     def stop(
         self, worker: WorkerEntry, task: str, run: int, epoch: int
     ) -> OrderDone | OrderRefused | errors.Failure:
-        """Stop a run, or forbid it if it has not started."""
+        """Stop a run; if it has not started, make the worker refuse to start it."""
 
     def poll(
         self,
@@ -207,37 +213,45 @@
         lease_until_ms: int | None,
         wait_ms: int,
     ) -> PollReply | OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `acked_end` and return the others."""
+        """Renew the lease of a worker, acknowledge ends and return its tasks.
+
+        The worker forgets ends up to number `acked_end` and returns the others. It
+        replies once there is an end to return, at the latest after `wait_ms`. Without
+        `lease_until_ms` the lease is not renewed.
+        """
 
     def forget(self, worker_id: str) -> None:
-        """Close the connections to a worker that has left."""
+        """Close the connections to a worker that is gone."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """Allow the tasks of one step on one worker until `expires_at` (monotonic)."""
+    """Approval for one step on one worker, valid until monotonic time `expires_at`."""
 
     text: str
     expires_at: float
 
 
 class Approvals(Protocol):
-    """Ask the approval service about the workers of one step."""
+    """Client of the approval service."""
 
     def ask(
         self, step: str, workers: list[str], timeout_s: float
     ) -> dict[str, str] | errors.Failure:
-        """Return the tickets of the workers that may run the step."""
+        """Return tickets, by worker, for those workers that may run the step."""
 
 
 class Directory(Protocol):
-    """Know the operators' wishes and the workers, as kept up by the platform."""
+    """Current settings of the operators and the registered workers.
+
+    The platform keeps them up to date.
+    """
 
     catalogue: catalogue.Catalogue | None
     zones_out: frozenset[str]
 
     def age(self, now: float) -> float:
-        """Return for how many seconds changes may have been missed."""
+        """Return the age of the view in seconds; later changes may be missing."""
 
     def entries(self) -> dict[str, WorkerEntry]:
         """Return the registered workers."""
@@ -245,4 +259,7 @@
     def follow_workers(
         self, changed: Callable[[], None]
     ) -> contextlib.AbstractContextManager[None]:
-        """Keep `entries` up to date while the returned context is open."""
+        """Keep `entries` up to date while the context is open.
+
+        Each change of the entries is followed by a call of `changed`.
+        """
--- a/toucanspring/coordinator/rows.py
+++ b/toucanspring/coordinator/rows.py
@@ -1,4 +1,4 @@
-"""Rows that the processes keep in the table store, and their codec."""
+"""Rows that the processes store in the table store, and their encoding."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 LEADER_LEASE_TABLE = "seat"
 MEMBERS = "members"
 COORDINATOR_PART = "coordinator"
-# Acceptance is spread over parts, since a part takes its transactions one by one. While
-# the store is 70 times slower, each takes 0.4 s; at 40 jobs a second 17 are under way.
+# Accepted jobs are spread over parts, since a part applies its transactions one at a
+# time. When the store is 70 times slower than usual, each takes 0.4 s; at 40 jobs per
+# second, 17 are in flight at once.
 JOB_PARTS = 32
 PARTS_PER_JOB = 3
-PART_STRIDE = 11  # no divisor of the number of parts
+PART_STRIDE = 11  # coprime to the number of parts
 
 LEADER_LEASE_ROW = ports.RowId(LEADER_LEASE_TABLE, COORDINATOR_PART, "coordinator")
 
 
 class LeaderLease(msgspec.Struct, frozen=True, array_like=True):
-    """Say which process coordinates; `sequence` rises with each of its writes.
+    """The leader lease; its holder is the coordinator, an empty `process` means none.
 
-    `expires_ms` is on the store's clock.
+    `sequence` increases with each write under the lease. `expires_ms` is a time on the
+    store's clock.
     """
 
     process: str
@@ -38,7 +40,7 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """Say where a process listens for its peers."""
+    """A process of the cell, with the address and port where peers connect to it."""
 
     process: str
     address: str
@@ -46,7 +48,10 @@
 
 
 class TaskRow(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a task that has started; `worker` is empty unless it may be running."""
+    """A task that has started; `worker` is empty unless the task may be running.
+
+    `incarnation` is that of the worker.
+    """
 
     index: int
     run: int
@@ -59,7 +64,7 @@
 
 
 class StepRow(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the started tasks of one step in one occurrence."""
+    """The started tasks of one step in one occurrence of its job."""
 
     occurrence: int
     step: int
@@ -68,7 +73,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what has become of a job; `state` is a value of `state.JobState`."""
+    """The durable progress of a job; `state` is a value of `state.JobState`."""
 
     state: str
     steps: tuple[StepRow, ...] = ()
@@ -84,7 +89,7 @@
 
 
 def decode(kind: type, value: bytes) -> object | errors.Malformed:
-    """Return the record in a row."""
+    """Decode the value of a row."""
     try:
         return _decoders[kind].decode(value)
     except msgspec.MsgspecError as error:
@@ -92,10 +97,10 @@
 
 
 def job_row_ids(job_id: str) -> list[ports.RowId]:
-    """Return where an accepted job may be, in the order in which that is tried.
+    """Return the rows where an accepted job may be stored, in the order of attempts.
 
-    A part of the store may be down alone. A job in several places is one job, since
-    all that becomes of it is kept under its ID.
+    A single part of the store may be down. A job that is stored in several rows is
+    still one job, since its progress is stored under its ID.
     """
     first = zlib.crc32(job_id.encode()) % JOB_PARTS
     return [
@@ -105,10 +110,10 @@
 
 
 def find_job(store: ports.Store, job_id: str) -> ports.Row | errors.Failure:
-    """Return the row of an accepted job; `NotFound` only if no place has it."""
+    """Return the row of an accepted job; `NotFound` if all its rows are absent."""
     failure: errors.Failure | None = None
-    for place in (*job_row_ids(job_id), job_copy_row_id(job_id)):
-        page = store.read(place.table, place.part, job_id, job_id + "\0")
+    for row_id in (*job_row_ids(job_id), job_copy_row_id(job_id)):
+        page = store.read(row_id.table, row_id.part, job_id, job_id + "\0")
         if isinstance(page, errors.Failure):
             failure = page
         elif page.rows:
@@ -117,10 +122,13 @@
 
 
 def job_copy_row_id(job_id: str) -> ports.RowId:
-    """Return the coordinator's copy of a job, written with its first progress."""
+    """Return the ID of the coordinator's copy of a job.
+
+    The copy is written together with the job's first progress.
+    """
     return ports.RowId(JOBS, COORDINATOR_PART, job_id)
 
 
 def progress_row_id(job_id: str) -> ports.RowId:
-    """Return the row of a job's progress."""
+    """Return the ID of the row with a job's progress."""
     return ports.RowId(PROGRESS, COORDINATOR_PART, job_id)
--- a/toucanspring/coordinator/service.py
+++ b/toucanspring/coordinator/service.py
@@ -1,4 +1,8 @@
-"""The coordinator's side of each process: candidacy, calls to whoever coordinates."""
+"""Part of the coordinator that runs in each process of the cell.
+
+Each process is a candidate for the leader lease and coordinates while it holds it. The
+others forward calls to the coordinator.
+"""
 
 from __future__ import annotations
 
@@ -32,21 +36,21 @@
 
 log = logbook.Logger(__name__)
 
-LOOK_AT_SEAT_S = 1.0
-RETRY_S = 0.15
-# Processes come and go rarely, and a change ends the wait.
+LEASE_CHECK_INTERVAL_S = 1.0
+STORE_RETRY_S = 0.15
+# Processes rarely join or leave, and a change ends the wait.
 MEMBERS_WAIT_S = 4.0
 CALL_TIMEOUT_S = 1.2
-KEEPALIVE_S = 3.0  # streams of peers close after 10 s of silence
-RELAY_LINKS = 2  # processes beside the coordinator that calls may be relayed to
-ANNOUNCE = "seat"
-UNKNOWN_AGE_S = 1e6  # shown for the age of a view that was never complete
+KEEPALIVE_INTERVAL_S = 3.0  # streams between peers close after 10 s without traffic
+RELAY_PEERS = 2  # processes besides the coordinator that calls may be relayed to
+HEARTBEAT_NOTICE = "seat"
+UNKNOWN_VIEW_AGE_S = 1e6  # reported until the view has been complete once
 METHODS = ("status", "cancel", "pending")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Options:
-    """Settings of one process; `max_lease_ms` is the longest lease of a worker."""
+    """Settings of one process; `max_lease_ms` is the longest worker lease."""
 
     process: str
     address: str
@@ -55,7 +59,7 @@
 
 
 class Service:
-    """Run for the seat, coordinate while it is held, and call who holds it."""
+    """Acquires the leader lease, coordinates while holding it, and forwards calls."""
 
     def __init__(
         self,
@@ -74,83 +78,87 @@
         self._directory = directory
         self._meters = meters
         self._instance_id = uuid.uuid4().hex[:12]
-        self._clock = leader_lease.StoreClock()
+        self._store_clock = leader_lease.StoreClock()
         self._lease: rows.LeaderLease | None = None
         self._leadership: leadership.Leadership | None = None
         self._draining = False
-        self._looked = event.Event()
-        self._vacated = 0  # epoch of a coordinator that is given up
+        self._takeover_event = event.Event()
+        self._takeover_epoch = 0  # see `leader_lease.acquire`
         self._members = table_cache.TableCache(
-            store, rows.MEMBERS, self._take_member, wait_s=MEMBERS_WAIT_S
+            store, rows.MEMBERS, self._on_member_row, wait_s=MEMBERS_WAIT_S
         )
-        self._intake = job_writer.JobWriter(store)
-        self._approvals = approval_dispatcher.ApprovalDispatcher(
-            kernel, metered.Approvals(approvals, meters), self._answered
+        self._job_writer = job_writer.JobWriter(store)
+        self._approval_dispatcher = approval_dispatcher.ApprovalDispatcher(
+            kernel, metered.Approvals(approvals, meters), self._on_approval_reply
         )
         self._failover = failover.Failover(
-            options.process, kernel.find("peers"), store, self._give_up, self._leave
+            options.process,
+            kernel.find("peers"),
+            store,
+            self._take_over,
+            self._step_down,
         )
         self._greenlets: list[gevent.Greenlet] = []
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Register, follow the members and run for the seat."""
+        """Register this process, watch the members and start the election."""
         peers = self._kernel.find("peers")
         for method in METHODS:
-            peers.handle(method, self._handler(method))
-        peers.handle(approval_dispatcher.METHOD, self._approvals.serve)
-        peers.handle_notice(ANNOUNCE, self._take_announcement)
-        self._intake.__enter__()
+            peers.handle(method, self._make_handler(method))
+        peers.handle(approval_dispatcher.METHOD, self._approval_dispatcher.serve)
+        peers.handle_notice(HEARTBEAT_NOTICE, self._handle_heartbeat)
+        self._job_writer.__enter__()
         self._failover.__enter__()
         self._members.__enter__()
         self._greenlets = [
             gevent.spawn(self._register),
-            gevent.spawn(self._run_for_seat),
-            gevent.spawn(self._keep_streams),
+            gevent.spawn(self._run_election),
+            gevent.spawn(self._send_heartbeats),
         ]
 
     def stop_accepting(self) -> None:
-        """Leave the seat to others."""
+        """Release the leader lease and acquire it no more."""
         self._draining = self._failover.closing = True
         if self._leadership is not None:
             self._leadership.release()
-        self._announce_vacancy()
+        self._announce_release()
 
     def stop(self) -> None:
-        """End all work of this process."""
+        """Stop all work and remove the member row of this process."""
         gevent.killall(self._greenlets, block=False)
         self._members.close()
-        self._intake.__exit__()
+        self._job_writer.__exit__()
         self._failover.__exit__()
-        place = ports.RowId(rows.MEMBERS, "", self._options.process)
-        row = self._members.rows.get(place)
+        row_id = ports.RowId(rows.MEMBERS, "", self._options.process)
+        row = self._members.rows.get(row_id)
         if row is not None:
-            answer = self._store.transact({place: row.version}, {}, (place,))
+            answer = self._store.transact({row_id: row.version}, {}, (row_id,))
             if isinstance(answer, errors.Failure):
-                log.warning("the row of this process stays: {}", answer)
+                log.warning("could not remove the member row: {}", answer)
 
     def measure(self) -> dict[str, float]:
-        """Return what this process believes, as numbers by name."""
-        held = self._leadership
+        """Return the gauges of this process by name."""
+        current = self._leadership
         known = {
             "epoch": self._lease.epoch if self._lease is not None else 0,
-            "coordinates": float(held is not None and held.ready.is_set()),
+            "coordinates": float(current is not None and current.ready.is_set()),
             "view_age_seconds": min(
-                UNKNOWN_AGE_S, self._directory.age(time.monotonic())
+                UNKNOWN_VIEW_AGE_S, self._directory.age(time.monotonic())
             ),
             "peers_connected": len(self._kernel.find("peers").connected()),
         }
-        return {**known, **(held.measure() if held is not None else {})}
+        return {**known, **(current.measure() if current is not None else {})}
 
     # Calls
 
     def submit(self, spec: job_specs.Job, timeout_s: float) -> None | errors.Failure:
-        """Store a job; see `job_writer.JobWriter.accept`."""
-        return self._intake.accept(spec, timeout_s)
+        """Store an accepted job; see `job_writer.JobWriter.accept`."""
+        return self._job_writer.accept(spec, timeout_s)
 
     def status(self, job_id: str) -> state.JobState | errors.Failure:
-        """Return the state of a job, from the store if nobody coordinates."""
+        """Return the state of a job, from the store if the coordinator fails."""
         answer = self._call("status", job_id)
         if isinstance(answer, errors.Failure) and not isinstance(
             answer, errors.NotFound
@@ -159,34 +167,36 @@
         return answer if isinstance(answer, errors.Failure) else state.JobState(answer)
 
     def cancel(self, job_id: str) -> state.JobState | errors.Failure:
-        """Cancel a job; returns once that is durable."""
+        """Cancel a job; returns once the cancellation is durable."""
         answer = self._call("cancel", job_id)
         return answer if isinstance(answer, errors.Failure) else state.JobState(answer)
 
     def pending(self, queue: str) -> int | errors.Failure:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return how many accepted jobs of a queue have not started."""
         return self._call("pending", queue)
 
     def relays(self) -> list[str]:
-        """Return processes that calls may be passed to, the coordinator first."""
-        names = self._targets()
+        """Return the processes that calls can be relayed to, the coordinator first."""
+        names = self._peer_targets()
         first = self._lease.process if self._lease is not None else ""
         return sorted(names, key=lambda name: (name != first, name))
 
     def _call(self, method: str, argument: str) -> object | errors.Failure:
-        held = self._lease
-        if held is None:
+        lease = self._lease
+        if lease is None:
             return errors.Unavailable(reason="no coordinator is known")
-        if held.process == self._options.process:
+        if lease.process == self._options.process:
             return self._answer(method, argument)
         body = self._kernel.find("peers").call(
-            held.process, method, argument.encode(), CALL_TIMEOUT_S
+            lease.process, method, argument.encode(), CALL_TIMEOUT_S
         )
         if isinstance(body, errors.Failure):
             return body
         return msgspec.msgpack.decode(body)
 
-    def _handler(self, method: str) -> Callable[[str, bytes], bytes | errors.Failure]:
+    def _make_handler(
+        self, method: str
+    ) -> Callable[[str, bytes], bytes | errors.Failure]:
         def handle(_sender: str, body: bytes) -> bytes | errors.Failure:
             answer = self._answer(method, body.decode())
             if isinstance(answer, errors.Failure):
@@ -196,23 +206,23 @@
         return handle
 
     def _answer(self, method: str, argument: str) -> object | errors.Failure:
-        held = self._leadership
-        if held is None or not held.ready.is_set():
-            return errors.Unavailable(reason="this process does not coordinate")
+        current = self._leadership
+        if current is None or not current.ready.is_set():
+            return errors.Unavailable(reason="this process is not the coordinator")
         match method:
             case "status":
-                found = held.status(argument)
+                found = current.status(argument)
                 return found if isinstance(found, errors.Failure) else found.value
             case "cancel":
-                found = held.cancel(argument)
+                found = current.cancel(argument)
                 return found if isinstance(found, errors.Failure) else found.value
             case _:
-                return held.cell.pending(argument)
+                return current.cell.pending(argument)
 
     def _read_status(self, job_id: str) -> state.JobState | errors.Failure:
-        """Return the state of a job from its rows."""
-        place = rows.progress_row_id(job_id)
-        page = self._store.read(place.table, place.part, job_id, job_id + "\0")
+        """Return the state of a job from its rows in the store."""
+        row_id = rows.progress_row_id(job_id)
+        page = self._store.read(row_id.table, row_id.part, job_id, job_id + "\0")
         if isinstance(page, errors.Failure):
             return page
         if page.rows:
@@ -225,28 +235,28 @@
 
     # Approvals
 
-    def _answered(self, question: plans.ApprovalRequest) -> None:
-        del question
+    def _on_approval_reply(self, request: plans.ApprovalRequest) -> None:
+        del request
         if self._leadership is not None:
             self._leadership.wake()
 
     # Members
 
     def _register(self) -> None:
-        """Write where this process listens."""
+        """Write the member row of this process; retries until it is stored."""
         options = self._options
-        place = ports.RowId(rows.MEMBERS, "", options.process)
+        row_id = ports.RowId(rows.MEMBERS, "", options.process)
         value = rows.encode(
             rows.MemberRow(options.process, options.address, options.peer_port)
         )
         while True:
-            answer = self._store.transact({}, {place: value})
+            answer = self._store.transact({}, {row_id: value})
             if isinstance(answer, ports.Committed):
                 return
-            gevent.sleep(RETRY_S * (1 + random.random()))
+            gevent.sleep(STORE_RETRY_S * (1 + random.random()))
 
-    def _take_member(self, _row: ports.Row) -> None:
-        self._set_targets()
+    def _on_member_row(self, _row: ports.Row) -> None:
+        self._update_peer_targets()
 
     def _member_rows(self) -> dict[str, rows.MemberRow]:
         found = {}
@@ -257,8 +267,12 @@
         found.pop(self._options.process, None)
         return found
 
-    def _targets(self) -> list[str]:
-        """Return the processes that this one keeps a stream to."""
+    def _peer_targets(self) -> list[str]:
+        """Return the processes to which this one keeps a stream open.
+
+        The coordinator is connected to all processes, the others to the coordinator and
+        to the next `RELAY_PEERS` processes in the ring of names.
+        """
         members = sorted(self._member_rows())
         if self._leadership is not None:
             return members
@@ -266,139 +280,145 @@
         own = self._options.process
         ring = [name for name in members if name > own]
         ring += [name for name in members if name < own]
-        chosen = ring[:RELAY_LINKS]
+        chosen = ring[:RELAY_PEERS]
         if self._lease is not None and self._lease.process in members:
             chosen = [self._lease.process, *chosen]
         return list(dict.fromkeys(chosen))
 
-    def _set_targets(self) -> None:
+    def _update_peer_targets(self) -> None:
         members = self._member_rows()
         self._kernel.find("peers").set_targets(
             {
                 name: (members[name].address, members[name].port)
-                for name in self._targets()
+                for name in self._peer_targets()
             }
         )
 
-    def _keep_streams(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
-            leading = self._leadership is not None
-            gevent.sleep(failover.HEARTBEAT_S if leading else KEEPALIVE_S)
-            self._announce()
+            is_coordinator = self._leadership is not None
+            gevent.sleep(
+                failover.HEARTBEAT_INTERVAL_S
+                if is_coordinator
+                else KEEPALIVE_INTERVAL_S
+            )
+            self._send_heartbeat()
 
-    def _announce(self) -> None:
-        """Tell the others who coordinates; keeps the streams to them open."""
+    def _send_heartbeat(self) -> None:
+        """Send the known lease to the connected peers, which keeps the streams open."""
         peers = self._kernel.find("peers")
-        held = self._lease
-        body = rows.encode(held) if held is not None else b""
-        for name in self._targets():
-            peers.notify(name, ANNOUNCE, body)
-
-    def _announce_vacancy(self) -> None:
-        held = self._lease
-        if held is None or held.process != self._options.process:
+        lease = self._lease
+        body = rows.encode(lease) if lease is not None else b""
+        for name in self._peer_targets():
+            peers.notify(name, HEARTBEAT_NOTICE, body)
+
+    def _announce_release(self) -> None:
+        lease = self._lease
+        if lease is None or lease.process != self._options.process:
             return
-        vacant = rows.LeaderLease("", "", held.epoch, held.sequence, 0, "")
-        for name in self._targets():
-            self._kernel.find("peers").notify(name, ANNOUNCE, rows.encode(vacant))
+        released = rows.LeaderLease("", "", lease.epoch, lease.sequence, 0, "")
+        for name in self._peer_targets():
+            self._kernel.find("peers").notify(
+                name, HEARTBEAT_NOTICE, rows.encode(released)
+            )
 
-    def _take_announcement(self, sender: str, body: bytes) -> None:
-        self._failover.heard(sender)
+    def _handle_heartbeat(self, sender: str, body: bytes) -> None:
+        self._failover.record_heartbeat(sender)
         if not body:
             return
-        heard = rows.decode(rows.LeaderLease, body)
-        if isinstance(heard, errors.Malformed):
-            log.warning("announcement of the seat: {}", heard)
+        announced = rows.decode(rows.LeaderLease, body)
+        if isinstance(announced, errors.Malformed):
+            log.warning("ignoring a malformed heartbeat of {}: {}", sender, announced)
             return
         known = self._lease
-        if not heard.process:
-            if known is None or heard.epoch >= known.epoch:
-                self._give_up(heard.epoch)  # its holder has left
-        elif known is None or heard.epoch > known.epoch:
-            self._take_seat(heard)
-
-    def _take_seat(self, held: rows.LeaderLease) -> None:
-        changed = self._lease is None or held.epoch != self._lease.epoch
-        self._lease = held
+        if not announced.process:
+            if known is None or announced.epoch >= known.epoch:
+                self._take_over(announced.epoch)  # its holder has released it
+        elif known is None or announced.epoch > known.epoch:
+            self._set_coordinator(announced)
+
+    def _set_coordinator(self, lease: rows.LeaderLease) -> None:
+        changed = self._lease is None or lease.epoch != self._lease.epoch
+        self._lease = lease
         if changed:
-            self._failover.follow(held)
+            self._failover.set_coordinator(lease)
             structured.decide(
-                log, "coordinator_known", process=held.process, epoch=held.epoch
+                log, "coordinator_known", process=lease.process, epoch=lease.epoch
             )
-            self._set_targets()
+            self._update_peer_targets()
 
-    # The seat
+    # Election
 
-    def _give_up(self, epoch: int) -> None:
-        """Claim the seat of an epoch although its lease may not be over."""
-        self._vacated = epoch
-        self._looked.set()
+    def _take_over(self, epoch: int) -> None:
+        """Acquire the lease even if it is held under `epoch` and has not expired."""
+        self._takeover_epoch = epoch
+        self._takeover_event.set()
 
-    def _leave(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         if self._leadership is not None:
-            self._leadership.superseded(reason)
+            self._leadership.step_down(reason)
 
-    def _run_for_seat(self) -> None:
+    def _run_election(self) -> None:
         while True:
             if self._draining:
-                self._follow_seat()
+                self._read_lease()
                 continue
             found = leader_lease.acquire(
                 self._store,
                 self._options.process,
                 self._options.address,
                 self._instance_id,
-                self._vacated,
+                self._takeover_epoch,
             )
             match found:
                 case leader_lease.Acquired():
                     self._coordinate(found)
-                    self._looked.wait(LOOK_AT_SEAT_S)
-                case leader_lease.HeldByOther(lease=held, expires_in_s=left_s):
-                    if held.process:
-                        self._take_seat(held)
-                    pause = left_s + 0.05 * random.random()
-                    if not self._failover.is_quiet():
-                        pause = min(LOOK_AT_SEAT_S, pause)
-                    self._looked.wait(pause)
+                    self._takeover_event.wait(LEASE_CHECK_INTERVAL_S)
+                case leader_lease.HeldByOther(lease=lease, expires_in_s=expires_in_s):
+                    if lease.process:
+                        self._set_coordinator(lease)
+                    pause = expires_in_s + 0.05 * random.random()
+                    if not self._failover.has_stable_coordinator():
+                        pause = min(LEASE_CHECK_INTERVAL_S, pause)
+                    self._takeover_event.wait(pause)
                 case errors.Conflict():
                     gevent.sleep(0.02)
                 case errors.Failure():
-                    log.debug("seat: {}", found)
-                    gevent.sleep(RETRY_S * (1 + random.random()))
-            self._looked.clear()
+                    log.debug("could not acquire the leader lease: {}", found)
+                    gevent.sleep(STORE_RETRY_S * (1 + random.random()))
+            self._takeover_event.clear()
 
-    def _follow_seat(self) -> None:
+    def _read_lease(self) -> None:
         found = leader_lease.read(self._store)
         if not isinstance(found, errors.Failure) and found[0] is not None:
-            self._take_seat(found[0])
-        gevent.sleep(LOOK_AT_SEAT_S / 2)
-
-    def _coordinate(self, taken: leader_lease.Acquired) -> None:
-        self._take_seat(taken.lease)
-        structured.decide(log, "seat_taken", epoch=taken.lease.epoch)
-        self._clock = leader_lease.StoreClock()
-        self._clock.update(
-            taken.lease.expires_ms - leader_lease.LEASE_MS, time.monotonic()
+            self._set_coordinator(found[0])
+        gevent.sleep(LEASE_CHECK_INTERVAL_S / 2)
+
+    def _coordinate(self, acquired: leader_lease.Acquired) -> None:
+        self._set_coordinator(acquired.lease)
+        structured.decide(log, "seat_taken", epoch=acquired.lease.epoch)
+        self._store_clock = leader_lease.StoreClock()
+        self._store_clock.update(
+            acquired.lease.expires_ms - leader_lease.LEASE_MS, time.monotonic()
         )
         self._leadership = leadership.Leadership(
             self._store,
             self._client,
             self._directory,
-            taken,
-            self._clock,
-            self._approvals.ask,
+            acquired,
+            self._store_clock,
+            self._approval_dispatcher.submit,
             self._options.max_lease_ms,
-            self._failover.writes_fail,
+            self._failover.report_write_failure,
             self._meters.count_round,
         )
-        self._set_targets()
-        self._announce()
+        self._update_peer_targets()
+        self._send_heartbeat()
         try:
             self._leadership.run()
         except Exception:
-            log.exception("epoch {}: the tenure ended", taken.lease.epoch)
+            log.exception("epoch {}: internal error", acquired.lease.epoch)
         finally:
             self._leadership = None
-            self._approvals.clear()
-            structured.decide(log, "seat_left", epoch=taken.lease.epoch)
+            self._approval_dispatcher.clear()
+            structured.decide(log, "seat_left", epoch=acquired.lease.epoch)
