--- a/toucanspring/coordinator/cell_state.py
+++ b/toucanspring/coordinator/cell_state.py
@@ -78,13 +78,13 @@
         record = self._add(spec, now, age_s)
         if progress is not None:
             state.restore(record, progress, now)
-        for run in record.steps.values():
-            for task in run.tasks:
+        for step_run in record.steps.values():
+            for task in step_run.tasks:
                 if task.phase is state.TaskPhase.IN_DOUBT:
-                    self._add_usage(run, task)
+                    self._add_usage(step_run, task)
         if not record.is_final:
-            for run in record.steps.values():
-                self.enqueue(run)
+            for step_run in record.steps.values():
+                self.enqueue(step_run)
             self.open_steps(record, now)
             return
         record.ended_at = now
@@ -140,11 +140,11 @@
             for before in step.after
         )
 
-    def enqueue(self, run: state.StepRun) -> None:
+    def enqueue(self, step_run: state.StepRun) -> None:
         """Queue a step that has waiting tasks for planning."""
-        if run.waiting:
-            run.blocked_version = -1
-            self.ready[run.id] = run
+        if step_run.waiting:
+            step_run.blocked_version = -1
+            self.ready[step_run.id] = step_run
 
     def cancel(self, job_id: str, now: float) -> state.JobRecord | None:
         """Cancel a job, unless it has ended; return its record if it is known."""
@@ -170,17 +170,17 @@
         )
 
     def _stop_all(self, record: state.JobRecord) -> None:
-        for run in record.steps.values():
-            self.ready.pop(run.id, None)
-            for task in run.tasks:
-                self.stop(run, task)
+        for step_run in record.steps.values():
+            self.ready.pop(step_run.id, None)
+            for task in step_run.tasks:
+                self.stop(step_run, task)
 
-    def stop(self, run: state.StepRun, task: state.Task) -> None:
+    def stop(self, step_run: state.StepRun, task: state.Task) -> None:
         """Queue an order to stop a task, if it is or may be running."""
         if task.phase in (state.TaskPhase.RUNNING, state.TaskPhase.IN_DOUBT):
             task.phase = state.TaskPhase.STOPPING
             task.confirmed_at = float("inf")
-            self.stops.append(Stop(task.worker, run.task_id(task.index), task.run))
+            self.stops.append(Stop(task.worker, step_run.task_id(task.index), task.run))
 
     def find_expired_jobs(self, now: float) -> list[str]:
         """Return the IDs of ended jobs whose retention time is over."""
@@ -209,13 +209,13 @@
     def _reattach_tasks(self, worker: workers.Worker) -> None:
         """Allocate restored tasks to their worker, which has just been added."""
         for record in self.jobs.values():
-            for run in record.steps.values():
-                for task in run.tasks:
+            for step_run in record.steps.values():
+                for task in step_run.tasks:
                     if (
                         task.worker == worker.id
                         and task.phase in state.ALLOCATED_PHASES
                     ):
-                        self._add_allocation(worker, run, task)
+                        self._add_allocation(worker, step_run, task)
 
     def add_unregistered_worker(self, worker_id: str) -> workers.Worker:
         """Add a worker that restored tasks refer to but that is not registered."""
@@ -250,85 +250,91 @@
         return found
 
     def _add_allocation(
-        self, worker: workers.Worker, run: state.StepRun, task: state.Task
+        self, worker: workers.Worker, step_run: state.StepRun, task: state.Task
     ) -> None:
-        worker.allocations[run.task_id(task.index)] = workers.Allocation(run, task)
-        worker.used = worker.used + run.step.occupied()
+        worker.allocations[step_run.task_id(task.index)] = workers.Allocation(
+            step_run, task
+        )
+        worker.used = worker.used + step_run.step.occupied()
 
-    def _add_usage(self, run: state.StepRun, task: state.Task) -> None:
+    def _add_usage(self, step_run: state.StepRun, task: state.Task) -> None:
         worker = self.workers.get(task.worker)
         if worker is None:
             worker = self.add_unregistered_worker(task.worker)
-        self._add_allocation(worker, run, task)
-        owner = run.job.spec.organisation
-        self.used[owner] = self.used[owner] + run.step.demand
+        self._add_allocation(worker, step_run, task)
+        owner = step_run.job.spec.organisation
+        self.used[owner] = self.used[owner] + step_run.step.demand
 
-    def release(self, run: state.StepRun, task: state.Task) -> None:
+    def release(self, step_run: state.StepRun, task: state.Task) -> None:
         """Free the resources of a task that certainly no longer runs."""
         worker = self.workers.get(task.worker)
-        name = run.task_id(task.index)
-        if worker is not None and worker.allocations.pop(name, None) is not None:
-            worker.used = worker.used - run.step.occupied()
-        owner = run.job.spec.organisation
-        self.used[owner] = self.used[owner] - run.step.demand
+        task_id = step_run.task_id(task.index)
+        if worker is not None and worker.allocations.pop(task_id, None) is not None:
+            worker.used = worker.used - step_run.step.occupied()
+        owner = step_run.job.spec.organisation
+        self.used[owner] = self.used[owner] - step_run.step.demand
         task.worker = ""
         self.capacity_version += 1
 
     # Starts
 
     def allocate(
-        self, run: state.StepRun, task: state.Task, worker: workers.Worker, number: int
+        self,
+        step_run: state.StepRun,
+        task: state.Task,
+        worker: workers.Worker,
+        run_number: int,
     ) -> None:
         """Allocate resources for a run before it is ordered."""
         task.phase = state.TaskPhase.STARTING
-        task.run = number
+        task.run = run_number
         task.worker, task.incarnation = worker.id, worker.incarnation
         task.confirmed_at = float("inf")
         task.percent = task.sampled_percent = 0
         task.sampled_at = 0.0
         task.resumed = bool(task.checkpoint)
-        run.waiting.discard(task.index)
-        if not run.waiting:
-            self.ready.pop(run.id, None)
-        self._add_usage(run, task)
-        if run.job.state is state.JobState.QUEUED:
-            run.job.state = state.JobState.ACTIVE
-        self.dirty[run.job.spec.id] = run.job
+        step_run.waiting.discard(task.index)
+        if not step_run.waiting:
+            self.ready.pop(step_run.id, None)
+        self._add_usage(step_run, task)
+        if step_run.job.state is state.JobState.QUEUED:
+            step_run.job.state = state.JobState.ACTIVE
+        self.dirty[step_run.job.spec.id] = step_run.job
 
     def confirm_start(
-        self, run: state.StepRun, task: state.Task, number: int, now: float
+        self, step_run: state.StepRun, task: state.Task, run_number: int, now: float
     ) -> None:
         """Mark a run as running once its worker has confirmed the start."""
-        if task.run != number or task.phase is not state.TaskPhase.STARTING:
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
             return
         task.phase = state.TaskPhase.RUNNING
         task.started_at = task.progressed_at = now
         task.confirmed_at = now
-        if run.job.is_final or self._gang_broken(run, task):
-            self.stop(run, task)
+        if step_run.job.is_final or self._gang_broken(step_run, task):
+            self.stop(step_run, task)
 
-    def _gang_broken(self, run: state.StepRun, task: state.Task) -> bool:
-        return run.step.gang and any(
+    def _gang_broken(self, step_run: state.StepRun, task: state.Task) -> bool:
+        return step_run.step.gang and any(
             other.run != task.run or other.phase is state.TaskPhase.WAITING
-            for other in run.tasks
+            for other in step_run.tasks
         )
 
     def cancel_start(
-        self, run: state.StepRun, task: state.Task, number: int, now: float
+        self, step_run: state.StepRun, task: state.Task, run_number: int, now: float
     ) -> None:
         """Requeue a task whose start order certainly has no effect."""
-        if task.run != number or task.phase is not state.TaskPhase.STARTING:
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
             return
-        self.requeue(run, task, now)
+        self.requeue(step_run, task, now)
 
     def mark_start_ambiguous(
-        self, run: state.StepRun, task: state.Task, number: int
+        self, step_run: state.StepRun, task: state.Task, run_number: int
     ) -> None:
         """Stop a run that may or may not have started."""
-        if task.run != number or task.phase is not state.TaskPhase.STARTING:
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
             return
         task.phase = state.TaskPhase.IN_DOUBT
-        self.stop(run, task)
+        self.stop(step_run, task)
 
     def confirm_stop(self, worker_id: str, task_id: str, run: int, now: float) -> None:
         """Record a confirmed stop; the run ends or never starts."""
@@ -339,25 +345,27 @@
 
     # Requeueing
 
-    def return_to_queue(self, run: state.StepRun, task: state.Task, now: float) -> None:
+    def return_to_queue(
+        self, step_run: state.StepRun, task: state.Task, now: float
+    ) -> None:
         """Set an unallocated task to waiting and stop the other members of its gang."""
         task.phase = state.TaskPhase.WAITING
         task.started_at = task.progressed_at = 0.0
-        run.waiting.add(task.index)
-        if run.step.gang:
-            for other in run.tasks:
-                self.stop(run, other)
-        if run.job.is_final:
+        step_run.waiting.add(task.index)
+        if step_run.step.gang:
+            for other in step_run.tasks:
+                self.stop(step_run, other)
+        if step_run.job.is_final:
             return
-        run.ready_at = now
-        self.enqueue(run)
+        step_run.ready_at = now
+        self.enqueue(step_run)
 
-    def requeue(self, run: state.StepRun, task: state.Task, now: float) -> None:
+    def requeue(self, step_run: state.StepRun, task: state.Task, now: float) -> None:
         """Free the resources of a task and set it to waiting."""
         if task.phase in state.ALLOCATED_PHASES:
-            self.release(run, task)
-        self.return_to_queue(run, task, now)
-        self.dirty[run.job.spec.id] = run.job
+            self.release(step_run, task)
+        self.return_to_queue(step_run, task, now)
+        self.dirty[step_run.job.spec.id] = step_run.job
 
     def pending(self, queue: str) -> int:
         """Return how many jobs of a queue have not started, recurring jobs excluded."""
--- a/toucanspring/coordinator/dispatch.py
+++ b/toucanspring/coordinator/dispatch.py
@@ -195,10 +195,10 @@
         self._orders.spawn(self._start, start)
 
     def _start(self, start: plans.Start) -> None:
-        cell, worker, run = self._leader.cell, start.worker, start.step
-        task_id = run.task_id(start.task.index)
-        if run.job.is_final or start.task.run != start.run:
-            cell.cancel_start(run, start.task, start.run, self._clock())
+        cell, worker, step_run = self._leader.cell, start.worker, start.step
+        task_id = step_run.task_id(start.task.index)
+        if step_run.job.is_final or start.task.run != start.run:
+            cell.cancel_start(step_run, start.task, start.run, self._clock())
             return
         for attempt in range(MAX_START_ATTEMPTS):
             sent = self._clock()
@@ -211,7 +211,7 @@
                 ports.Start(
                     task=task_id,
                     run=start.run,
-                    payload=run.job.spec.payload,
+                    payload=step_run.job.spec.payload,
                     lease_until_ms=lease_until_ms,
                     epoch=self._leader.epoch,
                     checkpoint=start.task.checkpoint,
@@ -222,7 +222,7 @@
             match answer:
                 case ports.OrderDone(clock_ms=clock_ms):
                     worker.update_clock(clock_ms, now)
-                    cell.confirm_start(run, start.task, start.run, now)
+                    cell.confirm_start(step_run, start.task, start.run, now)
                     self._leader.wake()
                     return
                 case errors.Ambiguous() if attempt + 1 < MAX_START_ATTEMPTS:
@@ -230,14 +230,14 @@
                     continue  # starting the same run again is idempotent
                 case errors.Ambiguous():
                     worker.backoff_until = now + workers.BACKOFF_S
-                    cell.mark_start_ambiguous(run, start.task, start.run)
+                    cell.mark_start_ambiguous(step_run, start.task, start.run)
                 case ports.OrderRefused(reason=reason):
                     self._handle_refusal(start, reason, attempt > 0, now)
                 case _ if attempt > 0:
-                    cell.mark_start_ambiguous(run, start.task, start.run)
+                    cell.mark_start_ambiguous(step_run, start.task, start.run)
                 case _:
                     worker.backoff_until = now + workers.BACKOFF_S
-                    cell.cancel_start(run, start.task, start.run, now)
+                    cell.cancel_start(step_run, start.task, start.run, now)
             structured.decide(
                 log, "start_failed", task=task_id, run=start.run,
                 worker=worker.id, reason=answer.reason,
@@ -248,12 +248,12 @@
     def _handle_refusal(
         self, start: plans.Start, reason: str, repeated: bool, now: float
     ) -> None:
-        cell, worker, run = self._leader.cell, start.worker, start.step
+        cell, worker, step_run = self._leader.cell, start.worker, start.step
         if reason == ports.FENCED:
             self._leader.step_down(f"worker {worker.id} has seen a higher epoch")
             return
         if reason == ports.NO_TICKET:
-            run.tickets.pop(worker.id, None)
+            step_run.tickets.pop(worker.id, None)
         elif reason in (ports.NO_ROOM, ports.UNHEALTHY):
             worker.backoff_until = now + workers.BACKOFF_S
         elif reason == ports.INVALID:
@@ -261,9 +261,9 @@
             start.task.avoid_until = now + cell_state.FAILED_WORKER_AVOIDANCE_S
         if repeated or reason == ports.OLD_RUN:
             # The first order may have taken effect, and its run may have ended.
-            cell.mark_start_ambiguous(run, start.task, start.run)
+            cell.mark_start_ambiguous(step_run, start.task, start.run)
         else:
-            cell.cancel_start(run, start.task, start.run, now)
+            cell.cancel_start(step_run, start.task, start.run, now)
 
     def stop(self, order: cell_state.Stop) -> None:
         """Send a stop order until it is confirmed or the run is gone."""
--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -35,7 +35,7 @@
 
     def request_approval(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         names: list[str],
         plan: plans.Plan,
@@ -44,13 +44,13 @@
         """Request approval of workers, unless a request is pending or must wait."""
 
     def ticket(
-        self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
+        self, step_run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
         """Return a valid ticket, "" if none is needed, or None if there is none."""
 
     def start(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
         run_number: int,
@@ -60,7 +60,7 @@
     ) -> None:
         """Allocate resources for a run and add its start to the plan."""
 
-    def not_requested_with_room(self, run: state.StepRun) -> list[str]:
+    def not_requested_with_room(self, step_run: state.StepRun) -> list[str]:
         """Return workers with free capacity that no approval was requested for."""
 
 
@@ -73,60 +73,64 @@
 
     def plan(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
         """Start a gang if it fits, else reserve workers and preempt tasks for it."""
-        count = run.step.count
-        if len(run.waiting) < count:
-            plan.record_wait(run, plans.GANG_STILL_RUNNING)
+        count = step_run.step.count
+        if len(step_run.waiting) < count:
+            plan.record_wait(step_run, plans.GANG_STILL_RUNNING)
             return
-        if len({run.tasks[index].checkpoint for index in run.waiting}) > 1:
-            self._align_checkpoints(run)
+        if len({step_run.tasks[index].checkpoint for index in step_run.waiting}) > 1:
+            self._align_checkpoints(step_run)
         open_workers = [
             worker
             for worker in eligible
             if worker.id not in plan.reserved
-            and all(placement.may_retry_on(task, worker, now) for task in run.tasks)
+            and all(
+                placement.may_retry_on(task, worker, now) for task in step_run.tasks
+            )
         ]
-        chosen = placement.place_gang(run, open_workers, {})
+        chosen = placement.place_gang(step_run, open_workers, {})
         if chosen is None:
-            plan.record_wait(run, plans.NO_ROOM)
-            if now - run.ready_at >= RESERVE_AFTER_S:
-                self._reserve_and_preempt(run, queue, eligible, plan, now)
+            plan.record_wait(step_run, plans.NO_ROOM)
+            if now - step_run.ready_at >= RESERVE_AFTER_S:
+                self._reserve_and_preempt(step_run, queue, eligible, plan, now)
             return
         missing = [
             worker.id
             for worker, _ in chosen
-            if self._planner.ticket(run, queue, worker.id, now) is None
+            if self._planner.ticket(step_run, queue, worker.id, now) is None
         ]
         if missing:
-            plan.record_wait(run, plans.AWAITING_APPROVAL)
+            plan.record_wait(step_run, plans.AWAITING_APPROVAL)
             # Ask for all approved workers: capacity may change before the reply.
             names = [worker.id for worker in eligible]
-            self._planner.request_approval(run, queue, names, plan, now)
+            self._planner.request_approval(step_run, queue, names, plan, now)
             plan.reserved.update(worker.id for worker, _ in chosen)
             return
-        run_number = max(task.run for task in run.tasks) + 1
-        indices = iter(sorted(run.waiting))
+        run_number = max(task.run for task in step_run.tasks) + 1
+        indices = iter(sorted(step_run.waiting))
         for worker, share in chosen:
             for _ in range(share):
-                task = run.tasks[next(indices)]
-                self._planner.start(run, task, worker, run_number, queue, plan, now)
+                task = step_run.tasks[next(indices)]
+                self._planner.start(
+                    step_run, task, worker, run_number, queue, plan, now
+                )
 
     @staticmethod
-    def _align_checkpoints(run: state.StepRun) -> None:
+    def _align_checkpoints(step_run: state.StepRun) -> None:
         """Set the latest checkpoint for all members; it is valid for each of them."""
-        latest = max(run.tasks, key=lambda task: (task.percent, task.checkpoint))
-        for task in run.tasks:
+        latest = max(step_run.tasks, key=lambda task: (task.percent, task.checkpoint))
+        for task in step_run.tasks:
             task.checkpoint = latest.checkpoint
 
     def _reserve_and_preempt(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
@@ -141,19 +145,19 @@
             worker.id: self._find_victims(worker, queue.priority, now)
             for worker in open_workers
         }
-        chosen = self._choose_reservation(run, open_workers, victims, now)
+        chosen = self._choose_reservation(step_run, open_workers, victims, now)
         if chosen is None:
-            names = self._planner.not_requested_with_room(run)
+            names = self._planner.not_requested_with_room(step_run)
             if names:
-                self._planner.request_approval(run, queue, names, plan, now)
+                self._planner.request_approval(step_run, queue, names, plan, now)
             return
         plan.reserved.update(worker.id for worker, _ in chosen)
-        slack_s = run.job.due_at - now - run.step.estimate_ms / 1000
-        waited_s = now - run.ready_at
+        slack_s = step_run.job.due_at - now - step_run.step.estimate_ms / 1000
+        waited_s = now - step_run.ready_at
         if waited_s < PREEMPT_AFTER_S or not 0 < slack_s < MAX_PREEMPTING_SLACK_S:
             return
         for worker, share in chosen:
-            needed = run.step.occupied().times(share)
+            needed = step_run.step.occupied().times(share)
             free = worker.free()
             for allocation in victims[worker.id]:
                 if needed.fits(free):
@@ -165,7 +169,7 @@
 
     @staticmethod
     def _choose_reservation(
-        run: state.StepRun,
+        step_run: state.StepRun,
         open_workers: list[workers.Worker],
         victims: dict[str, list[workers.Allocation]],
         now: float,
@@ -178,15 +182,15 @@
             )
             for name, found in victims.items()
         }
-        if now < run.reserved_until:
-            kept = [each for each in open_workers if each.id in run.reserved]
-            chosen = placement.place_gang(run, kept, reclaimable)
+        if now < step_run.reserved_until:
+            kept = [each for each in open_workers if each.id in step_run.reserved]
+            chosen = placement.place_gang(step_run, kept, reclaimable)
             if chosen is not None:
                 return chosen
-        chosen = placement.place_gang(run, open_workers, reclaimable)
+        chosen = placement.place_gang(step_run, open_workers, reclaimable)
         if chosen is not None:
-            run.reserved = frozenset(worker.id for worker, _ in chosen)
-            run.reserved_until = now + RESERVATION_S
+            step_run.reserved = frozenset(worker.id for worker, _ in chosen)
+            step_run.reserved_until = now + RESERVATION_S
         return chosen
 
     def _find_victims(
--- a/toucanspring/coordinator/placement.py
+++ b/toucanspring/coordinator/placement.py
@@ -6,23 +6,23 @@
 from toucanspring.coordinator import state, workers
 
 
-def is_eligible(run: state.StepRun, worker: workers.Worker) -> bool:
+def is_eligible(step_run: state.StepRun, worker: workers.Worker) -> bool:
     """Return whether an idle worker could run tasks of a step."""
-    step = run.step
+    step = step_run.step
     if step.required_label and step.required_label not in worker.entry.labels:
         return False
     return step.occupied().fits(worker.entry.capacity)
 
 
 def may_place(
-    run: state.StepRun,
+    step_run: state.StepRun,
     task: state.Task,
     worker: workers.Worker,
     on_worker: dict[str, int],
     now: float,
 ) -> bool:
     """Return whether a task may be placed, given the step's tasks on each worker."""
-    limit = run.step.max_per_worker
+    limit = step_run.step.max_per_worker
     if limit and on_worker.get(worker.id, 0) >= limit:
         return False
     return may_retry_on(task, worker, now)
@@ -33,28 +33,28 @@
     return worker.id not in task.avoided_workers or now >= task.avoid_until
 
 
-def count_per_worker(run: state.StepRun) -> dict[str, int]:
+def count_per_worker(step_run: state.StepRun) -> dict[str, int]:
     """Return the number of a step's tasks by worker, if the step limits it."""
     counts: dict[str, int] = {}
-    if run.step.max_per_worker:
-        for task in run.tasks:
+    if step_run.step.max_per_worker:
+        for task in step_run.tasks:
             if task.worker:
                 counts[task.worker] = counts.get(task.worker, 0) + 1
     return counts
 
 
 def rank(
-    run: state.StepRun, worker: workers.Worker, free: resources.Resources
+    step_run: state.StepRun, worker: workers.Worker, free: resources.Resources
 ) -> tuple:
     """Return a sort key: preferred rack, fewest failures, then best fit by CPUs."""
-    remote = bool(run.step.preferred_rack) and (
-        run.step.preferred_rack != worker.entry.rack
+    remote = bool(step_run.step.preferred_rack) and (
+        step_run.step.preferred_rack != worker.entry.rack
     )
     return remote, worker.failures, free.cpus
 
 
 def place_gang(
-    run: state.StepRun,
+    step_run: state.StepRun,
     eligible: list[workers.Worker],
     reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
@@ -63,34 +63,34 @@
     With `same_rack` a single rack is preferred. `reclaimable` is capacity by worker ID
     that preemption could free.
     """
-    if not run.step.same_rack:
-        return _pack(run, eligible, reclaimable)
+    if not step_run.step.same_rack:
+        return _pack(step_run, eligible, reclaimable)
     racks: dict[str, list[workers.Worker]] = {}
     for worker in eligible:
         racks.setdefault(worker.entry.rack, []).append(worker)
     for members in racks.values():
-        chosen = _pack(run, members, reclaimable)
+        chosen = _pack(step_run, members, reclaimable)
         if chosen is not None:
             return chosen
-    return _pack(run, eligible, reclaimable)
+    return _pack(step_run, eligible, reclaimable)
 
 
 def _pack(
-    run: state.StepRun,
+    step_run: state.StepRun,
     eligible: list[workers.Worker],
     reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
-    demand = run.step.occupied()
+    demand = step_run.step.occupied()
     room = []
     for worker in eligible:
         free = worker.free() + reclaimable.get(worker.id, resources.ZERO)
         count = demand.count_in(free)
-        if run.step.max_per_worker:
-            count = min(count, run.step.max_per_worker)
+        if step_run.step.max_per_worker:
+            count = min(count, step_run.step.max_per_worker)
         if count > 0:
             room.append((count, worker))
     room.sort(key=lambda each: (each[1].failures, -each[0]))
-    left, chosen = run.step.count, []
+    left, chosen = step_run.step.count, []
     for count, worker in room:
         share = min(count, left)
         chosen.append((worker, share))
--- a/toucanspring/coordinator/planner.py
+++ b/toucanspring/coordinator/planner.py
@@ -41,13 +41,14 @@
         usable: dict[str, list[workers.Worker]] = {}
         over_share = self._find_over_share()
         steps = sorted(
-            self._cell.ready.values(), key=lambda run: self._rank(run, over_share, now)
+            self._cell.ready.values(),
+            key=lambda step_run: self._rank(step_run, over_share, now),
         )
-        for run in steps[:MAX_STEPS_PER_ROUND]:
+        for step_run in steps[:MAX_STEPS_PER_ROUND]:
             if len(plan.starts) >= MAX_STARTS_PER_ROUND:
                 break
-            queue = self._cell.catalogue.queue(run.job.spec.queue)
-            if queue is None or run.job.is_final:
+            queue = self._cell.catalogue.queue(step_run.job.spec.queue)
+            if queue is None or step_run.job.is_final:
                 continue
             if queue.pool not in usable:
                 usable[queue.pool] = [
@@ -55,7 +56,7 @@
                     for worker in self._cell.pool(queue.pool)
                     if worker.is_usable(now, self._cell.zones_out)
                 ]
-            self._plan_step(run, queue, usable[queue.pool], plan, now)
+            self._plan_step(step_run, queue, usable[queue.pool], plan, now)
         return plan
 
     def _find_over_share(self) -> frozenset[str]:
@@ -71,86 +72,97 @@
         )
 
     def _rank(
-        self, run: state.StepRun, over_share: frozenset[str], now: float
+        self, step_run: state.StepRun, over_share: frozenset[str], now: float
     ) -> tuple[bool, bool, int, bool, bool, float]:
         """Return a sort key: fair share and priority first, then the deadline.
 
         Under overload, earliest deadline first alone would make all jobs late. So late
         jobs wait for jobs that are not, except at the top priority.
         """
-        spec = run.job.spec
+        spec = step_run.job.spec
         queue = self._cell.catalogue.queue(spec.queue)
         priority = queue.priority if queue is not None else 9
-        needed_s = LATE_ESTIMATE_FRACTION * run.step.estimate_ms / 1000
-        late = now + needed_s > run.job.due_at
+        needed_s = LATE_ESTIMATE_FRACTION * step_run.step.estimate_ms / 1000
+        late = now + needed_s > step_run.job.due_at
         return (
-            run.job.over_rate,
+            step_run.job.over_rate,
             late and priority > TOP_PRIORITY,
             priority,
             late,
             spec.organisation in over_share,
-            run.job.due_at,
+            step_run.job.due_at,
         )
 
     def _plan_step(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         usable: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        eligible = [worker for worker in usable if placement.is_eligible(run, worker)]
+        eligible = [
+            worker for worker in usable if placement.is_eligible(step_run, worker)
+        ]
         if not eligible:
-            plan.record_wait(run, plans.NO_USABLE_WORKER)
+            plan.record_wait(step_run, plans.NO_USABLE_WORKER)
             return
         if queue.approval is not None:
-            self._request_new_approvals(run, queue, eligible, plan, now)
-            run.not_requested = [
-                each for each in eligible if each.id not in run.allowed
+            self._request_new_approvals(step_run, queue, eligible, plan, now)
+            step_run.not_requested = [
+                each for each in eligible if each.id not in step_run.allowed
+            ]
+            eligible = [
+                worker for worker in eligible if step_run.allowed.get(worker.id)
             ]
-            eligible = [worker for worker in eligible if run.allowed.get(worker.id)]
             if not eligible:
-                names = self.not_requested_with_room(run)
+                names = self.not_requested_with_room(step_run)
                 if names:
-                    self.request_approval(run, queue, names, plan, now)
+                    self.request_approval(step_run, queue, names, plan, now)
                 plan.record_wait(
-                    run,
+                    step_run,
                     plans.AWAITING_APPROVAL
-                    if run.approval_pending
+                    if step_run.approval_pending
                     else plans.NOT_APPROVED,
                 )
                 return
         # Only capacity is missing, so nothing fits until the capacity changes.
-        if run.blocked_version == self._cell.capacity_version and not run.step.gang:
+        if (
+            step_run.blocked_version == self._cell.capacity_version
+            and not step_run.step.gang
+        ):
             return
-        if not self._within_ceiling(run, run.step.count if run.step.gang else 1):
-            plan.record_wait(run, plans.ABOVE_CEILING)
+        if not self._within_ceiling(
+            step_run, step_run.step.count if step_run.step.gang else 1
+        ):
+            plan.record_wait(step_run, plans.ABOVE_CEILING)
             return
-        if run.step.gang:
-            self._gangs.plan(run, queue, eligible, plan, now)
+        if step_run.step.gang:
+            self._gangs.plan(step_run, queue, eligible, plan, now)
         else:
-            self._plan_tasks(run, queue, eligible, plan, now)
+            self._plan_tasks(step_run, queue, eligible, plan, now)
 
     # Approvals
 
     def _request_new_approvals(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        unknown = [worker.id for worker in eligible if worker.id not in run.allowed]
+        unknown = [
+            worker.id for worker in eligible if worker.id not in step_run.allowed
+        ]
         known = len(eligible) - len(unknown)
         # A few new workers are not worth a request while others have a decision.
         if unknown and len(unknown) * 3 > known:
-            self.request_approval(run, queue, unknown, plan, now)
+            self.request_approval(step_run, queue, unknown, plan, now)
 
     def request_approval(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         names: list[str],
         plan: plans.Plan,
@@ -158,33 +170,37 @@
     ) -> None:
         """Request approval of workers, unless a request is pending or must wait."""
         if (
-            run.approval_pending
-            or now < run.approval_retry_at
+            step_run.approval_pending
+            or now < step_run.approval_retry_at
             or queue.approval is None
         ):
             return
-        run.approval_pending = True
+        step_run.approval_pending = True
         names = names[:MAX_WORKERS_PER_REQUEST]
         cost_s = queue.approval.decision_s + queue.approval.per_worker_s * len(names)
         plan.approval_requests.append(
             plans.ApprovalRequest(
-                run, tuple(names), cost_s, queue.priority, queue.approval.validity_s
+                step_run,
+                tuple(names),
+                cost_s,
+                queue.priority,
+                queue.approval.validity_s,
             )
         )
 
     @staticmethod
-    def not_requested_with_room(run: state.StepRun) -> list[str]:
+    def not_requested_with_room(step_run: state.StepRun) -> list[str]:
         """Return workers with free capacity that no approval was requested for."""
-        demand = run.step.occupied()
-        return [each.id for each in run.not_requested if demand.fits(each.free())]
+        demand = step_run.step.occupied()
+        return [each.id for each in step_run.not_requested if demand.fits(each.free())]
 
     def ticket(
-        self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
+        self, step_run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
         """Return a valid ticket, "" if none is needed, or None if there is none."""
         if queue.approval is None:
             return ""
-        ticket = run.tickets.get(worker)
+        ticket = step_run.tickets.get(worker)
         if ticket is None or ticket.expires_at < now + TICKET_MARGIN_S:
             return None
         return ticket.text
@@ -193,66 +209,67 @@
 
     def _plan_tasks(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        on_worker = placement.count_per_worker(run)
+        on_worker = placement.count_per_worker(step_run)
         open_workers = eligible
         if queue.priority > TOP_PRIORITY:
             open_workers = [each for each in eligible if each.id not in plan.reserved]
-        for index in sorted(run.waiting):
+        for index in sorted(step_run.waiting):
             if (
-                not self._within_ceiling(run, 1)
+                not self._within_ceiling(step_run, 1)
                 or len(plan.starts) >= MAX_STARTS_PER_ROUND
             ):
                 return
-            task = run.tasks[index]
+            task = step_run.tasks[index]
             fits = [
                 worker
                 for worker in open_workers
-                if placement.may_place(run, task, worker, on_worker, now)
-                and run.step.occupied().fits(worker.free())
+                if placement.may_place(step_run, task, worker, on_worker, now)
+                and step_run.step.occupied().fits(worker.free())
             ]
             valid = [
                 worker
                 for worker in fits
-                if self.ticket(run, queue, worker.id, now) is not None
+                if self.ticket(step_run, queue, worker.id, now) is not None
             ]
             if not valid and task.avoided_workers and now < task.avoid_until:
                 continue  # other tasks of the step may still fit
             if not valid:
                 self._request_or_block(
-                    run, queue, [each.id for each in fits], plan, now
+                    step_run, queue, [each.id for each in fits], plan, now
                 )
                 return
             best = min(
-                valid, key=lambda worker: placement.rank(run, worker, worker.free())
+                valid,
+                key=lambda worker: placement.rank(step_run, worker, worker.free()),
             )
             on_worker[best.id] = on_worker.get(best.id, 0) + 1
-            self.start(run, task, best, task.run + 1, queue, plan, now)
+            self.start(step_run, task, best, task.run + 1, queue, plan, now)
 
     def _request_or_block(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         without_ticket: list[str],
         plan: plans.Plan,
         now: float,
     ) -> None:
         """Request approval of workers with capacity, or block the step without any."""
-        names = without_ticket or self.not_requested_with_room(run)
-        plan.record_wait(run, plans.AWAITING_APPROVAL if names else plans.NO_ROOM)
+        names = without_ticket or self.not_requested_with_room(step_run)
+        plan.record_wait(step_run, plans.AWAITING_APPROVAL if names else plans.NO_ROOM)
         if names:
-            self.request_approval(run, queue, names, plan, now)
-        elif not run.approval_pending:
-            run.blocked_version = self._cell.capacity_version
+            self.request_approval(step_run, queue, names, plan, now)
+        elif not step_run.approval_pending:
+            step_run.blocked_version = self._cell.capacity_version
 
     def start(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
         run_number: int,
@@ -261,16 +278,18 @@
         now: float,
     ) -> None:
         """Allocate resources for a run and add its start to the plan."""
-        ticket = self.ticket(run, queue, worker.id, now) or ""
-        self._cell.allocate(run, task, worker, run_number)
-        plan.starts.append(plans.Start(run, task, worker, run_number, ticket))
+        ticket = self.ticket(step_run, queue, worker.id, now) or ""
+        self._cell.allocate(step_run, task, worker, run_number)
+        plan.starts.append(plans.Start(step_run, task, worker, run_number, ticket))
 
-    def _within_ceiling(self, run: state.StepRun, count: int) -> bool:
-        organisation = self._cell.catalogue.organisations.get(run.job.spec.organisation)
+    def _within_ceiling(self, step_run: state.StepRun, count: int) -> bool:
+        organisation = self._cell.catalogue.organisations.get(
+            step_run.job.spec.organisation
+        )
         if organisation is None:
             return True
         ceiling = organisation.ceiling
-        wanted = self._cell.used[organisation.name] + run.step.demand.times(count)
+        wanted = self._cell.used[organisation.name] + step_run.step.demand.times(count)
         return (
             (not ceiling.cpus or wanted.cpus <= ceiling.cpus)
             and (not ceiling.memory or wanted.memory <= ceiling.memory)
--- a/toucanspring/coordinator/plans.py
+++ b/toucanspring/coordinator/plans.py
@@ -56,11 +56,11 @@
     reserved: set[str] = dataclasses.field(default_factory=set)
     reserving_gangs: int = 0
 
-    def record_wait(self, run: state.StepRun, reason: str) -> None:
+    def record_wait(self, step_run: state.StepRun, reason: str) -> None:
         """Record why a step waits, if the reason has changed."""
-        if run.wait_reason != reason:
-            run.wait_reason = reason
-            self.waits.append(Wait(run, reason))
+        if step_run.wait_reason != reason:
+            step_run.wait_reason = reason
+            self.waits.append(Wait(step_run, reason))
 
 
 def record_approvals(
@@ -69,10 +69,10 @@
     expires_at: float,
 ) -> None:
     """Store the reply of the approval service in the step."""
-    run = question.step
+    step_run = question.step
     for name in question.workers:
-        run.allowed[name] = name in tickets
+        step_run.allowed[name] = name in tickets
         if name in tickets:
-            run.tickets[name] = ports.Ticket(tickets[name], expires_at)
-    run.approval_pending = False
-    run.blocked_version = -1
+            step_run.tickets[name] = ports.Ticket(tickets[name], expires_at)
+    step_run.approval_pending = False
+    step_run.blocked_version = -1
--- a/toucanspring/coordinator/reports.py
+++ b/toucanspring/coordinator/reports.py
@@ -88,24 +88,26 @@
 
 
 def _demand_of(cell: cell_state.CellState, task_id: str) -> resources.Resources:
-    name = state.parse_task_id(task_id)
-    record = cell.jobs.get(name.job) if name is not None else None
-    if record is None or name.step >= len(record.spec.steps):
+    parsed_id = state.parse_task_id(task_id)
+    record = cell.jobs.get(parsed_id.job) if parsed_id is not None else None
+    if record is None or parsed_id.step >= len(record.spec.steps):
         # The demand is unknown, so nothing else is started on the worker.
         return resources.UNLIMITED
-    return record.spec.steps[name.step].occupied()
+    return record.spec.steps[parsed_id.step].occupied()
 
 
 def _apply_end(
     cell: cell_state.CellState, worker: workers.Worker, end: ports.EndedTask, now: float
 ) -> bool:
     """Apply the end of a run; return whether it changed a job."""
-    name = state.parse_task_id(end.task)
-    record = cell.jobs.get(name.job) if name is not None else None
-    run = record.steps.get((name.occurrence, name.step)) if record else None
-    if run is None or name.index >= len(run.tasks):
+    parsed_id = state.parse_task_id(end.task)
+    record = cell.jobs.get(parsed_id.job) if parsed_id is not None else None
+    step_run = (
+        record.steps.get((parsed_id.occurrence, parsed_id.step)) if record else None
+    )
+    if step_run is None or parsed_id.index >= len(step_run.tasks):
         return False
-    task = run.tasks[name.index]
+    task = step_run.tasks[parsed_id.index]
     if task.run != end.run or task.phase not in state.ALLOCATED_PHASES:
         return False
     if end.checkpoint:
@@ -120,11 +122,11 @@
         lasted_s=round(now - task.started_at, 3) if task.started_at else 0,
     )
     if end.outcome == DONE:
-        stragglers.record_completion(worker, workers.Allocation(run, task), now)
-    cell.release(run, task)
+        stragglers.record_completion(worker, workers.Allocation(step_run, task), now)
+    cell.release(step_run, task)
     if end.outcome == DONE:
         worker.record_success()
-        _complete_task(cell, run, task, now)
+        _complete_task(cell, step_run, task, now)
     elif end.outcome == FAILED:
         if worker.record_failure(record.spec.id, now):
             structured.decide(
@@ -133,68 +135,70 @@
                 worker=worker.id,
                 for_s=round(worker.quarantined_until - now, 1),
             )
-        _fail_task(cell, run, task, worker.id, now)
+        _fail_task(cell, step_run, task, worker.id, now)
     else:
-        cell.return_to_queue(run, task, now)
+        cell.return_to_queue(step_run, task, now)
     cell.dirty[record.spec.id] = record
     return True
 
 
 def _complete_task(
-    cell: cell_state.CellState, run: state.StepRun, task: state.Task, now: float
+    cell: cell_state.CellState, step_run: state.StepRun, task: state.Task, now: float
 ) -> None:
-    if run.step.long_running:
-        cell.return_to_queue(run, task, now)
+    if step_run.step.long_running:
+        cell.return_to_queue(step_run, task, now)
         return
     task.phase = state.TaskPhase.DONE
-    run.unfinished -= 1
-    if run.step.gang:
+    step_run.unfinished -= 1
+    if step_run.step.gang:
         # Members complete together, so one report completes all of them.
-        for other in run.tasks:
+        for other in step_run.tasks:
             if other.phase in state.ALLOCATED_PHASES and other.run == task.run:
-                cell.release(run, other)
+                cell.release(step_run, other)
                 other.phase = state.TaskPhase.DONE
-                run.unfinished -= 1
-    if run.unfinished == 0 and not run.job.is_final:
-        _complete_step(cell, run, now)
+                step_run.unfinished -= 1
+    if step_run.unfinished == 0 and not step_run.job.is_final:
+        _complete_step(cell, step_run, now)
 
 
-def _complete_step(cell: cell_state.CellState, run: state.StepRun, now: float) -> None:
-    record = run.job
+def _complete_step(
+    cell: cell_state.CellState, step_run: state.StepRun, now: float
+) -> None:
+    record = step_run.job
     occurrences = max(1, record.spec.repeats)
     complete = sum(step.unfinished == 0 for step in record.steps.values())
     if complete == occurrences * len(record.spec.steps):
         cell.finish(record, state.JobState.COMPLETED, now)
         return
     for number, step in enumerate(record.spec.steps):
-        key = (run.occurrence, number)
+        key = (step_run.occurrence, number)
         if key in record.steps or not step.after:
             continue
-        if cell.may_open(record, run.occurrence, step):
-            cell.enqueue(state.add_step(record, run.occurrence, number, now))
+        if cell.may_open(record, step_run.occurrence, step):
+            cell.enqueue(state.add_step(record, step_run.occurrence, number, now))
 
 
 def _fail_task(
     cell: cell_state.CellState,
-    run: state.StepRun,
+    step_run: state.StepRun,
     task: state.Task,
     worker_id: str,
     now: float,
 ) -> None:
     # A gang fails as a whole: several failed members of one run count once.
-    failing = run.tasks if run.step.gang else [task]
+    failing = step_run.tasks if step_run.step.gang else [task]
     if task.run > max(each.failed_run for each in failing):
         for each in failing:
             each.failures += 1
             each.failed_run = task.run
     task.avoided_workers = task.avoided_workers | {worker_id}
     task.avoid_until = now + cell_state.FAILED_WORKER_AVOIDANCE_S
-    cell.return_to_queue(run, task, now)
-    queue = cell.catalogue.queue(run.job.spec.queue)
+    cell.return_to_queue(step_run, task, now)
+    queue = cell.catalogue.queue(step_run.job.spec.queue)
     attempts = queue.max_attempts if queue is not None else DEFAULT_ATTEMPTS
-    exhausted = task.failures >= attempts and not run.step.long_running
-    if exhausted and not run.job.is_final:
-        cell.finish(run.job, state.JobState.FAILED, now)
+    exhausted = task.failures >= attempts and not step_run.step.long_running
+    if exhausted and not step_run.job.is_final:
+        cell.finish(step_run.job, state.JobState.FAILED, now)
 
 
 def mark_lost(cell: cell_state.CellState, worker: workers.Worker, now: float) -> None:
--- a/toucanspring/coordinator/state.py
+++ b/toucanspring/coordinator/state.py
@@ -131,7 +131,7 @@
 def add_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
     """Add a step to a job with all tasks waiting."""
     step = record.spec.steps[number]
-    run = StepRun(
+    step_run = StepRun(
         record,
         occurrence,
         number,
@@ -141,15 +141,15 @@
         step.count,
         ready_at=now,
     )
-    record.steps[occurrence, number] = run
-    return run
+    record.steps[occurrence, number] = step_run
+    return step_run
 
 
 def to_progress(record: JobRecord) -> rows.Progress:
     """Return the part of a job's state that is stored."""
     steps = []
-    for (occurrence, number), run in record.steps.items():
-        if run.unfinished == 0:
+    for (occurrence, number), step_run in record.steps.items():
+        if step_run.unfinished == 0:
             steps.append(rows.StepRow(occurrence, number, (), True))
             continue
         tasks = tuple(
@@ -163,7 +163,7 @@
                 task.phase is TaskPhase.DONE,
                 task.failed_run,
             )
-            for task in run.tasks
+            for task in step_run.tasks
             if task.run
         )
         steps.append(rows.StepRow(occurrence, number, tasks))
@@ -176,28 +176,28 @@
     record.has_copy = True
     uncertain = []
     for row in progress.steps:
-        run = record.steps.get((row.occurrence, row.step))
-        if run is None:
-            run = add_step(record, row.occurrence, row.step, now)
+        step_run = record.steps.get((row.occurrence, row.step))
+        if step_run is None:
+            step_run = add_step(record, row.occurrence, row.step, now)
         if row.complete:
-            for task in run.tasks:
+            for task in step_run.tasks:
                 task.phase = TaskPhase.DONE
-            run.waiting.clear()
-            run.unfinished = 0
+            step_run.waiting.clear()
+            step_run.unfinished = 0
             continue
         for saved in row.tasks:
-            task = run.tasks[saved.index]
+            task = step_run.tasks[saved.index]
             task.run, task.failures = saved.run, saved.failures
             task.failed_run = saved.failed_run
             task.checkpoint = saved.checkpoint
             if saved.done:
                 task.phase = TaskPhase.DONE
-                run.waiting.discard(task.index)
-                run.unfinished -= 1
+                step_run.waiting.discard(task.index)
+                step_run.unfinished -= 1
             elif saved.worker:
                 task.phase = TaskPhase.IN_DOUBT
                 task.worker, task.incarnation = saved.worker, saved.incarnation
                 task.confirmed_at = 0.0  # the new epoch fences all earlier orders
-                run.waiting.discard(task.index)
+                step_run.waiting.discard(task.index)
                 uncertain.append(task)
     return uncertain
--- a/toucanspring/coordinator/stragglers.py
+++ b/toucanspring/coordinator/stragglers.py
@@ -62,10 +62,10 @@
         _record_rate(worker, allocation.step, 1 / run_time_s)
 
 
-def _record_rate(worker: workers.Worker, run: state.StepRun, rate: float) -> None:
+def _record_rate(worker: workers.Worker, step_run: state.StepRun, rate: float) -> None:
     """Update a worker's speed from a rate, in fractions of a task per second."""
-    run.task_rates[worker.id] = rate
-    others = [each for name, each in run.task_rates.items() if name != worker.id]
+    step_run.task_rates[worker.id] = rate
+    others = [each for name, each in step_run.task_rates.items() if name != worker.id]
     if not others or not any(others):
         return
     speed = min(MAX_SPEED, rate / statistics.mean(others))
