--- a/test/test_coordinator_metered.py
+++ b/test/test_coordinator_metered.py
@@ -7,7 +7,7 @@
 from toucanspring import metrics
 from toucanspring.coordinator import metered, ports
 
-PLACE = ports.Place("t", "", "a")
+PLACE = ports.RowId("t", "", "a")
 
 
 class MeteredTest(testtools.TestCase):
@@ -46,7 +46,7 @@
         entry = case.entry("w1")
         inner.add(entry)
         workers = metered.Workers(inner, self.meters)
-        self.assertIsInstance(workers.look(entry, 1, 0, None, 0), ports.Look)
+        self.assertIsInstance(workers.poll(entry, 1, 0, None, 0), ports.PollReply)
         self.assertIn(
             'operation="look",outcome="done",target="worker"} 1', self.shown()
         )
@@ -54,7 +54,7 @@
     def test_rounds_and_gauges_are_shown(self):
         self.meters.count_round(3, 0.01)
         self.meters.count_round(0, 0.01)
-        self.meters.show({"jobs": 7})
+        self.meters.set_gauges({"jobs": 7})
         lines = self.shown()
         self.assertIn("toucanspring_runs_placed_total 3", lines)
         self.assertIn("toucanspring_round_seconds_count 2", lines)
--- a/test/test_platform_directory.py
+++ b/test/test_platform_directory.py
@@ -80,7 +80,9 @@
     def test_an_entry_becomes_a_worker(self):
         found = directory.decode_executor("i-1", encode(EXECUTOR))
         self.assertEqual(resources.Resources(16000, 32768, 0), found.capacity)
-        self.assertEqual(("r1-3", 7, False), (found.rack, found.born, found.draining))
+        self.assertEqual(
+            ("r1-3", 7, False), (found.rack, found.incarnation, found.draining)
+        )
 
     def test_entries_of_other_writers_name_no_worker(self):
         for value in (
@@ -101,28 +103,28 @@
         self.directory = directory.Directory(self.store)
 
     def put(self, key, value, table="op"):
-        self.store.put(ports.Place(table, "", key), encode(value))
+        self.store.put(ports.RowId(table, "", key), encode(value))
 
     def test_zones_go_out_and_come_back(self):
         self.put("evacuate/bern-a", {})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual({"bern-a"}, self.directory.zones_out)
-        self.store.transact({}, {}, (ports.Place("op", "", "evacuate/bern-a"),))
-        self.directory._operators.step()
+        self.store.transact({}, {}, (ports.RowId("op", "", "evacuate/bern-a"),))
+        self.directory._operators.poll()
         self.assertEqual(frozenset(), self.directory.zones_out)
 
     def test_an_older_configuration_does_not_replace_a_newer_one(self):
         self.put("config", {"version": 7})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.put("config", {"version": 6})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual(7, self.directory.catalogue.version)
 
     def test_a_faulty_configuration_leaves_the_one_in_force(self):
         self.put("config", {"version": 7})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.put("config", {"version": "x"})
-        self.directory._operators.step()
+        self.directory._operators.poll()
         self.assertEqual(7, self.directory.catalogue.version)
 
 
--- /dev/null
+++ b/toucanspring/coordinator/cell_state.py
@@ -0,0 +1,377 @@
+"""State machine of all jobs and workers of the cell.
+
+It performs no I/O. Changed jobs are collected in `dirty`, to be written by the
+coordinator, and orders to stop tasks in `stops`, to be sent by it.
+"""
+
+from __future__ import annotations
+
+import collections
+import dataclasses
+
+import logbook
+
+from toucanspring import log as structured
+from toucanspring import resources
+from toucanspring.coordinator import (
+    catalogue,
+    job_specs,
+    ports,
+    rate_limits,
+    rows,
+    state,
+    workers,
+)
+
+log = logbook.Logger(__name__)
+
+# A task is not placed again on a worker where it failed for this long. Jobs have few
+# attempts, so each should be made on another worker.
+FAILED_WORKER_AVOIDANCE_S = 2.0
+ENDED_JOB_RETENTION_S = 150.0  # callers may query a job for 120 s
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Stop:
+    """Order to a worker to stop a run."""
+
+    worker: str
+    task: str
+    run: int
+
+
+class CellState:
+    """Jobs and workers of the cell; owned by the elected coordinator."""
+
+    def __init__(self) -> None:
+        self.catalogue = catalogue.Catalogue()
+        self.zones_out: frozenset[str] = frozenset()
+        self.jobs: dict[str, state.JobRecord] = {}
+        self.workers: dict[str, workers.Worker] = {}
+        self.ready: dict[str, state.StepRun] = {}  # steps with waiting tasks, by ID
+        self.used: dict[str, resources.Resources] = collections.defaultdict(
+            lambda: resources.ZERO
+        )
+        self.dirty: dict[str, state.JobRecord] = {}
+        self.stops: list[Stop] = []
+        self.capacity_version = 0
+        self._rate_limits = rate_limits.RateLimits()
+        self._pools: dict[str, list[workers.Worker]] = {}
+
+    # Jobs
+
+    def accept(self, spec: job_specs.Job, now: float, age_s: float = 0.0) -> None:
+        """Add an accepted job, unless it is known already."""
+        if spec.id in self.jobs:
+            return
+        record = self._add(spec, now, age_s)
+        self.open_steps(record, now)
+
+    def restore(
+        self,
+        spec: job_specs.Job,
+        progress: rows.Progress | None,
+        now: float,
+        age_s: float,
+    ) -> None:
+        """Add a job with its stored progress after a failover."""
+        record = self._add(spec, now, age_s)
+        if progress is not None:
+            state.restore(record, progress, now)
+        for step_run in record.steps.values():
+            for task in step_run.tasks:
+                if task.phase is state.TaskPhase.IN_DOUBT:
+                    self._add_usage(step_run, task)
+        if not record.is_final:
+            for step_run in record.steps.values():
+                self.enqueue(step_run)
+            self.open_steps(record, now)
+            return
+        record.ended_at = now
+        self._stop_all(record)
+
+    def _add(self, spec: job_specs.Job, now: float, age_s: float) -> state.JobRecord:
+        record = state.JobRecord(spec, now - age_s)
+        queue = self.catalogue.queue(spec.queue)
+        chain_s = sum(step.estimate_ms for step in spec.steps) / 1000
+        if queue is not None:
+            record.due_at = now - age_s + queue.stretch * chain_s + queue.target_s
+        record.over_rate = self._rate_limits.count_job(
+            spec.organisation,
+            self.catalogue.organisations.get(spec.organisation),
+            now - age_s,
+        )
+        self.jobs[spec.id] = record
+        return record
+
+    def open_steps(self, record: state.JobRecord, now: float) -> None:
+        """Open the steps whose predecessors are done."""
+        for occurrence in range(max(1, record.spec.repeats)):
+            for number, step in enumerate(record.spec.steps):
+                if (occurrence, number) in record.steps:
+                    continue
+                if self.may_open(record, occurrence, step):
+                    self.enqueue(state.add_step(record, occurrence, number, now))
+
+    def open_due_occurrences(self, unix_ms: int, now: float) -> None:
+        """Open the first steps of the occurrences that are due."""
+        for record in self.jobs.values():
+            if record.spec.repeats and not record.is_final:
+                due = (unix_ms - record.spec.first_at_ms) // max(
+                    1, record.spec.interval_ms
+                ) + 1
+                for occurrence in range(min(due, record.spec.repeats)):
+                    for number, step in enumerate(record.spec.steps):
+                        key = (occurrence, number)
+                        if key not in record.steps and not step.after:
+                            self.enqueue(
+                                state.add_step(record, occurrence, number, now)
+                            )
+
+    def may_open(
+        self, record: state.JobRecord, occurrence: int, step: job_specs.Step
+    ) -> bool:
+        """Return whether all predecessors of a step are done."""
+        if record.spec.repeats and not step.after:
+            return False  # opened by `open_due_occurrences`
+        return all(
+            (found := record.steps.get((occurrence, before))) is not None
+            and found.unfinished == 0
+            for before in step.after
+        )
+
+    def enqueue(self, step_run: state.StepRun) -> None:
+        """Queue a step that has waiting tasks for planning."""
+        if step_run.waiting:
+            step_run.blocked_version = -1
+            self.ready[step_run.id] = step_run
+
+    def cancel(self, job_id: str, now: float) -> state.JobRecord | None:
+        """Cancel a job, unless it has ended; return its record if it is known."""
+        record = self.jobs.get(job_id)
+        if record is not None and not record.is_final:
+            self.finish(record, state.JobState.CANCELLED, now)
+        return record
+
+    def finish(
+        self, record: state.JobRecord, outcome: state.JobState, now: float
+    ) -> None:
+        """Set the outcome of a job and stop its running tasks."""
+        record.state = outcome
+        record.ended_at = now
+        self.dirty[record.spec.id] = record
+        self._stop_all(record)
+        structured.decide(
+            log,
+            "job_ended",
+            job=record.spec.id,
+            outcome=outcome.value,
+            age_s=round(now - record.accepted_at, 3),
+        )
+
+    def _stop_all(self, record: state.JobRecord) -> None:
+        for step_run in record.steps.values():
+            self.ready.pop(step_run.id, None)
+            for task in step_run.tasks:
+                self.stop(step_run, task)
+
+    def stop(self, step_run: state.StepRun, task: state.Task) -> None:
+        """Queue an order to stop a task, if it is or may be running."""
+        if task.phase in (state.TaskPhase.RUNNING, state.TaskPhase.IN_DOUBT):
+            task.phase = state.TaskPhase.STOPPING
+            task.confirmed_at = float("inf")
+            self.stops.append(Stop(task.worker, step_run.task_id(task.index), task.run))
+
+    def find_expired_jobs(self, now: float) -> list[str]:
+        """Return the IDs of ended jobs whose retention time is over."""
+        return [
+            job_id
+            for job_id, record in self.jobs.items()
+            if record.is_final
+            and record.durable_state is record.state
+            and now - record.ended_at > ENDED_JOB_RETENTION_S
+        ]
+
+    # Workers
+
+    def register_worker(self, entry: ports.WorkerEntry) -> workers.Worker:
+        """Add or update a worker from its directory entry."""
+        worker = self.workers.get(entry.id)
+        if worker is None:
+            worker = self.workers[entry.id] = workers.Worker(entry)
+            self._reattach_tasks(worker)
+        worker.entry = entry
+        worker.registered = True
+        self._pools.clear()
+        self.capacity_version += 1
+        return worker
+
+    def _reattach_tasks(self, worker: workers.Worker) -> None:
+        """Allocate restored tasks to their worker, which has just been added."""
+        for record in self.jobs.values():
+            for step_run in record.steps.values():
+                for task in step_run.tasks:
+                    if (
+                        task.worker == worker.id
+                        and task.phase in state.ALLOCATED_PHASES
+                    ):
+                        self._add_allocation(worker, step_run, task)
+
+    def add_unregistered_worker(self, worker_id: str) -> workers.Worker:
+        """Add a worker that restored tasks refer to but that is not registered."""
+        entry = ports.WorkerEntry(
+            id=worker_id, pool="", address="", zone="", rack="",
+            labels=frozenset(), capacity=resources.ZERO,
+        )  # fmt: skip
+        worker = self.workers[worker_id] = workers.Worker(entry, registered=False)
+        return worker
+
+    def mark_unregistered(self, worker_id: str) -> None:
+        """Mark a worker whose entry is gone; it may still run tasks."""
+        worker = self.workers.get(worker_id)
+        if worker is not None:
+            worker.registered = False
+            self._pools.clear()
+
+    def remove_worker(self, worker_id: str) -> None:
+        """Remove a worker that has no allocations."""
+        self.workers.pop(worker_id, None)
+        self._pools.clear()
+
+    def pool(self, name: str) -> list[workers.Worker]:
+        """Return the registered workers of a pool."""
+        found = self._pools.get(name)
+        if found is None:
+            found = self._pools[name] = [
+                worker
+                for worker in self.workers.values()
+                if worker.registered and worker.entry.pool == name
+            ]
+        return found
+
+    def _add_allocation(
+        self, worker: workers.Worker, step_run: state.StepRun, task: state.Task
+    ) -> None:
+        worker.allocations[step_run.task_id(task.index)] = workers.Allocation(
+            step_run, task
+        )
+        worker.used = worker.used + step_run.step.occupied()
+
+    def _add_usage(self, step_run: state.StepRun, task: state.Task) -> None:
+        worker = self.workers.get(task.worker)
+        if worker is None:
+            worker = self.add_unregistered_worker(task.worker)
+        self._add_allocation(worker, step_run, task)
+        owner = step_run.job.spec.organisation
+        self.used[owner] = self.used[owner] + step_run.step.demand
+
+    def release(self, step_run: state.StepRun, task: state.Task) -> None:
+        """Free the resources of a task that certainly no longer runs."""
+        worker = self.workers.get(task.worker)
+        task_id = step_run.task_id(task.index)
+        if worker is not None and worker.allocations.pop(task_id, None) is not None:
+            worker.used = worker.used - step_run.step.occupied()
+        owner = step_run.job.spec.organisation
+        self.used[owner] = self.used[owner] - step_run.step.demand
+        task.worker = ""
+        self.capacity_version += 1
+
+    # Starts
+
+    def allocate(
+        self,
+        step_run: state.StepRun,
+        task: state.Task,
+        worker: workers.Worker,
+        run_number: int,
+    ) -> None:
+        """Allocate resources for a run before it is ordered."""
+        task.phase = state.TaskPhase.STARTING
+        task.run = run_number
+        task.worker, task.incarnation = worker.id, worker.incarnation
+        task.confirmed_at = float("inf")
+        task.percent = task.sampled_percent = 0
+        task.sampled_at = 0.0
+        task.resumed = bool(task.checkpoint)
+        step_run.waiting.discard(task.index)
+        if not step_run.waiting:
+            self.ready.pop(step_run.id, None)
+        self._add_usage(step_run, task)
+        if step_run.job.state is state.JobState.QUEUED:
+            step_run.job.state = state.JobState.ACTIVE
+        self.dirty[step_run.job.spec.id] = step_run.job
+
+    def confirm_start(
+        self, step_run: state.StepRun, task: state.Task, run_number: int, now: float
+    ) -> None:
+        """Mark a run as running once its worker has confirmed the start."""
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
+            return
+        task.phase = state.TaskPhase.RUNNING
+        task.started_at = task.progressed_at = now
+        task.confirmed_at = now
+        if step_run.job.is_final or self._gang_broken(step_run, task):
+            self.stop(step_run, task)
+
+    def _gang_broken(self, step_run: state.StepRun, task: state.Task) -> bool:
+        return step_run.step.gang and any(
+            other.run != task.run or other.phase is state.TaskPhase.WAITING
+            for other in step_run.tasks
+        )
+
+    def cancel_start(
+        self, step_run: state.StepRun, task: state.Task, run_number: int, now: float
+    ) -> None:
+        """Requeue a task whose start order certainly has no effect."""
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
+            return
+        self.requeue(step_run, task, now)
+
+    def mark_start_ambiguous(
+        self, step_run: state.StepRun, task: state.Task, run_number: int
+    ) -> None:
+        """Stop a run that may or may not have started."""
+        if task.run != run_number or task.phase is not state.TaskPhase.STARTING:
+            return
+        task.phase = state.TaskPhase.IN_DOUBT
+        self.stop(step_run, task)
+
+    def confirm_stop(self, worker_id: str, task_id: str, run: int, now: float) -> None:
+        """Record a confirmed stop; the run ends or never starts."""
+        worker = self.workers.get(worker_id)
+        allocation = worker.allocations.get(task_id) if worker is not None else None
+        if allocation is not None and allocation.task.run == run:
+            allocation.task.confirmed_at = min(allocation.task.confirmed_at, now)
+
+    # Requeueing
+
+    def return_to_queue(
+        self, step_run: state.StepRun, task: state.Task, now: float
+    ) -> None:
+        """Set an unallocated task to waiting and stop the other members of its gang."""
+        task.phase = state.TaskPhase.WAITING
+        task.started_at = task.progressed_at = 0.0
+        step_run.waiting.add(task.index)
+        if step_run.step.gang:
+            for other in step_run.tasks:
+                self.stop(step_run, other)
+        if step_run.job.is_final:
+            return
+        step_run.ready_at = now
+        self.enqueue(step_run)
+
+    def requeue(self, step_run: state.StepRun, task: state.Task, now: float) -> None:
+        """Free the resources of a task and set it to waiting."""
+        if task.phase in state.ALLOCATED_PHASES:
+            self.release(step_run, task)
+        self.return_to_queue(step_run, task, now)
+        self.dirty[step_run.job.spec.id] = step_run.job
+
+    def pending(self, queue: str) -> int:
+        """Return how many jobs of a queue have not started, recurring jobs excluded."""
+        return sum(
+            record.spec.queue == queue
+            and record.state is state.JobState.QUEUED
+            and not record.spec.repeats
+            for record in self.jobs.values()
+        )
--- /dev/null
+++ b/toucanspring/coordinator/dispatch.py
@@ -0,0 +1,301 @@
+"""Dispatch of orders to workers: polls that renew leases, starts and stops."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Protocol
+
+import gevent
+import logbook
+from gevent import event, pool
+
+from toucanspring import errors
+from toucanspring import log as structured
+from toucanspring.coordinator import cell_state, plans, ports, reports, workers
+
+log = logbook.Logger(__name__)
+
+# Exceeds the time without progress after which a task is stuck, so that two successive
+# polls detect it.
+POLL_WAIT_MS = 1400
+POLL_RETRY_S = 0.15
+# A worker that replies to no poll for this long gets no new tasks.
+UNRESPONSIVE_AFTER_S = 0.8
+MAX_START_ATTEMPTS = 3
+STOP_RETRY_S = 0.25
+MAX_CONCURRENT_ORDERS = 400
+# A worker may restart unnoticed if it is not polled for this long.
+MAX_POLL_GAP_S = 0.2
+DURABLE_WAIT_S = 1.0  # limit of a wait for the store before the next lease renewal
+# Worker leases are renewed for this long after the leader lease has expired, since an
+# outage of the store is more likely then than another coordinator.
+STORE_OUTAGE_GRACE_S = 6.0
+
+
+class Leader(Protocol):
+    """The coordinator on whose behalf orders are sent."""
+
+    cell: cell_state.CellState
+    epoch: int
+
+    def may_renew(self, now: float) -> bool:
+        """Return whether worker leases may be renewed."""
+
+    def acknowledge_ends(self, worker: workers.Worker, last_end: int) -> None:
+        """Acknowledge ends to the worker once the next write is durable."""
+
+    def step_down(self, reason: str) -> None:
+        """Stop coordinating, since a worker has seen a higher epoch."""
+
+    def wake(self) -> None:
+        """Start a planning round soon."""
+
+
+class Dispatcher:
+    """Orders in flight and a polling loop for each worker."""
+
+    def __init__(
+        self,
+        leader: Leader,
+        client: ports.Workers,
+        max_lease_ms: int,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self._leader = leader
+        self._client = client
+        self._max_lease_ms = max_lease_ms
+        self._clock = clock
+        self._loops: dict[str, gevent.Greenlet] = {}
+        self._acknowledged: dict[str, event.Event] = {}
+        self._orders = pool.Pool(MAX_CONCURRENT_ORDERS)
+
+    def __enter__(self) -> Dispatcher:
+        return self
+
+    def __exit__(self, *_exc: object) -> None:
+        gevent.killall(list(self._loops.values()), block=False)
+        self._orders.kill(block=False)
+        self._loops.clear()
+
+    def watch(self, worker: workers.Worker) -> None:
+        """Poll a worker until its lease has expired and it is unregistered."""
+        if worker.id not in self._loops:
+            self._acknowledged[worker.id] = event.Event()
+            self._loops[worker.id] = gevent.spawn(self._run, worker)
+
+    def notify_acknowledged(self, worker: workers.Worker) -> None:
+        """End the wait of a worker's loop for the ends to become durable."""
+        signal = self._acknowledged.get(worker.id)
+        if signal is not None:
+            signal.set()
+
+    # Polling
+
+    def _run(self, worker: workers.Worker) -> None:
+        answered_at = self._clock()
+        while True:
+            now = self._clock()
+            if not self._leader.may_renew(now):
+                gevent.sleep(POLL_RETRY_S)
+                continue
+            if not worker.entry.address:
+                # Known from restored tasks only; it may register later.
+                if self._expire_lease(worker, now):
+                    return
+                gevent.sleep(POLL_RETRY_S)
+                continue
+            if self._poll(worker):
+                answered_at = self._clock()
+                continue
+            now = self._clock()
+            if now - answered_at > UNRESPONSIVE_AFTER_S and worker.responsive:
+                worker.responsive = False
+                structured.decide(log, "worker_silent", worker=worker.id)
+            if self._expire_lease(worker, now):
+                return
+            gevent.sleep(POLL_RETRY_S)
+
+    def _expire_lease(self, worker: workers.Worker, now: float) -> bool:
+        """Requeue tasks if the lease has expired; return whether the worker left."""
+        if now > worker.lease_expires_at:
+            if worker.allocations or worker.unknown_tasks:
+                reports.mark_lost(self._leader.cell, worker, now)
+                self._leader.wake()
+            if not worker.registered:
+                self._leader.cell.remove_worker(worker.id)
+                self._client.forget(worker.id)
+                self._loops.pop(worker.id, None)
+                return True
+        return False
+
+    def _poll(self, worker: workers.Worker) -> bool:
+        sent = self._clock()
+        lease_until_ms = None
+        # A poll without a reply may still arrive and extend the lease. Further polls
+        # carry no lease, so that the tasks of a lost worker are requeued in time.
+        if worker.clock_ms and not worker.may_have_restarted:
+            lease_until_ms = worker.estimate_clock(sent) + self._max_lease_ms
+            worker.extend_lease(lease_until_ms, sent)
+        wait_ms = POLL_WAIT_MS if worker.confirmed and worker.responsive else 0
+        # A new incarnation counts ends from 1, so acknowledging an old number would
+        # drop ends that were never read.
+        acked_end = 0 if worker.may_have_restarted else worker.acked_end
+        answer = self._client.poll(
+            worker.entry, self._leader.epoch, acked_end, lease_until_ms, wait_ms
+        )
+        now = self._clock()
+        worker.may_have_restarted = not isinstance(answer, ports.PollReply)
+        match answer:
+            case ports.PollReply():
+                self._apply_reply(worker, answer, sent, now)
+                return True
+            case ports.OrderRefused(reason=ports.FENCED):
+                self._leader.step_down(f"worker {worker.id} has seen a higher epoch")
+            case ports.OrderRefused(reason=ports.OTHER_INCARNATION):
+                log.info("worker {} is not the registered incarnation", worker.id)
+        return False
+
+    def _apply_reply(
+        self, worker: workers.Worker, reply: ports.PollReply, sent: float, now: float
+    ) -> None:
+        cell = self._leader.cell
+        last = max((end.number for end in reply.ended), default=worker.acked_end)
+        has_new_ends = last > worker.acked_end
+        restarted = reply.incarnation != worker.incarnation
+        changed_jobs = reports.apply_poll_reply(cell, worker, reply, sent, now)
+        if restarted:
+            last = max((end.number for end in reply.ended), default=0)
+            has_new_ends = last > 0
+        for allocation in reports.find_stuck(worker, now):
+            structured.decide(
+                log,
+                "task_stuck",
+                task=allocation.step.task_id(allocation.task.index),
+                worker=worker.id,
+                percent=allocation.task.percent,
+            )
+            worker.backoff_until = now + workers.MIN_QUARANTINE_S
+            cell.stop(allocation.step, allocation.task)
+        if changed_jobs or has_new_ends or cell.stops:
+            self._leader.wake()
+        if has_new_ends:
+            signal = self._acknowledged[worker.id]
+            signal.clear()
+            self._leader.acknowledge_ends(worker, last)
+            # A poll before the ends are durable would only return them again.
+            signal.wait(DURABLE_WAIT_S)
+            if self._clock() - now > MAX_POLL_GAP_S:
+                worker.may_have_restarted = True
+
+    # Starts and stops
+
+    def start(self, start: plans.Start) -> None:
+        """Send a start order whose intent is durable."""
+        self._orders.spawn(self._start, start)
+
+    def _start(self, start: plans.Start) -> None:
+        cell, worker, step_run = self._leader.cell, start.worker, start.step
+        task_id = step_run.task_id(start.task.index)
+        if step_run.job.is_final or start.task.run != start.run:
+            cell.cancel_start(step_run, start.task, start.run, self._clock())
+            return
+        for attempt in range(MAX_START_ATTEMPTS):
+            sent = self._clock()
+            if not self._leader.may_renew(sent):
+                return  # a successor relies on no lease being renewed
+            lease_until_ms = worker.estimate_clock(sent) + self._max_lease_ms
+            worker.extend_lease(lease_until_ms, sent)
+            answer = self._client.start(
+                worker.entry,
+                ports.Start(
+                    task=task_id,
+                    run=start.run,
+                    payload=step_run.job.spec.payload,
+                    lease_until_ms=lease_until_ms,
+                    epoch=self._leader.epoch,
+                    checkpoint=start.task.checkpoint,
+                    ticket=start.ticket,
+                ),
+            )
+            now = self._clock()
+            match answer:
+                case ports.OrderDone(clock_ms=clock_ms):
+                    worker.update_clock(clock_ms, now)
+                    cell.confirm_start(step_run, start.task, start.run, now)
+                    self._leader.wake()
+                    return
+                case errors.Ambiguous() if attempt + 1 < MAX_START_ATTEMPTS:
+                    worker.may_have_restarted = True
+                    continue  # starting the same run again is idempotent
+                case errors.Ambiguous():
+                    worker.backoff_until = now + workers.BACKOFF_S
+                    cell.mark_start_ambiguous(step_run, start.task, start.run)
+                case ports.OrderRefused(reason=reason):
+                    self._handle_refusal(start, reason, attempt > 0, now)
+                case _ if attempt > 0:
+                    cell.mark_start_ambiguous(step_run, start.task, start.run)
+                case _:
+                    worker.backoff_until = now + workers.BACKOFF_S
+                    cell.cancel_start(step_run, start.task, start.run, now)
+            structured.decide(
+                log, "start_failed", task=task_id, run=start.run,
+                worker=worker.id, reason=answer.reason,
+            )  # fmt: skip
+            self._leader.wake()
+            return
+
+    def _handle_refusal(
+        self, start: plans.Start, reason: str, repeated: bool, now: float
+    ) -> None:
+        cell, worker, step_run = self._leader.cell, start.worker, start.step
+        if reason == ports.FENCED:
+            self._leader.step_down(f"worker {worker.id} has seen a higher epoch")
+            return
+        if reason == ports.NO_TICKET:
+            step_run.tickets.pop(worker.id, None)
+        elif reason in (ports.NO_ROOM, ports.UNHEALTHY):
+            worker.backoff_until = now + workers.BACKOFF_S
+        elif reason == ports.INVALID:
+            start.task.avoided_workers = start.task.avoided_workers | {worker.id}
+            start.task.avoid_until = now + cell_state.FAILED_WORKER_AVOIDANCE_S
+        if repeated or reason == ports.OLD_RUN:
+            # The first order may have taken effect, and its run may have ended.
+            cell.mark_start_ambiguous(step_run, start.task, start.run)
+        else:
+            cell.cancel_start(step_run, start.task, start.run, now)
+
+    def stop(self, order: cell_state.Stop) -> None:
+        """Send a stop order until it is confirmed or the run is gone."""
+        self._orders.spawn(self._stop, order)
+
+    def _stop(self, order: cell_state.Stop) -> None:
+        while True:
+            worker = self._leader.cell.workers.get(order.worker)
+            if worker is None or not worker.entry.address:
+                return
+            allocation = worker.allocations.get(order.task)
+            if order.task not in worker.unknown_tasks and (
+                allocation is None or allocation.task.run != order.run
+            ):
+                return
+            answer = self._client.stop(
+                worker.entry, order.task, order.run, self._leader.epoch
+            )
+            now = self._clock()
+            match answer:
+                case ports.OrderDone(clock_ms=clock_ms):
+                    worker.update_clock(clock_ms, now)
+                    self._leader.cell.confirm_stop(
+                        worker.id, order.task, order.run, now
+                    )
+                    return
+                case ports.OrderRefused(reason=ports.FENCED):
+                    self._leader.step_down(f"worker {worker.id} refused a stop")
+                    return
+                case ports.OrderRefused(reason=ports.OLD_RUN | ports.OTHER_INCARNATION):
+                    self._leader.cell.confirm_stop(
+                        worker.id, order.task, order.run, now
+                    )
+                    return
+            gevent.sleep(STOP_RETRY_S)
--- /dev/null
+++ b/toucanspring/coordinator/fenced_writer.py
@@ -0,0 +1,176 @@
+"""Fenced writes of the coordinator: each transaction checks the leader lease.
+
+Transactions are sent one at a time. Each rewrites the lease's row, so that a delayed
+transaction that arrives after a later one fails on the version that it checks. Each
+renews the lease as well.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+import gevent
+import logbook
+
+from toucanspring import errors
+from toucanspring.coordinator import leader_lease, ports, rows
+
+log = logbook.Logger(__name__)
+
+# A transaction takes at most 100 entries, and the lease's row is checked and written.
+MAX_ROWS = 95
+MAX_BYTES = 700_000  # the limit is 1 MB, and values grow by a third on the wire
+RETRY_FIRST_S = 0.02
+RETRY_MAX_S = 0.3
+
+
+class FencedWriter:
+    """Writes rows and renews the leader lease for one epoch."""
+
+    def __init__(
+        self,
+        store: ports.Store,
+        acquired: leader_lease.Acquired,
+        store_clock: leader_lease.StoreClock,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self._store = store
+        self._lease = acquired.lease
+        self._version = acquired.version
+        self._store_clock = store_clock
+        self._clock = clock
+        self.lost = False
+        # Called after each failed attempt with the seconds since the first attempt.
+        self.on_failing: Callable[[float], None] = lambda _for_s: None
+        self.committed_at = clock()
+        self.writes = 0
+
+    @property
+    def epoch(self) -> int:
+        """Return the epoch of the lease, which is the fencing token."""
+        return self._lease.epoch
+
+    def holds_lease(self, now: float) -> bool:
+        """Return whether no other process can have acquired the lease by expiry."""
+        return (
+            not self.lost
+            and self._store_clock.upper_bound_ms(now) < self._lease.expires_ms
+        )
+
+    def overdue_s(self, now: float) -> float:
+        """Return the seconds since the lease expired, 0 if it has not."""
+        return max(
+            0.0, (self._store_clock.upper_bound_ms(now) - self._lease.expires_ms) / 1000
+        )
+
+    def commit(
+        self, puts: dict[ports.RowId, bytes], removals: tuple[ports.RowId, ...] = ()
+    ) -> None | errors.Fenced:
+        """Write rows and renew the lease; retries until the outcome is certain."""
+        entries: list[tuple[ports.RowId, bytes | None]] = [
+            *puts.items(),
+            *((row_id, None) for row_id in removals),
+        ]
+        while True:
+            chunk, size = [], 0
+            while entries and len(chunk) < MAX_ROWS and size < MAX_BYTES:
+                entry = entries.pop(0)
+                chunk.append(entry)
+                size += len(entry[1] or b"")
+            failure = self._write(chunk)
+            if failure is not None or not entries:
+                return failure
+
+    def release(self) -> None | errors.Failure:
+        """Expire the lease now, so that another process can acquire it at once."""
+        last = self._next_lease(expires_ms=0)
+        answer = self._store.transact(
+            {rows.LEADER_LEASE_ROW: self._version},
+            {rows.LEADER_LEASE_ROW: rows.encode(last)},
+        )
+        self.lost = True
+        match answer:
+            case ports.Rejected():
+                return errors.Conflict(
+                    reason="another process acquired the leader lease"
+                )
+            case errors.Failure():
+                return answer
+        return None
+
+    def _next_lease(self, expires_ms: int) -> rows.LeaderLease:
+        lease = self._lease
+        return rows.LeaderLease(
+            lease.process,
+            lease.address,
+            lease.epoch,
+            lease.sequence + 1,
+            expires_ms,
+            lease.instance_id,
+        )
+
+    def _write(
+        self, chunk: list[tuple[ports.RowId, bytes | None]]
+    ) -> None | errors.Fenced:
+        puts = {row_id: value for row_id, value in chunk if value is not None}
+        removals = tuple(row_id for row_id, value in chunk if value is None)
+        pause = RETRY_FIRST_S
+        uncertain = False  # an earlier attempt may have taken effect
+        began = self._clock()
+        while not self.lost:
+            sent_at = self._clock()
+            wanted = self._next_lease(
+                self._store_clock.upper_bound_ms(sent_at) + leader_lease.LEASE_MS
+            )
+            answer = self._store.transact(
+                {rows.LEADER_LEASE_ROW: self._version},
+                {**puts, rows.LEADER_LEASE_ROW: rows.encode(wanted)},
+                removals,
+            )
+            self.writes += 1
+            match answer:
+                case ports.Committed(at=at):
+                    self._apply_committed(wanted, at.version, at.store_ms, sent_at)
+                    return None
+                case ports.Rejected(rows=found):
+                    return self._resolve_rejection(found, uncertain)
+                case errors.Ambiguous():
+                    uncertain = True
+            log.warning("write {} failed; retrying: {}", wanted.sequence, answer)
+            self.on_failing(self._clock() - began)
+            gevent.sleep(pause)
+            pause = min(RETRY_MAX_S, pause * 2)
+        return errors.Fenced(reason="the leader lease was lost", epoch=self.epoch)
+
+    def _resolve_rejection(
+        self, found: tuple[ports.Row, ...], uncertain: bool
+    ) -> None | errors.Fenced:
+        """Return `None` if the lease's row is from an earlier attempt of this write.
+
+        Otherwise another process has written the row, and the lease is lost.
+        """
+        current = next((row for row in found if row.id == rows.LEADER_LEASE_ROW), None)
+        if uncertain and current is not None and current.version:
+            stored = rows.decode(rows.LeaderLease, current.value)
+            if (
+                isinstance(stored, rows.LeaderLease)
+                and stored.instance_id == self._lease.instance_id
+                and stored.epoch == self.epoch
+                and stored.sequence == self._lease.sequence + 1
+            ):
+                self._lease, self._version = stored, current.version
+                self.committed_at = self._clock()
+                return None
+        self.lost = True
+        log.warning("epoch {}: another process acquired the leader lease", self.epoch)
+        return errors.Fenced(
+            reason="another process acquired the leader lease", epoch=self.epoch
+        )
+
+    def _apply_committed(
+        self, written: rows.LeaderLease, version: int, store_ms: int, sent_at: float
+    ) -> None:
+        self._store_clock.update(store_ms, sent_at)
+        self._lease, self._version = written, version
+        self.committed_at = self._clock()
--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -1,206 +1,221 @@
-"""Gangs start whole; a blocked one keeps and clears the room that it needs."""
+"""Gang scheduling: all or nothing, with reservation and preemption."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 from toucanspring import resources
-from toucanspring.coordinator import book, catalogue, fitting, plans, state, workers
-
-# A blocked gang keeps other work off the workers that it needs after this time, and
-# stops less urgent work there after that one, if the work does not end by itself.
-GANG_PATIENCE_S = 0.2
+from toucanspring.coordinator import (
+    catalogue,
+    cell_state,
+    placement,
+    plans,
+    state,
+    workers,
+)
+
+# A blocked gang reserves workers after the first time, and preempts tasks of lower
+# priority on them after the second, if these have not ended by then.
+RESERVE_AFTER_S = 0.2
 PREEMPT_AFTER_S = 1.5
-# Work is stopped only for a gang that would be late otherwise, with so much to spare.
-PREEMPT_SPARE_S = 4.0
-# Each stop costs up to a second of a task's room.
+# A gang preempts only if its slack to the deadline is positive and below this.
+MAX_PREEMPTING_SLACK_S = 4.0
+# For each task; a preemption costs up to a second of the task's allocation.
 MAX_PREEMPTIONS = 2
-# It keeps to the workers that it chose for this long.
+# A gang keeps its reserved workers for this long.
 RESERVATION_S = 3.0
-MAX_GANGS_MAKING_ROOM = 3
-# Work of a preempted task that has no checkpoint is lost; tasks further than this
-# are left alone.
-MAX_LOST_S = 0.5
+MAX_RESERVING_GANGS = 3
+# A preempted task without checkpoints loses its work; tasks that have run for longer
+# than this are not preempted.
+MAX_LOST_WORK_S = 0.5
 
 
-class Rounds(Protocol):
-    """What the planner does for single tasks and gangs alike."""
+class PlannerInterface(Protocol):
+    """Methods of the planner that single tasks and gangs share."""
 
-    def ask(
+    def request_approval(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         names: list[str],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers, unless a question is open."""
+        """Request approval of workers, unless a request is pending or must wait."""
 
     def ticket(
-        self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
+        self, step_run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
-        """Return a valid ticket; empty if none is needed, None if there is none."""
+        """Return a valid ticket, "" if none is needed, or None if there is none."""
 
     def start(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
-        number: int,
+        run_number: int,
         queue: catalogue.Queue,
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Book a run."""
+        """Allocate resources for a run and add its start to the plan."""
 
-    def unasked_with_room(self, run: state.StepRun) -> list[str]:
-        """Return workers with room that the approval service was not asked about."""
+    def not_requested_with_room(self, step_run: state.StepRun) -> list[str]:
+        """Return workers with free capacity that no approval was requested for."""
 
 
 class Gangs:
-    """Plan the gangs of one book."""
+    """Planner for the gangs of one cell."""
 
-    def __init__(self, records: book.Book, rounds: Rounds) -> None:
-        self._book = records
-        self._rounds = rounds
+    def __init__(self, cell: cell_state.CellState, planner: PlannerInterface) -> None:
+        self._cell = cell
+        self._planner = planner
 
     def plan(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Start a gang that fits, or make room for it."""
-        count = run.step.count
-        if len(run.waiting) < count:
-            plan.wait(run, plans.MEMBERS)
+        """Start a gang if it fits, else reserve workers and preempt tasks for it."""
+        count = step_run.step.count
+        if len(step_run.waiting) < count:
+            plan.record_wait(step_run, plans.GANG_STILL_RUNNING)
             return
-        if len({run.tasks[index].checkpoint for index in run.waiting}) > 1:
-            self._align_checkpoints(run)
+        if len({step_run.tasks[index].checkpoint for index in step_run.waiting}) > 1:
+            self._align_checkpoints(step_run)
         open_workers = [
             worker
             for worker in eligible
             if worker.id not in plan.reserved
-            and all(fitting.is_tried(task, worker, now) for task in run.tasks)
+            and all(
+                placement.may_retry_on(task, worker, now) for task in step_run.tasks
+            )
         ]
-        chosen = fitting.place_gang(run, open_workers, {})
+        chosen = placement.place_gang(step_run, open_workers, {})
         if chosen is None:
-            plan.wait(run, plans.NO_ROOM)
-            if now - run.ready_at >= GANG_PATIENCE_S:
-                self._make_room(run, queue, eligible, plan, now)
+            plan.record_wait(step_run, plans.NO_ROOM)
+            if now - step_run.ready_at >= RESERVE_AFTER_S:
+                self._reserve_and_preempt(step_run, queue, eligible, plan, now)
             return
         missing = [
             worker.id
             for worker, _ in chosen
-            if self._rounds.ticket(run, queue, worker.id, now) is None
+            if self._planner.ticket(step_run, queue, worker.id, now) is None
         ]
         if missing:
-            plan.wait(run, plans.APPROVAL)
-            # All that are allowed, as the room may have changed by the answer.
+            plan.record_wait(step_run, plans.AWAITING_APPROVAL)
+            # Ask for all approved workers: capacity may change before the reply.
             names = [worker.id for worker in eligible]
-            self._rounds.ask(run, queue, names, plan, now)
+            self._planner.request_approval(step_run, queue, names, plan, now)
             plan.reserved.update(worker.id for worker, _ in chosen)
             return
-        number = max(task.run for task in run.tasks) + 1
-        indices = iter(sorted(run.waiting))
+        run_number = max(task.run for task in step_run.tasks) + 1
+        indices = iter(sorted(step_run.waiting))
         for worker, share in chosen:
             for _ in range(share):
-                task = run.tasks[next(indices)]
-                self._rounds.start(run, task, worker, number, queue, plan, now)
+                task = step_run.tasks[next(indices)]
+                self._planner.start(
+                    step_run, task, worker, run_number, queue, plan, now
+                )
 
     @staticmethod
-    def _align_checkpoints(run: state.StepRun) -> None:
-        """Give all members the latest checkpoint, which is valid for each of them."""
-        latest = max(run.tasks, key=lambda task: (task.percent, task.checkpoint))
-        for task in run.tasks:
+    def _align_checkpoints(step_run: state.StepRun) -> None:
+        """Set the latest checkpoint for all members; it is valid for each of them."""
+        latest = max(step_run.tasks, key=lambda task: (task.percent, task.checkpoint))
+        for task in step_run.tasks:
             task.checkpoint = latest.checkpoint
 
-    def _make_room(
+    def _reserve_and_preempt(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Keep others off the workers that a blocked gang needs, and clear them."""
-        if plan.gangs_making_room >= MAX_GANGS_MAKING_ROOM:
+        """Reserve workers for a blocked gang; preempt tasks there if it is urgent."""
+        if plan.reserving_gangs >= MAX_RESERVING_GANGS:
             return
-        plan.gangs_making_room += 1
+        plan.reserving_gangs += 1
         open_workers = [each for each in eligible if each.id not in plan.reserved]
         victims = {
-            worker.id: self._victims(worker, queue.priority, now)
+            worker.id: self._find_victims(worker, queue.priority, now)
             for worker in open_workers
         }
-        chosen = self._reserve(run, open_workers, victims, now)
+        chosen = self._choose_reservation(step_run, open_workers, victims, now)
         if chosen is None:
-            names = self._rounds.unasked_with_room(run)
+            names = self._planner.not_requested_with_room(step_run)
             if names:
-                self._rounds.ask(run, queue, names, plan, now)
+                self._planner.request_approval(step_run, queue, names, plan, now)
             return
         plan.reserved.update(worker.id for worker, _ in chosen)
-        spare_s = run.job.due_at - now - run.step.estimate_ms / 1000
-        waited_s = now - run.ready_at
-        if waited_s < PREEMPT_AFTER_S or not 0 < spare_s < PREEMPT_SPARE_S:
+        slack_s = step_run.job.due_at - now - step_run.step.estimate_ms / 1000
+        waited_s = now - step_run.ready_at
+        if waited_s < PREEMPT_AFTER_S or not 0 < slack_s < MAX_PREEMPTING_SLACK_S:
             return
         for worker, share in chosen:
-            lack = run.step.occupied().times(share)
+            needed = step_run.step.occupied().times(share)
             free = worker.free()
-            for held in victims[worker.id]:
-                if lack.fits(free):
+            for allocation in victims[worker.id]:
+                if needed.fits(free):
                     break
-                free = free + held.step.step.occupied()
-                if held.task.phase is state.Phase.RUNNING:
-                    held.task.preempted += 1
-                    self._book.stop(held.step, held.task)
+                free = free + allocation.step.step.occupied()
+                if allocation.task.phase is state.TaskPhase.RUNNING:
+                    allocation.task.preemptions += 1
+                    self._cell.stop(allocation.step, allocation.task)
 
     @staticmethod
-    def _reserve(
-        run: state.StepRun,
+    def _choose_reservation(
+        step_run: state.StepRun,
         open_workers: list[workers.Worker],
-        victims: dict[str, list[workers.Held]],
+        victims: dict[str, list[workers.Allocation]],
         now: float,
     ) -> list[tuple[workers.Worker, int]] | None:
-        """Return the workers that a gang waits for, the same as before if possible."""
-        extra = {
+        """Return the workers to reserve for a gang, the same as before if possible."""
+        reclaimable = {
             name: sum(
-                (held.step.step.occupied() for held in found), start=resources.ZERO
+                (allocation.step.step.occupied() for allocation in found),
+                start=resources.ZERO,
             )
             for name, found in victims.items()
         }
-        if now < run.reserved_until:
-            kept = [each for each in open_workers if each.id in run.reserved]
-            chosen = fitting.place_gang(run, kept, extra)
+        if now < step_run.reserved_until:
+            kept = [each for each in open_workers if each.id in step_run.reserved]
+            chosen = placement.place_gang(step_run, kept, reclaimable)
             if chosen is not None:
                 return chosen
-        chosen = fitting.place_gang(run, open_workers, extra)
+        chosen = placement.place_gang(step_run, open_workers, reclaimable)
         if chosen is not None:
-            run.reserved = frozenset(worker.id for worker, _ in chosen)
-            run.reserved_until = now + RESERVATION_S
+            step_run.reserved = frozenset(worker.id for worker, _ in chosen)
+            step_run.reserved_until = now + RESERVATION_S
         return chosen
 
-    def _victims(
+    def _find_victims(
         self, worker: workers.Worker, priority: int, now: float
-    ) -> list[workers.Held]:
-        """Return the tasks that may be stopped, those already stopping first."""
-        found: list[tuple[float, workers.Held]] = []
-        for held in worker.held.values():
-            if held.task.phase is state.Phase.STOPPING:
-                found.append((-1.0, held))
+    ) -> list[workers.Allocation]:
+        """Return the tasks that may be preempted, those already stopping first."""
+        found: list[tuple[float, workers.Allocation]] = []
+        for allocation in worker.allocations.values():
+            if allocation.task.phase is state.TaskPhase.STOPPING:
+                found.append((-1.0, allocation))
                 continue
-            if held.task.phase is not state.Phase.RUNNING or held.step.step.gang:
+            if (
+                allocation.task.phase is not state.TaskPhase.RUNNING
+                or allocation.step.step.gang
+            ):
                 continue
-            if held.task.preempted >= MAX_PREEMPTIONS:
+            if allocation.task.preemptions >= MAX_PREEMPTIONS:
                 continue
-            other = self._book.catalogue.queue(held.step.job.spec.queue)
+            other = self._cell.catalogue.queue(allocation.step.job.spec.queue)
             if other is None or other.priority <= priority:
                 continue
-            lost_s = now - held.task.started_at
-            if held.step.step.checkpointing:
+            lost_s = now - allocation.task.started_at
+            if allocation.step.step.checkpointing:
                 lost_s = 0.0
-            if lost_s <= MAX_LOST_S:
-                found.append((lost_s, held))
+            if lost_s <= MAX_LOST_WORK_S:
+                found.append((lost_s, allocation))
         found.sort(key=lambda each: each[0])
-        return [held for _, held in found]
+        return [allocation for _, allocation in found]
--- a/toucanspring/coordinator/planner.py
+++ b/toucanspring/coordinator/planner.py
@@ -1,178 +1,206 @@
-"""Which waiting tasks start where, which approvals to ask for, what makes room.
+"""Planning of starts, approval requests and preemptions.
 
-It does no I/O and reads no clock: it sees the book and returns decisions.
+The planner performs no I/O and reads no clock: it reads and updates the cell state and
+returns its decisions.
 """
 
 from __future__ import annotations
 
 from toucanspring.coordinator import (
-    book,
     catalogue,
-    fitting,
+    cell_state,
     gangs,
+    placement,
     plans,
     state,
     workers,
 )
 
-MOST_URGENT = 0
-# Estimates are off by up to 0.9 either way; a job counts as late once this part of the
-# estimated time is missing.
-LATE_SHARE = 0.6
-# An order travels and may be repeated before its ticket is read.
+TOP_PRIORITY = 0
+# A job counts as late once this fraction of its estimated run time does not fit before
+# the deadline; estimates are off by up to 0.9 in either direction.
+LATE_ESTIMATE_FRACTION = 0.6
+# Remaining validity of a ticket at a start: the order may be delayed and retried.
 TICKET_MARGIN_S = 0.15
-# More steps than this are not looked at in one round, to bound its time.
-MAX_STEPS = 400
-MAX_STARTS = 120
-ASK_AT_MOST = 100  # workers in one question
+# Limits the duration of a round.
+MAX_STEPS_PER_ROUND = 400
+MAX_STARTS_PER_ROUND = 120
+MAX_WORKERS_PER_REQUEST = 100
 
 
 class Planner:
-    """Decide for the jobs of one book."""
+    """Planner for the jobs of one cell."""
 
-    def __init__(self, records: book.Book) -> None:
-        self._book = records
-        self._gangs = gangs.Gangs(records, self)
+    def __init__(self, cell: cell_state.CellState) -> None:
+        self._cell = cell
+        self._gangs = gangs.Gangs(cell, self)
 
     def plan(self, now: float) -> plans.Plan:
-        """Return what to start and to ask now; takes the room for the starts."""
+        """Plan one round and allocate the resources for its starts."""
         plan = plans.Plan()
         usable: dict[str, list[workers.Worker]] = {}
-        over = self._beyond_share()
+        over_share = self._find_over_share()
         steps = sorted(
-            self._book.ready.values(), key=lambda run: self._rank(run, over, now)
+            self._cell.ready.values(),
+            key=lambda step_run: self._rank(step_run, over_share, now),
         )
-        for run in steps[:MAX_STEPS]:
-            if len(plan.starts) >= MAX_STARTS:
+        for step_run in steps[:MAX_STEPS_PER_ROUND]:
+            if len(plan.starts) >= MAX_STARTS_PER_ROUND:
                 break
-            queue = self._book.catalogue.queue(run.job.spec.queue)
-            if queue is None or run.job.is_final:
+            queue = self._cell.catalogue.queue(step_run.job.spec.queue)
+            if queue is None or step_run.job.is_final:
                 continue
             if queue.pool not in usable:
                 usable[queue.pool] = [
                     worker
-                    for worker in self._book.pool(queue.pool)
-                    if worker.is_usable(now, self._book.zones_out)
+                    for worker in self._cell.pool(queue.pool)
+                    if worker.is_usable(now, self._cell.zones_out)
                 ]
-            self._plan_step(run, queue, usable[queue.pool], plan, now)
+            self._plan_step(step_run, queue, usable[queue.pool], plan, now)
         return plan
 
-    def _beyond_share(self) -> frozenset[str]:
-        """Return the organisations that use more than their share of the cell."""
-        capacity = workers.total_capacity(self._book.workers.values())
-        organisations = self._book.catalogue.organisations.values()
+    def _find_over_share(self) -> frozenset[str]:
+        """Return the organisations that use more than their fair share of the cell."""
+        capacity = workers.total_capacity(self._cell.workers.values())
+        organisations = self._cell.catalogue.organisations.values()
         total = sum(each.weight for each in organisations)
         return frozenset(
             each.name
             for each in organisations
             if each.weight > 0
-            and self._book.used[each.name].dominant(capacity) > each.weight / total
+            and self._cell.used[each.name].dominant(capacity) > each.weight / total
         )
 
     def _rank(
-        self, run: state.StepRun, over: frozenset[str], now: float
+        self, step_run: state.StepRun, over_share: frozenset[str], now: float
     ) -> tuple[bool, bool, int, bool, bool, float]:
-        """Order by entitlement and urgency, then by what can still be in time.
+        """Return a sort key: fair share and priority first, then the deadline.
 
-        Under overload the earliest due time alone makes everything late: work that is
-        late already waits for work that is not, but for the most urgent.
+        Under overload, earliest deadline first alone would make all jobs late. So late
+        jobs wait for jobs that are not, except at the top priority.
         """
-        spec = run.job.spec
-        queue = self._book.catalogue.queue(spec.queue)
+        spec = step_run.job.spec
+        queue = self._cell.catalogue.queue(spec.queue)
         priority = queue.priority if queue is not None else 9
-        left_s = LATE_SHARE * run.step.estimate_ms / 1000
-        late = now + left_s > run.job.due_at
+        needed_s = LATE_ESTIMATE_FRACTION * step_run.step.estimate_ms / 1000
+        late = now + needed_s > step_run.job.due_at
         return (
-            run.job.beyond_rate,
-            late and priority > MOST_URGENT,
+            step_run.job.over_rate,
+            late and priority > TOP_PRIORITY,
             priority,
             late,
-            spec.organisation in over,
-            run.job.due_at,
+            spec.organisation in over_share,
+            step_run.job.due_at,
         )
 
     def _plan_step(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         usable: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        eligible = [worker for worker in usable if fitting.suits(run, worker)]
+        eligible = [
+            worker for worker in usable if placement.is_eligible(step_run, worker)
+        ]
         if not eligible:
-            plan.wait(run, plans.NO_WORKER)
+            plan.record_wait(step_run, plans.NO_USABLE_WORKER)
             return
         if queue.approval is not None:
-            self._ask_new(run, queue, eligible, plan, now)
-            run.unasked = [each for each in eligible if each.id not in run.allowed]
-            eligible = [worker for worker in eligible if run.allowed.get(worker.id)]
+            self._request_new_approvals(step_run, queue, eligible, plan, now)
+            step_run.not_requested = [
+                each for each in eligible if each.id not in step_run.allowed
+            ]
+            eligible = [
+                worker for worker in eligible if step_run.allowed.get(worker.id)
+            ]
             if not eligible:
-                names = self.unasked_with_room(run)
+                names = self.not_requested_with_room(step_run)
                 if names:
-                    self.ask(run, queue, names, plan, now)
-                plan.wait(run, plans.APPROVAL if run.asking else plans.NOT_APPROVED)
+                    self.request_approval(step_run, queue, names, plan, now)
+                plan.record_wait(
+                    step_run,
+                    plans.AWAITING_APPROVAL
+                    if step_run.approval_pending
+                    else plans.NOT_APPROVED,
+                )
                 return
-        # Capacity alone decides here; without a change nothing new can fit.
-        if run.blocked_at == self._book.capacity_version and not run.step.gang:
+        # Only capacity is missing, so nothing fits until the capacity changes.
+        if (
+            step_run.blocked_version == self._cell.capacity_version
+            and not step_run.step.gang
+        ):
             return
-        if not self._within_ceiling(run, run.step.count if run.step.gang else 1):
-            plan.wait(run, plans.CEILING)
+        if not self._within_ceiling(
+            step_run, step_run.step.count if step_run.step.gang else 1
+        ):
+            plan.record_wait(step_run, plans.ABOVE_CEILING)
             return
-        if run.step.gang:
-            self._gangs.plan(run, queue, eligible, plan, now)
+        if step_run.step.gang:
+            self._gangs.plan(step_run, queue, eligible, plan, now)
         else:
-            self._plan_tasks(run, queue, eligible, plan, now)
+            self._plan_tasks(step_run, queue, eligible, plan, now)
 
     # Approvals
 
-    def _ask_new(
+    def _request_new_approvals(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        unknown = [worker.id for worker in eligible if worker.id not in run.allowed]
+        unknown = [
+            worker.id for worker in eligible if worker.id not in step_run.allowed
+        ]
         known = len(eligible) - len(unknown)
-        # A few new workers are not worth a question while others are known.
+        # A few new workers are not worth a request while others have a decision.
         if unknown and len(unknown) * 3 > known:
-            self.ask(run, queue, unknown, plan, now)
+            self.request_approval(step_run, queue, unknown, plan, now)
 
-    def ask(
+    def request_approval(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         names: list[str],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers, unless a question is open."""
-        if run.asking or now < run.ask_again_at or queue.approval is None:
+        """Request approval of workers, unless a request is pending or must wait."""
+        if (
+            step_run.approval_pending
+            or now < step_run.approval_retry_at
+            or queue.approval is None
+        ):
             return
-        run.asking = True
-        names = names[:ASK_AT_MOST]
+        step_run.approval_pending = True
+        names = names[:MAX_WORKERS_PER_REQUEST]
         cost_s = queue.approval.decision_s + queue.approval.per_worker_s * len(names)
-        plan.questions.append(
-            plans.Question(
-                run, tuple(names), cost_s, queue.priority, queue.approval.validity_s
+        plan.approval_requests.append(
+            plans.ApprovalRequest(
+                step_run,
+                tuple(names),
+                cost_s,
+                queue.priority,
+                queue.approval.validity_s,
             )
         )
 
     @staticmethod
-    def unasked_with_room(run: state.StepRun) -> list[str]:
-        """Return workers with room that the approval service was not asked about."""
-        demand = run.step.occupied()
-        return [each.id for each in run.unasked if demand.fits(each.free())]
+    def not_requested_with_room(step_run: state.StepRun) -> list[str]:
+        """Return workers with free capacity that no approval was requested for."""
+        demand = step_run.step.occupied()
+        return [each.id for each in step_run.not_requested if demand.fits(each.free())]
 
     def ticket(
-        self, run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
+        self, step_run: state.StepRun, queue: catalogue.Queue, worker: str, now: float
     ) -> str | None:
-        """Return a valid ticket; empty if none is needed, None if there is none."""
+        """Return a valid ticket, "" if none is needed, or None if there is none."""
         if queue.approval is None:
             return ""
-        ticket = run.tickets.get(worker)
+        ticket = step_run.tickets.get(worker)
         if ticket is None or ticket.expires_at < now + TICKET_MARGIN_S:
             return None
         return ticket.text
@@ -181,79 +209,87 @@
 
     def _plan_tasks(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         eligible: list[workers.Worker],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        on_worker = fitting.count_on_workers(run)
+        on_worker = placement.count_per_worker(step_run)
         open_workers = eligible
-        if queue.priority > MOST_URGENT:
+        if queue.priority > TOP_PRIORITY:
             open_workers = [each for each in eligible if each.id not in plan.reserved]
-        for index in sorted(run.waiting):
-            if not self._within_ceiling(run, 1) or len(plan.starts) >= MAX_STARTS:
+        for index in sorted(step_run.waiting):
+            if (
+                not self._within_ceiling(step_run, 1)
+                or len(plan.starts) >= MAX_STARTS_PER_ROUND
+            ):
                 return
-            task = run.tasks[index]
+            task = step_run.tasks[index]
             fits = [
                 worker
                 for worker in open_workers
-                if fitting.allows(run, task, worker, on_worker, now)
-                and run.step.occupied().fits(worker.free())
+                if placement.may_place(step_run, task, worker, on_worker, now)
+                and step_run.step.occupied().fits(worker.free())
             ]
             valid = [
                 worker
                 for worker in fits
-                if self.ticket(run, queue, worker.id, now) is not None
+                if self.ticket(step_run, queue, worker.id, now) is not None
             ]
-            if not valid and task.avoided and now < task.avoid_until:
-                continue  # the others of the step may still fit
+            if not valid and task.avoided_workers and now < task.avoid_until:
+                continue  # other tasks of the step may still fit
             if not valid:
-                self._block(run, queue, [each.id for each in fits], plan, now)
+                self._request_or_block(
+                    step_run, queue, [each.id for each in fits], plan, now
+                )
                 return
             best = min(
-                valid, key=lambda worker: fitting.rank(run, worker, worker.free())
+                valid,
+                key=lambda worker: placement.rank(step_run, worker, worker.free()),
             )
             on_worker[best.id] = on_worker.get(best.id, 0) + 1
-            self.start(run, task, best, task.run + 1, queue, plan, now)
+            self.start(step_run, task, best, task.run + 1, queue, plan, now)
 
-    def _block(
+    def _request_or_block(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         queue: catalogue.Queue,
         without_ticket: list[str],
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Ask about workers that have room, or wait until something has changed."""
-        names = without_ticket or self.unasked_with_room(run)
-        plan.wait(run, plans.APPROVAL if names else plans.NO_ROOM)
+        """Request approval of workers with capacity, or block the step without any."""
+        names = without_ticket or self.not_requested_with_room(step_run)
+        plan.record_wait(step_run, plans.AWAITING_APPROVAL if names else plans.NO_ROOM)
         if names:
-            self.ask(run, queue, names, plan, now)
-        elif not run.asking:
-            run.blocked_at = self._book.capacity_version
+            self.request_approval(step_run, queue, names, plan, now)
+        elif not step_run.approval_pending:
+            step_run.blocked_version = self._cell.capacity_version
 
     def start(
         self,
-        run: state.StepRun,
+        step_run: state.StepRun,
         task: state.Task,
         worker: workers.Worker,
-        number: int,
+        run_number: int,
         queue: catalogue.Queue,
         plan: plans.Plan,
         now: float,
     ) -> None:
-        """Book a run."""
-        ticket = self.ticket(run, queue, worker.id, now) or ""
-        self._book.begin(run, task, worker, number)
-        plan.starts.append(plans.Start(run, task, worker, number, ticket))
+        """Allocate resources for a run and add its start to the plan."""
+        ticket = self.ticket(step_run, queue, worker.id, now) or ""
+        self._cell.allocate(step_run, task, worker, run_number)
+        plan.starts.append(plans.Start(step_run, task, worker, run_number, ticket))
 
-    def _within_ceiling(self, run: state.StepRun, count: int) -> bool:
-        organisation = self._book.catalogue.organisations.get(run.job.spec.organisation)
+    def _within_ceiling(self, step_run: state.StepRun, count: int) -> bool:
+        organisation = self._cell.catalogue.organisations.get(
+            step_run.job.spec.organisation
+        )
         if organisation is None:
             return True
         ceiling = organisation.ceiling
-        wanted = self._book.used[organisation.name] + run.step.demand.times(count)
+        wanted = self._cell.used[organisation.name] + step_run.step.demand.times(count)
         return (
             (not ceiling.cpus or wanted.cpus <= ceiling.cpus)
             and (not ceiling.memory or wanted.memory <= ceiling.memory)
--- a/toucanspring/coordinator/plans.py
+++ b/toucanspring/coordinator/plans.py
@@ -1,4 +1,4 @@
-"""Decisions of one round: starts, questions for approval, reasons to wait."""
+"""Decisions of one planning round: starts, approval requests, reasons to wait."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from toucanspring.coordinator import ports, state, workers
 
-# Why a step waits, as logged.
-NO_WORKER = "no usable worker"
-APPROVAL = "approval asked for"
+# Reasons why a step waits, as logged.
+NO_USABLE_WORKER = "no usable worker"
+AWAITING_APPROVAL = "approval asked for"
 NOT_APPROVED = "no approved worker"
-CEILING = "ceiling of the organisation"
+ABOVE_CEILING = "ceiling of the organisation"
 NO_ROOM = "no room"
-MEMBERS = "members of the gang still run"
+GANG_STILL_RUNNING = "members of the gang still run"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """Start a run of a task on a worker."""
+    """Decision to start a run of a task on a worker."""
 
     step: state.StepRun
     task: state.Task
@@ -27,8 +27,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
-    """Ask the approval service about workers for a step."""
+class ApprovalRequest:
+    """Request to approve workers for a step; durations are seconds."""
 
     step: state.StepRun
     workers: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Say why a step has waiting tasks."""
+    """Reason why a step has waiting tasks."""
 
     step: state.StepRun
     reason: str
@@ -47,32 +47,32 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Collect the decisions of one round; starts are already booked."""
+    """Decisions of one round; resources for the starts are already allocated."""
 
     starts: list[Start] = dataclasses.field(default_factory=list)
-    questions: list[Question] = dataclasses.field(default_factory=list)
-    # Steps that begin to wait for another reason than before.
+    approval_requests: list[ApprovalRequest] = dataclasses.field(default_factory=list)
+    # Steps whose reason to wait has changed.
     waits: list[Wait] = dataclasses.field(default_factory=list)
     reserved: set[str] = dataclasses.field(default_factory=set)
-    gangs_making_room: int = 0
+    reserving_gangs: int = 0
 
-    def wait(self, run: state.StepRun, reason: str) -> None:
-        """Take note of why a step waits, once for each reason in turn."""
-        if run.waits_for != reason:
-            run.waits_for = reason
-            self.waits.append(Wait(run, reason))
+    def record_wait(self, step_run: state.StepRun, reason: str) -> None:
+        """Record why a step waits, if the reason has changed."""
+        if step_run.wait_reason != reason:
+            step_run.wait_reason = reason
+            self.waits.append(Wait(step_run, reason))
 
 
-def take_answer(
-    question: Question,
+def record_approvals(
+    question: ApprovalRequest,
     tickets: dict[str, str],
     expires_at: float,
 ) -> None:
-    """Keep what the approval service said about a step."""
-    run = question.step
+    """Store the reply of the approval service in the step."""
+    step_run = question.step
     for name in question.workers:
-        run.allowed[name] = name in tickets
+        step_run.allowed[name] = name in tickets
         if name in tickets:
-            run.tickets[name] = ports.Ticket(tickets[name], expires_at)
-    run.asking = False
-    run.blocked_at = -1
+            step_run.tickets[name] = ports.Ticket(tickets[name], expires_at)
+    step_run.approval_pending = False
+    step_run.blocked_version = -1
--- a/toucanspring/coordinator/rows.py
+++ b/toucanspring/coordinator/rows.py
@@ -1,4 +1,4 @@
-"""Rows that the processes keep in the table store, and their codec."""
+"""Rows that the processes store in the table store, and their encoding."""
 
 from __future__ import annotations
 
@@ -7,38 +7,40 @@
 import msgspec
 
 from toucanspring import errors
-from toucanspring.coordinator import ports, work
+from toucanspring.coordinator import job_specs, ports
 
 JOBS = "jobs"
 PROGRESS = "progress"
-SEAT = "seat"
+LEADER_LEASE_TABLE = "seat"
 MEMBERS = "members"
 COORDINATOR_PART = "coordinator"
-# Acceptance is spread over parts, since a part takes its transactions one by one. While
-# the store is 70 times slower, each takes 0.4 s; at 40 jobs a second 17 are under way.
+# Accepted jobs are spread over parts, since a part applies its transactions one at a
+# time. When the store is 70 times slower than usual, each takes 0.4 s; at 40 jobs per
+# second, 17 are in flight at once.
 JOB_PARTS = 32
-JOB_PLACES = 3
-PART_STRIDE = 11  # no divisor of the number of parts
+PARTS_PER_JOB = 3
+PART_STRIDE = 11  # coprime to the number of parts
 
-SEAT_PLACE = ports.Place(SEAT, COORDINATOR_PART, "coordinator")
+LEADER_LEASE_ROW = ports.RowId(LEADER_LEASE_TABLE, COORDINATOR_PART, "coordinator")
 
 
-class Seat(msgspec.Struct, frozen=True, array_like=True):
-    """Say which process coordinates; `commit` rises with each of its writes.
+class LeaderLease(msgspec.Struct, frozen=True, array_like=True):
+    """The leader lease; its holder is the coordinator, an empty `process` means none.
 
-    `expires_ms` is on the store's clock.
+    `sequence` increases with each write under the lease. `expires_ms` is a time on the
+    store's clock.
     """
 
     process: str
     address: str
     epoch: int
-    commit: int
+    sequence: int
     expires_ms: int
-    life: str  # distinguishes the runs of one process
+    instance_id: str  # distinguishes the runs of one process
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """Say where a process listens for its peers."""
+    """A process of the cell, with the address and port where peers connect to it."""
 
     process: str
     address: str
@@ -46,20 +48,23 @@
 
 
 class TaskRow(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a task that has started; `worker` is empty unless it may be running."""
+    """A task that has started; `worker` is empty unless the task may be running.
+
+    `incarnation` is that of the worker.
+    """
 
     index: int
     run: int
     failures: int = 0
     worker: str = ""
-    born: int = 0
+    incarnation: int = 0
     checkpoint: str = ""
     done: bool = False
     failed_run: int = 0
 
 
 class StepRow(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the started tasks of one step in one occurrence."""
+    """The started tasks of one step in one occurrence of its job."""
 
     occurrence: int
     step: int
@@ -68,7 +73,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what has become of a job; `state` is a value of `state.JobState`."""
+    """The durable progress of a job; `state` is a value of `state.JobState`."""
 
     state: str
     steps: tuple[StepRow, ...] = ()
@@ -77,38 +82,38 @@
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
     kind: msgspec.msgpack.Decoder(kind)
-    for kind in (Seat, MemberRow, Progress, work.Job)
+    for kind in (LeaderLease, MemberRow, Progress, job_specs.Job)
 }
 
 encode = _encoder.encode
 
 
 def decode(kind: type, value: bytes) -> object | errors.Malformed:
-    """Return the record in a row."""
+    """Decode the value of a row."""
     try:
         return _decoders[kind].decode(value)
     except msgspec.MsgspecError as error:
         return errors.Malformed(reason=f"{kind.__name__} row: {error}")
 
 
-def job_places(job_id: str) -> list[ports.Place]:
-    """Return where an accepted job may be, in the order in which that is tried.
+def job_row_ids(job_id: str) -> list[ports.RowId]:
+    """Return the rows where an accepted job may be stored, in the order of attempts.
 
-    A part of the store may be down alone. A job in several places is one job, since
-    all that becomes of it is kept under its ID.
+    A single part of the store may be down. A job that is stored in several rows is
+    still one job, since its progress is stored under its ID.
     """
     first = zlib.crc32(job_id.encode()) % JOB_PARTS
     return [
-        ports.Place(JOBS, f"{(first + number * PART_STRIDE) % JOB_PARTS}", job_id)
-        for number in range(JOB_PLACES)
+        ports.RowId(JOBS, f"{(first + number * PART_STRIDE) % JOB_PARTS}", job_id)
+        for number in range(PARTS_PER_JOB)
     ]
 
 
 def find_job(store: ports.Store, job_id: str) -> ports.Row | errors.Failure:
-    """Return the row of an accepted job; `NotFound` only if no place has it."""
+    """Return the row of an accepted job; `NotFound` if all its rows are absent."""
     failure: errors.Failure | None = None
-    for place in (*job_places(job_id), copy_place(job_id)):
-        page = store.read(place.table, place.part, job_id, job_id + "\0")
+    for row_id in (*job_row_ids(job_id), job_copy_row_id(job_id)):
+        page = store.read(row_id.table, row_id.part, job_id, job_id + "\0")
         if isinstance(page, errors.Failure):
             failure = page
         elif page.rows:
@@ -116,11 +121,14 @@
     return failure or errors.NotFound(reason=f"no job {job_id}")
 
 
-def copy_place(job_id: str) -> ports.Place:
-    """Return the coordinator's copy of a job, written with its first progress."""
-    return ports.Place(JOBS, COORDINATOR_PART, job_id)
+def job_copy_row_id(job_id: str) -> ports.RowId:
+    """Return the ID of the coordinator's copy of a job.
+
+    The copy is written together with the job's first progress.
+    """
+    return ports.RowId(JOBS, COORDINATOR_PART, job_id)
 
 
-def progress_place(job_id: str) -> ports.Place:
-    """Return the row of a job's progress."""
-    return ports.Place(PROGRESS, COORDINATOR_PART, job_id)
+def progress_row_id(job_id: str) -> ports.RowId:
+    """Return the ID of the row with a job's progress."""
+    return ports.RowId(PROGRESS, COORDINATOR_PART, job_id)
--- a/toucanspring/coordinator/state.py
+++ b/toucanspring/coordinator/state.py
@@ -1,29 +1,31 @@
-"""Tasks, steps and jobs as the coordinator knows them."""
+"""Scheduling state of tasks, steps and jobs."""
 
 from __future__ import annotations
 
 import dataclasses
 import enum
 
-from toucanspring.coordinator import ports, rows, work
+from toucanspring.coordinator import job_specs, ports, rows
 
 
-class Phase(enum.Enum):
-    """Say where a task stands; all but the first and last occupy a worker."""
+class TaskPhase(enum.Enum):
+    """Phase of a task; all but the first and the last are allocated to a worker."""
 
     WAITING = "waiting"
-    STARTING = "starting"  # the intent is being written or the order is under way
-    IN_DOUBT = "in doubt"  # it may be running; its worker has to tell
+    STARTING = "starting"  # the intent is being written or the order is in flight
+    IN_DOUBT = "in doubt"  # it may be running, until its worker reports
     RUNNING = "running"
     STOPPING = "stopping"
     DONE = "done"
 
 
-OCCUPYING = frozenset({Phase.STARTING, Phase.IN_DOUBT, Phase.RUNNING, Phase.STOPPING})
+ALLOCATED_PHASES = frozenset(
+    {TaskPhase.STARTING, TaskPhase.IN_DOUBT, TaskPhase.RUNNING, TaskPhase.STOPPING}
+)
 
 
 class JobState(enum.Enum):
-    """Say what callers are told of a job."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     ACTIVE = "active"
@@ -32,104 +34,104 @@
     CANCELLED = "cancelled"
 
 
-FINAL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+FINAL_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Task:
-    """Hold one task; times are monotonic seconds."""
+    """State of one task; times are monotonic seconds."""
 
     index: int
-    phase: Phase = Phase.WAITING
+    phase: TaskPhase = TaskPhase.WAITING
     run: int = 0
     failures: int = 0
     failed_run: int = 0  # the latest run that failed
     worker: str = ""
-    born: int = 0
+    incarnation: int = 0
     checkpoint: str = ""
     percent: int = 0
-    percent_at: float = 0.0
+    progressed_at: float = 0.0
     started_at: float = 0.0
-    # When the worker last confirmed an order about the task; a later look that does
-    # not list the task proves that it is gone. Infinite while that is not known.
-    settled_at: float = float("inf")
-    # Workers where it failed; it goes back to them once the others had their chance.
-    avoided: frozenset[str] = frozenset()
+    # When the worker last confirmed an order about the task. If a poll sent later does
+    # not list the task, it has ended. Infinite while an order is unconfirmed.
+    confirmed_at: float = float("inf")
+    # Workers where the task failed; not used again before `avoid_until`.
+    avoided_workers: frozenset[str] = frozenset()
     avoid_until: float = 0.0
-    preempted: int = 0
-    resumed: bool = False  # this run began at a checkpoint
-    sampled_at: float = 0.0  # progress as last taken for the speed of its worker
+    preemptions: int = 0
+    resumed: bool = False  # this run started from a checkpoint
+    sampled_at: float = 0.0  # latest progress sample for the speed of the worker
     sampled_percent: int = 0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class StepRun:
-    """Hold the tasks of one step in one occurrence of a job."""
+    """The tasks of one step in one occurrence of a job."""
 
     job: JobRecord
     occurrence: int
     number: int
-    step: work.Step
+    step: job_specs.Step
     tasks: list[Task]
     waiting: set[int]
     unfinished: int
     ready_at: float = 0.0
-    # Approval of workers: a known answer never changes, tickets expire.
+    # Approval by worker ID: a decision is final, but tickets expire.
     tickets: dict[str, ports.Ticket] = dataclasses.field(default_factory=dict)
     allowed: dict[str, bool] = dataclasses.field(default_factory=dict)
-    unasked: list = dataclasses.field(default_factory=list)
-    asking: bool = False
-    ask_again_at: float = 0.0
-    waits_for: str = ""  # the reason told last
-    blocked_at: int = -1  # capacity version at which no task found room
-    # Workers that a gang waits for.
+    not_requested: list = dataclasses.field(default_factory=list)
+    approval_pending: bool = False
+    approval_retry_at: float = 0.0
+    wait_reason: str = ""  # reason logged last
+    blocked_version: int = -1  # capacity version at which no task could be placed
+    # Workers that are reserved for a gang.
     reserved: frozenset[str] = frozenset()
     reserved_until: float = 0.0
-    # Latest rate of a task on each worker, as part of its work a second.
-    rates: dict[str, float] = dataclasses.field(default_factory=dict)
+    # Latest progress rate of a task by worker ID, as a fraction of the task per second.
+    task_rates: dict[str, float] = dataclasses.field(default_factory=dict)
 
     @property
     def id(self) -> str:
-        """Return the step's name, unique in the cell."""
+        """Return the ID of the step, unique in the cell."""
         return f"{self.job.spec.id}.{self.occurrence}.{self.number}"
 
     def task_id(self, index: int) -> str:
-        """Return the name of a task, unique in the cell."""
+        """Return the ID of a task, unique in the cell."""
         return f"{self.id}.{index}"
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class JobRecord:
-    """Hold an accepted job and its steps, by occurrence and number."""
+    """An accepted job with its open steps by occurrence and step number."""
 
-    spec: work.Job
-    learned_at: float
+    spec: job_specs.Job
+    accepted_at: float
     steps: dict[tuple[int, int], StepRun] = dataclasses.field(default_factory=dict)
     state: JobState = JobState.QUEUED
-    shown: JobState = JobState.QUEUED  # what is durable
-    due_at: float = 0.0  # when an answer in time must be there
+    durable_state: JobState = JobState.QUEUED  # as last written
+    due_at: float = 0.0  # deadline for the result
     ended_at: float = 0.0
-    beyond_rate: bool = False  # its organisation sent more than its share of jobs
-    copied: bool = False  # the coordinator's part holds a copy of the job
+    over_rate: bool = False  # submitted above the organisation's rate
+    has_copy: bool = False  # a copy of the spec is stored in the coordinator's part
 
     @property
     def is_final(self) -> bool:
         """Return whether the job has ended."""
-        return self.state in FINAL
+        return self.state in FINAL_STATES
 
 
-def parse_task_id(text: str) -> work.TaskId | None:
-    """Return the parts of a task's name; None if it has another form."""
+def parse_task_id(text: str) -> job_specs.TaskId | None:
+    """Return a parsed task ID, or None if the text has another form."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
-    return work.TaskId(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
+    return job_specs.TaskId(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
 
 
-def new_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
-    """Add a step whose tasks all wait."""
+def add_step(record: JobRecord, occurrence: int, number: int, now: float) -> StepRun:
+    """Add a step to a job with all tasks waiting."""
     step = record.spec.steps[number]
-    run = StepRun(
+    step_run = StepRun(
         record,
         occurrence,
         number,
@@ -139,15 +141,15 @@
         step.count,
         ready_at=now,
     )
-    record.steps[occurrence, number] = run
-    return run
+    record.steps[occurrence, number] = step_run
+    return step_run
 
 
 def to_progress(record: JobRecord) -> rows.Progress:
-    """Return the durable part of a job's state."""
+    """Return the part of a job's state that is stored."""
     steps = []
-    for (occurrence, number), run in record.steps.items():
-        if run.unfinished == 0:
+    for (occurrence, number), step_run in record.steps.items():
+        if step_run.unfinished == 0:
             steps.append(rows.StepRow(occurrence, number, (), True))
             continue
         tasks = tuple(
@@ -155,13 +157,13 @@
                 task.index,
                 task.run,
                 task.failures,
-                task.worker if task.phase in OCCUPYING else "",
-                task.born if task.phase in OCCUPYING else 0,
+                task.worker if task.phase in ALLOCATED_PHASES else "",
+                task.incarnation if task.phase in ALLOCATED_PHASES else 0,
                 task.checkpoint,
-                task.phase is Phase.DONE,
+                task.phase is TaskPhase.DONE,
                 task.failed_run,
             )
-            for task in run.tasks
+            for task in step_run.tasks
             if task.run
         )
         steps.append(rows.StepRow(occurrence, number, tasks))
@@ -169,33 +171,33 @@
 
 
 def restore(record: JobRecord, progress: rows.Progress, now: float) -> list[Task]:
-    """Take in the durable state; return the tasks that may be running."""
-    record.state = record.shown = JobState(progress.state)
-    record.copied = True
+    """Restore the stored state; return the tasks that may be running."""
+    record.state = record.durable_state = JobState(progress.state)
+    record.has_copy = True
     uncertain = []
     for row in progress.steps:
-        run = record.steps.get((row.occurrence, row.step))
-        if run is None:
-            run = new_step(record, row.occurrence, row.step, now)
+        step_run = record.steps.get((row.occurrence, row.step))
+        if step_run is None:
+            step_run = add_step(record, row.occurrence, row.step, now)
         if row.complete:
-            for task in run.tasks:
-                task.phase = Phase.DONE
-            run.waiting.clear()
-            run.unfinished = 0
+            for task in step_run.tasks:
+                task.phase = TaskPhase.DONE
+            step_run.waiting.clear()
+            step_run.unfinished = 0
             continue
         for saved in row.tasks:
-            task = run.tasks[saved.index]
+            task = step_run.tasks[saved.index]
             task.run, task.failures = saved.run, saved.failures
             task.failed_run = saved.failed_run
             task.checkpoint = saved.checkpoint
             if saved.done:
-                task.phase = Phase.DONE
-                run.waiting.discard(task.index)
-                run.unfinished -= 1
+                task.phase = TaskPhase.DONE
+                step_run.waiting.discard(task.index)
+                step_run.unfinished -= 1
             elif saved.worker:
-                task.phase = Phase.IN_DOUBT
-                task.worker, task.born = saved.worker, saved.born
-                task.settled_at = 0.0  # the new epoch bars all earlier orders
-                run.waiting.discard(task.index)
+                task.phase = TaskPhase.IN_DOUBT
+                task.worker, task.incarnation = saved.worker, saved.incarnation
+                task.confirmed_at = 0.0  # the new epoch fences all earlier orders
+                step_run.waiting.discard(task.index)
                 uncertain.append(task)
     return uncertain
