--- a/test/test_pace.py
+++ b/test/test_tick_interval.py
@@ -1,6 +1,6 @@
 import testtools
 
-from toucanspring.scheduling import pace
+from toucanspring.scheduling import tick_interval
 
 
 class RoundsTest(testtools.TestCase):
@@ -8,10 +8,10 @@
         # Guards against timed checks that miss the last change, and against waiting
         # work that is looked at once a second.
         for idle_rounds, rests, expected in (
-            (0, True, pace.TICK_INTERVAL_S),
-            (1, True, pace.IDLE_TICK_INTERVAL_S),
-            (2, True, pace.REST_TICK_INTERVAL_S),
-            (9, False, pace.IDLE_TICK_INTERVAL_S),
+            (0, True, tick_interval.TICK_INTERVAL_S),
+            (1, True, tick_interval.IDLE_TICK_INTERVAL_S),
+            (2, True, tick_interval.REST_TICK_INTERVAL_S),
+            (9, False, tick_interval.IDLE_TICK_INTERVAL_S),
         ):
-            found = pace.interval(idle_rounds, lambda at=rests: at)
+            found = tick_interval.interval(idle_rounds, lambda at=rests: at)
             self.assertEqual(expected, found)
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -24,7 +24,7 @@
     worker_link,
     worker_watch,
 )
-from toucanspring.scheduling import effects, fairness, pace, scheduler
+from toucanspring.scheduling import effects, fairness, scheduler, tick_interval
 
 log = logbook.Logger(__name__)
 
@@ -163,7 +163,7 @@
         self._load()
         self.ready.set()
         last_tick = 0.0
-        interval_s = pace.TICK_INTERVAL_S
+        interval_s = tick_interval.TICK_INTERVAL_S
         idle_rounds = 0
         while not self.journal.fenced:
             handled = self._handle_messages(interval_s)
@@ -175,7 +175,9 @@
                     found = self._scheduler.tick(now)
                     self._executor.carry_out(found)
                 idle_rounds = 0 if handled or found else idle_rounds + 1
-                interval_s = pace.interval(idle_rounds, self._scheduler.is_at_rest)
+                interval_s = tick_interval.interval(
+                    idle_rounds, self._scheduler.is_at_rest
+                )
         log.warning("partition {}: fenced under epoch {}", self.number, self.epoch)
         # In a greenlet of its own, because the release ends this one.
         gevent.spawn(self._kernel.find("claims").release, self.number)
--- a/toucanspring/owners/recovery.py
+++ b/toucanspring/owners/recovery.py
@@ -7,10 +7,10 @@
 from toucanspring import job, resources, wire
 from toucanspring.owners import log_records
 from toucanspring.scheduling import (
+    admission,
     attempt,
     effects,
     gang,
-    intake,
     lifecycle,
     task_table,
     worker_state,
@@ -69,7 +69,7 @@
     now: float,
 ) -> None:
     spec = record.spec
-    if not intake.wait_for_dependencies(core, record, now):
+    if not admission.wait_for_dependencies(core, record, now):
         return  # nothing of it has started
     if restored_task(spec.idempotent, intent=False, expected=True) == "held":
         record.held.update(record.waiting_indices())
@@ -139,7 +139,7 @@
     if former is not None:
         state.leaving = former.leaving
         _drop_orphans(core, former)
-    intake.know_worker(core, facts, now)
+    admission.know_worker(core, facts, now)
     core.index.add(worker, facts.capacity, facts.availability_zone, facts.rack)
     core.shares.set_total(core.index.total())
     attributed = core.tasks_on.setdefault(worker, {})
--- a/toucanspring/scheduling/allowance.py
+++ b/toucanspring/scheduling/allowance.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from toucanspring import resources
-from toucanspring.scheduling import accounts, effects
+from toucanspring.scheduling import effects, team_allowance
 
 RETURN_AFTER_S = 5.0  # unused for so long before it is given back
 CONTENDED_RETURN_AFTER_S = 0.5  # the same while other partitions want more
 RETRY_S = 1.0  # a request without answer is repeated
 CHUNKS = 16  # requests ask for up to this fraction of the ceiling
 
-Amount = accounts.Amount
-ZERO = accounts.ZERO
+Amount = team_allowance.Amount
+ZERO = team_allowance.ZERO
 UNLIMITED: Amount = msgspec.structs.astuple(resources.UNLIMITED)
 
 
@@ -132,15 +132,15 @@
     """Track what one partition holds and uses of each team's ceiling."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, accounts.Account] = {}
+        self._accounts: dict[str, team_allowance.Account] = {}
         self._active: set[str] = set()  # all others hold, use and ask for nothing
         # Amounts that waiting work needs: all of it, and the least that helps.
         self._short: dict[str, tuple[Amount, Amount]] = {}
 
-    def _account(self, team: str) -> accounts.Account:
+    def _account(self, team: str) -> team_allowance.Account:
         account = self._accounts.get(team)
         if account is None:
-            account = self._accounts[team] = accounts.Account()
+            account = self._accounts[team] = team_allowance.Account()
         return account
 
     def set_ceilings(self, ceilings: Mapping[str, resources.Resources]) -> None:
@@ -289,7 +289,7 @@
     def _next_effect(
         self,
         team: str,
-        account: accounts.Account,
+        account: team_allowance.Account,
         short: tuple[Amount, Amount] | None,
         now: float,
     ) -> effects.RequestAllowance | effects.ReturnAllowance | None:
@@ -322,7 +322,7 @@
 
     @staticmethod
     def _contended_target(
-        account: accounts.Account, is_short: bool, now: float
+        account: team_allowance.Account, is_short: bool, now: float
     ) -> Amount:
         """Return what to keep while others want more.
 
@@ -337,7 +337,9 @@
         return tuple(map(min, account.held, keep))
 
     @staticmethod
-    def _target(account: accounts.Account, short: tuple[Amount, Amount]) -> Amount:
+    def _target(
+        account: team_allowance.Account, short: tuple[Amount, Amount]
+    ) -> Amount:
         """Return what to hold: the amount that waits, but one chunk at a time."""
         limits = account.ceiling if account.limit is None else account.limit
         return tuple(
@@ -360,7 +362,7 @@
     @staticmethod
     def _ask(
         team: str,
-        account: accounts.Account,
+        account: team_allowance.Account,
         target: Amount,
         now: float,
         least: Amount = ZERO,
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -10,12 +10,12 @@
 from toucanspring.owners import log_records, recovery
 from toucanspring.reporting import event_kinds
 from toucanspring.scheduling import (
+    admission,
     attempt,
     dispatch,
     effects,
     fairness,
     gang,
-    intake,
     lifecycle,
     moves,
     overuse,
@@ -47,7 +47,7 @@
     def submit(self, specs: list[job.JobSpec], now: float) -> list[effects.Effect]:
         """Queue durable jobs; known IDs are ignored."""
         for spec in specs:
-            intake.submit(self._core, spec, now)
+            admission.submit(self._core, spec, now)
         return self._core.effects.take()
 
     def restore(
@@ -248,7 +248,7 @@
         if checks_due := now >= self._next_checks:
             self._next_checks = now + TIMED_CHECKS_S
             core.end_pauses(now)
-            intake.refuse_too_large(core, now)
+            admission.refuse_too_large(core, now)
             preemption.enforce_ceilings(core, now)
             preemption.drain(core, now)
             blocked = self._dispatcher.blocked.values()
