--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -6,7 +6,7 @@
 from toucanspring import errors, job, kernel
 from toucanspring.cell import layout, ownership_rows
 from toucanspring.owners import inbox, mover, roster
-from toucanspring.scheduling import need
+from toucanspring.scheduling import capacity_report
 
 STEP_S = 0.5
 
@@ -60,7 +60,7 @@
 
     def _listed(self, matches):
         return {
-            name: need.Listed(worker.zone, worker.capacity)
+            name: capacity_report.Listed(worker.zone, worker.capacity)
             for name, worker in self.owner.shared.workers.items()
             if matches(self.roster.partitions.get(name))
         }
@@ -96,7 +96,7 @@
         options = fake_tables.settings_of(f"p{number}", partitions=3)
         core.register("layout", layout.Service(core, options))
         self.mover = mover.Service(core, options, self.clock)
-        self.cell.scheduler.expect_elsewhere()
+        self.cell.scheduler.expect_other_partitions()
         if self.cell.specs:
             self.fleet.reread()
             specs = list(self.cell.specs.values())
--- a/test/test_avoidance.py
+++ b/test/test_avoidance.py
@@ -2,7 +2,7 @@
 
 from test import cell
 from toucanspring import job, resources
-from toucanspring.scheduling import avoidance, failure_places
+from toucanspring.scheduling import avoidance, failure_tracking
 
 HALF = resources.Resources(16_000, 32_768, 0)
 STEP_S = 0.1
@@ -11,7 +11,7 @@
 class AvoidanceTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.avoidance = failure_places.FailurePlaces()
+        self.avoidance = failure_tracking.FailurePlaces()
 
     def fail(self, worker, now, rack="r"):
         self.avoidance.record(worker, rack, False, 0.1, now)
--- a/test/test_moves.py
+++ b/test/test_move_planner.py
@@ -3,7 +3,7 @@
 from test import cell, partitioned
 from toucanspring import job
 from toucanspring.owners import roster
-from toucanspring.scheduling import moves, need
+from toucanspring.scheduling import capacity_report, move_planner
 
 WHOLE = cell.CAPACITY
 ROW = roster.WORKERS_ROW
@@ -26,7 +26,7 @@
     def test_a_gang_of_the_whole_cell_gets_the_last_workers(self):
         p = partitioned.Partitions(2, 2, 2)
         p.gang(0, "gang", 6)
-        p.run(moves.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_AFTER_S + 5)
         self.assertEqual(6, p.running("gang"))
 
     def test_two_gangs_are_served_one_after_the_other(self):
@@ -35,10 +35,10 @@
         p.gang(1, "first", 5)
         p.clock.now += 0.1
         p.gang(0, "second", 5)
-        p.run(moves.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_AFTER_S + 5)
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
         self.end(p, 1, "first")
-        p.run(moves.LAST_AFTER_S + 10)
+        p.run(move_planner.LAST_AFTER_S + 10)
         self.assertEqual(5, p.running("second"))
 
     def test_the_order_survives_a_takeover(self):
@@ -49,7 +49,7 @@
         p.gang(0, "second", 5)
         p.run(3)
         p.take_over(1)
-        p.run(moves.LAST_AFTER_S + 10)
+        p.run(move_planner.LAST_AFTER_S + 10)
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
 
     def test_a_gang_keeps_its_workers_until_it_starts(self):
@@ -77,7 +77,7 @@
         p.gang(0, "first", 2)
         p.run(0.5)
         p.gang(1, "second", 3)
-        p.run(moves.LAST_AFTER_S + 3)
+        p.run(move_planner.LAST_AFTER_S + 3)
         self.assertEqual(set(), p[0].withheld)
         self.end(p, 0, "own")
         p.run(1)
@@ -90,20 +90,23 @@
             owner.cell.call("set_availability_zones", frozenset({"z1"}))
         p.run(0.5)
         p.gang(1, "second", 3)
-        p.run(moves.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_AFTER_S + 5)
         self.assertEqual((0, 3), (p.running("first"), p.running("second")))
 
     def test_gangs_of_equal_age_are_ordered_by_job_id(self):
-        wanted = [need.Need(5, name, WHOLE, 1) for name in ("b", "a")]
-        stated = {number: need.Statement(0, each) for number, each in enumerate(wanted)}
-        self.assertEqual((1, wanted[1]), need.oldest_gang(stated))
+        wanted = [capacity_report.Need(5, name, WHOLE, 1) for name in ("b", "a")]
+        stated = {
+            number: capacity_report.Statement(0, each)
+            for number, each in enumerate(wanted)
+        }
+        self.assertEqual((1, wanted[1]), capacity_report.oldest_gang(stated))
 
     def test_busy_workers_are_drained_after_the_limit_only(self):
         p = partitioned.Partitions(2, 2)
         p.submit(1, "own", demand=WHOLE, task_count=9)
         p.run(1)
         p.gang(0, "gang", 3)
-        p.run(moves.DRAIN_AFTER_S - 1)
+        p.run(move_planner.DRAIN_AFTER_S - 1)
         self.assertEqual(set(), p[1].withheld)
         p.run(2)
         [drained] = p[1].withheld
@@ -118,7 +121,7 @@
         p.submit(1, "own", demand=WHOLE, task_count=9)
         p.run(1)
         p.gang(0, "gang", 3)
-        p.run(moves.DRAIN_AFTER_S + 1)
+        p.run(move_planner.DRAIN_AFTER_S + 1)
         [drained] = p[1].withheld
         p[0].cell.cancel("gang")
         p.run(1)
@@ -134,7 +137,7 @@
         p.submit(1, "feed", kind=job.Kind.SERVICE, task_count=3, spread=True)
         p.run(1)
         p.gang(0, "gang", 3)
-        p.run(moves.DRAIN_AFTER_S + 1)
+        p.run(move_planner.DRAIN_AFTER_S + 1)
         for name in list(p[1].cell.workers):
             p[1].cell.report(name)
         p.run(4)
@@ -151,9 +154,9 @@
         p.submit(0, "small", task_count=200)
         p.run(2)
         self.assertEqual(0, p.running("small"))
-        p.run(moves.DRAIN_AFTER_S)
+        p.run(move_planner.DRAIN_AFTER_S)
         self.end(p, 2, "busy")
-        p.run(moves.LAST_AFTER_S + 3)
+        p.run(move_planner.LAST_AFTER_S + 3)
         self.assertEqual(4, p.running("gang"))
 
 
--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -4,7 +4,7 @@
 
 from test import cell, partitioned
 from toucanspring.owners import roster
-from toucanspring.scheduling import moves
+from toucanspring.scheduling import move_planner
 
 WHOLE = cell.CAPACITY
 ROW = roster.WORKERS_ROW
@@ -33,8 +33,8 @@
         p = self.in_need(1, 3)
         p.run(0.5)
         core = p[1].cell.scheduler._core
-        core.withheld = {"w10", "w11", "w12"}
-        for name in core.withheld:
+        core.cordoned_workers = {"w10", "w11", "w12"}
+        for name in core.cordoned_workers:
             core.update_schedulable(name, p.clock.now)
         p.submit(1, "own", demand=WHOLE, task_count=3)
         p.run(1)
@@ -90,7 +90,7 @@
         # Guards against a worker that goes back and forth.
         p = self.return_moved()
         self.assertEqual({"w00", "w10"}, p.row()[0])
-        p.run(moves.REST_S)
+        p.run(move_planner.REST_S)
         self.assertEqual(3, p.running("b"))
 
     def test_a_moved_worker_moves_at_once_for_a_gang(self):
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -15,7 +15,7 @@
 from toucanspring.adapters import vms
 from toucanspring.cell import ownership_rows
 from toucanspring.owners import fleet, mover, roster, worker_link
-from toucanspring.scheduling import moves
+from toucanspring.scheduling import move_planner
 
 ROW = roster.WORKERS_ROW
 VM = vms.Vm(
@@ -164,7 +164,7 @@
             case "owner dies":
                 gevent.killall(owner.greenlets)
             case "send transaction":
-                batch = moves.Batch(1 - owner.number, ("w",))
+                batch = move_planner.Batch(1 - owner.number, ("w",))
                 owner.spawn(owner.mover._move, owner, batch)
             case "resolve":
                 doubt = owner.mover._doubts[owner.number]
--- a/toucanspring/cell/heartbeat.py
+++ b/toucanspring/cell/heartbeat.py
@@ -11,7 +11,7 @@
 
 from toucanspring import errors, resources
 from toucanspring.cell import freshness, ownership
-from toucanspring.scheduling import need
+from toucanspring.scheduling import capacity_report
 
 REACHABLE_S = 2.0
 MICROSECONDS = 1_000_000
@@ -38,7 +38,7 @@
     owned: dict[int, int]  # partition -> epoch
     free: resources.Resources = resources.ZERO
     draining: bool = False
-    statements: dict[int, need.Statement] = {}  # by own partition
+    statements: dict[int, capacity_report.Statement] = {}  # by own partition
 
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -13,7 +13,7 @@
 from toucanspring import errors, resources, rounds
 from toucanspring.adapters import tables
 from toucanspring.cell import departure, heartbeat, ownership, renewal, transitions
-from toucanspring.scheduling import need
+from toucanspring.scheduling import capacity_report
 
 log = logbook.Logger(__name__)
 
@@ -64,7 +64,7 @@
         self.sightings: dict[str, ownership.Sighting] = {}
         self.rows: dict[str, tuple[int, renewal.MemberRow]] = {}
         self.free_resources: Callable[[], resources.Resources] = lambda: resources.ZERO
-        self.statements: Callable[[], dict[int, need.Statement]] = dict
+        self.statements: Callable[[], dict[int, capacity_report.Statement]] = dict
         self._watches: list[tuple[Callable, Callable]] = []
         self._listeners: list[HeartbeatListener] = []
         self._polls = 0
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -13,7 +13,7 @@
 from toucanspring.adapters import tables, vms
 from toucanspring.cell import ownership_rows
 from toucanspring.owners import roster, worker_link
-from toucanspring.scheduling import need
+from toucanspring.scheduling import capacity_report
 
 log = logbook.Logger(__name__)
 
@@ -139,17 +139,19 @@
             for worker in self.roster.workers_of(partition)
         }
 
-    def listed(self, partition: int) -> dict[str, need.Listed]:
+    def listed(self, partition: int) -> dict[str, capacity_report.Listed]:
         """Return the workers of a partition by their entries in the VM list."""
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition: int) -> dict[str, need.Listed]:
+    def elsewhere(self, partition: int) -> dict[str, capacity_report.Listed]:
         """Return the workers of all other partitions."""
         return self._listed(lambda owner: owner != partition)
 
-    def _listed(self, matches: Callable[[int], bool]) -> dict[str, need.Listed]:
+    def _listed(
+        self, matches: Callable[[int], bool]
+    ) -> dict[str, capacity_report.Listed]:
         return {
-            worker: need.Listed(
+            worker: capacity_report.Listed(
                 self._vms[worker].availability_zone,
                 self._capacity(worker),
                 self.is_leaving(worker),
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -15,7 +15,7 @@
 from toucanspring.cell import ownership_rows
 from toucanspring.owners import inbox, partition, roster
 from toucanspring.reporting import event_kinds
-from toucanspring.scheduling import moves, need
+from toucanspring.scheduling import capacity_report, move_planner
 
 log = logbook.Logger(__name__)
 
@@ -31,7 +31,7 @@
     """Hold a move whose transaction may or may not have taken effect."""
 
     epoch: int
-    batch: moves.Batch
+    batch: move_planner.Batch
     checked_version: int
 
 
@@ -47,7 +47,7 @@
         self._kernel = core
         self._clock = clock
         self._enabled = options.moves == "on"
-        self._stated: dict[int, need.Statement] = {}
+        self._stated: dict[int, capacity_report.Statement] = {}
         self._doubts: dict[int, Doubt] = {}
         self._steps: dict[int, gevent.Greenlet] = {}
         self._greenlet: gevent.Greenlet | None = None
@@ -70,16 +70,16 @@
             self._greenlet.kill()
         gevent.killall(list(self._steps.values()))
 
-    def statements(self) -> dict[int, need.Statement]:
+    def statements(self) -> dict[int, capacity_report.Statement]:
         """Return the statements on owned partitions, for heartbeats."""
         owned = self._kernel.find("claims").owned()
         return {
             number: stated for number, stated in self._stated.items() if number in owned
         }
 
-    def known(self) -> dict[int, need.Statement]:
+    def known(self) -> dict[int, capacity_report.Statement]:
         """Return the latest statement on each partition from its present owner."""
-        found: dict[int, tuple[int, need.Statement]] = {}
+        found: dict[int, tuple[int, capacity_report.Statement]] = {}
         peers = self._kernel.find("membership").peer_states()
         for message in peers.values():
             for number, stated in message.statements.items():
@@ -128,7 +128,9 @@
         doubt = self._doubts.get(number)
         moving = frozenset(doubt.batch.workers if doubt else ())
 
-        def decide(scheduler: object) -> tuple[need.Statement, moves.Batch | None]:
+        def decide(
+            scheduler: object,
+        ) -> tuple[capacity_report.Statement, move_planner.Batch | None]:
             now = self._clock()
             stated = scheduler.moves.state(facts, now)
             batch = scheduler.moves.plan(
@@ -143,11 +145,11 @@
         if batch is not None:
             self._move(owner, batch)
 
-    def _facts(self, owner: partition.Partition) -> moves.Facts:
+    def _facts(self, owner: partition.Partition) -> move_planner.Facts:
         fleet = self._kernel.find("fleet")
         now = self._clock()
         attached = owner.facts()
-        return moves.Facts(
+        return move_planner.Facts(
             fleet.roster.version,
             dict(fleet.roster.changed_at),
             dict(fleet.roster.moved_at),
@@ -166,7 +168,7 @@
 
     # Transactions
 
-    def _move(self, owner: partition.Partition, batch: moves.Batch) -> None:
+    def _move(self, owner: partition.Partition, batch: move_planner.Batch) -> None:
         """Rewrite the row `workers` for empty workers that get no new tasks."""
         number = owner.number
         fleet = self._kernel.find("fleet")
@@ -221,7 +223,7 @@
             case _:
                 del self._doubts[number]
 
-    def _hand_over(self, owner: partition.Partition, batch: moves.Batch) -> None:
+    def _hand_over(self, owner: partition.Partition, batch: move_planner.Batch) -> None:
         self._doubts.pop(owner.number, None)
         for worker in batch.workers:
             self._kernel.find("fleet").hand_over(owner.number, worker)
--- a/toucanspring/scheduling/avoidance.py
+++ b/toucanspring/scheduling/avoidance.py
@@ -9,7 +9,7 @@
 
 from toucanspring import resources
 from toucanspring.reporting import event_kinds
-from toucanspring.scheduling import failure_places, lifecycle, task_table
+from toucanspring.scheduling import failure_tracking, lifecycle, task_table
 
 
 def record_end(
@@ -24,7 +24,7 @@
     if record.avoidance is None:
         if ok:
             return
-        record.avoidance = failure_places.FailurePlaces()
+        record.avoidance = failure_tracking.FailurePlaces()
     state = core.workers.get(worker)
     rack = state.facts.rack if state is not None else ""
     avoided_s = record.avoidance.record(worker, rack, ok, run_seconds, now)
@@ -32,7 +32,7 @@
         return
     job_id = record.spec.id
     core.effects.publish(event_kinds.WorkerAvoided(job_id, worker, avoided_s))
-    if record.avoidance.count_in(rack, now) == failure_places.WORKERS_OF_BAD_RACK:
+    if record.avoidance.count_in(rack, now) == failure_tracking.WORKERS_OF_BAD_RACK:
         core.effects.publish(event_kinds.RackAvoided(job_id, rack))
 
 
--- a/toucanspring/scheduling/lifecycle.py
+++ b/toucanspring/scheduling/lifecycle.py
@@ -12,12 +12,12 @@
 from toucanspring.reporting import event_kinds
 from toucanspring.scheduling import (
     allowance,
+    capacity_report,
     collector,
     decisions,
     effects,
     estimate,
     fairness,
-    need,
     placement,
     quarantine,
     reservation,
@@ -58,7 +58,7 @@
         now: float,
         delay: float,
     ) -> None:
-        """Stop all members, which start again together after `delay` seconds."""
+        """Stop all members, which start again together after `schedule_retry` seconds."""
 
 
 class Lifecycle:
@@ -70,8 +70,8 @@
         self.table = task_table.TaskTable()
         self.effects = collector.Collector()
         self.index = placement.WorkerIndex(rng)
-        self.shares = fairness.Ledger([])
-        self.allowances = allowance.Ledger()
+        self.shares = fairness.ShareTracker([])
+        self.allowances = allowance.AllowanceTracker()
         self.queue = waiting.WaitingQueue()
         self.estimator = estimate.Estimator()
         self.quarantine = quarantine.Quarantine()
@@ -85,23 +85,23 @@
         self.teams: dict[str, fairness.Team] = {}
         self.zones_out: frozenset[str] = frozenset()
         # Tasks that were stopped to leave each zone, until it is in service again.
-        self.left_zones: collections.Counter[str] = collections.Counter()
+        self.evacuated_tasks: collections.Counter[str] = collections.Counter()
         # Workers that may run tasks of the former owner, with their capacity.
-        self.expected: dict[str, resources.Resources | None] = {}
-        self.held_jobs: set[str] = set()  # jobs with tasks that may run there
+        self.expected_workers: dict[str, resources.Resources | None] = {}
+        self.unconfirmed_jobs: set[str] = set()  # jobs with tasks that may run there
         self.reservations: dict[str, reservation.Reservation] = {}
         self.paused: set[str] = set()  # workers that refused a start
         # Workers that get no new tasks: drained for a gang elsewhere, or being moved.
-        self.withheld: set[str] = set()
+        self.cordoned_workers: set[str] = set()
         # The gang that other partitions give workers to, and the workers it has.
-        self.collecting = ""
-        self.collected: frozenset[str] = frozenset()
+        self.collecting_gang = ""
+        self.collected_workers: frozenset[str] = frozenset()
         # Workers of other partitions; `None` until they are known.
-        self.elsewhere: dict[str, need.Listed] | None = {}
+        self.other_partition_workers: dict[str, capacity_report.Listed] | None = {}
         self.leaving: set[str] = set()  # workers for which `leaving` is set
         self.retries: list[tuple[float, int, str, int]] = []  # heap by due time
         self._sequence = 0
-        self.changed = True  # something may have made room for waiting work
+        self.placement_needed = True  # something may have made room for waiting work
 
     # Workers
 
@@ -116,13 +116,13 @@
             and state.facts.availability_zone not in self.zones_out
             and not state.overused
             and now >= state.paused_until
-            and worker not in self.withheld
+            and worker not in self.cordoned_workers
             and self.quarantine.allows(worker, now) is not quarantine.Verdict.NO
         )
         if schedulable != state.schedulable:
             state.schedulable = schedulable
             self.index.set_schedulable(worker, schedulable)
-            self.changed = True
+            self.placement_needed = True
 
     def end_pauses(self, now: float) -> None:
         """Use workers again whose pause is over or whose probe is due."""
@@ -132,7 +132,7 @@
                 self.paused.discard(worker)
                 self.update_schedulable(worker, now)
 
-    def using_teams(self) -> set[str]:
+    def running_teams(self) -> set[str]:
         """Return the teams that have work on workers."""
         return {
             team
@@ -166,14 +166,14 @@
     ) -> None:
         """Queue tasks of a job, by default all that wait for nothing else."""
         if indices is None:
-            held, delayed = record.held, record.delayed
+            held, delayed = record.unconfirmed, record.delayed
             indices = (
                 index
                 for index in record.waiting_indices()
                 if index not in held and index not in delayed
             )
         self.queue.add(record.spec, indices, now, self._latest_start(record))
-        self.changed = True
+        self.placement_needed = True
 
     def end_waiting(
         self, record: task_table.JobRecord, outcome: job.Outcome, now: float
@@ -191,7 +191,7 @@
         record.cancelled = True
         for task in list(record.live.values()):
             if task.state is job.State.INTENDED:
-                self.vacate(record, task, now)  # was not sent, so it cannot run
+                self.release_task(record, task, now)  # was not sent, so it cannot run
             else:
                 self.stop(task, CANCELLED, "kill")
         self.end_waiting(record, NOT_RUN_CANCELLED, now)
@@ -202,9 +202,9 @@
         """Make waiting tasks final, except those that may run on some worker."""
         self.queue.remove(record.spec.id)
         record.delayed.clear()
-        job_id, record_outcome = record.spec.id, self.effects.record
+        job_id, record_outcome = record.spec.id, self.effects.record_outcome
         for index in list(record.waiting_indices()):
-            if index in record.held:
+            if index in record.unconfirmed:
                 continue
             final = outcome
             if index in record.ran and outcome.state is job.State.NOT_RUN:
@@ -216,7 +216,7 @@
     def _close_job(self, record: task_table.JobRecord) -> job.Outcome:
         outcome = self.table.finish_job(record)
         self.queue.remove(record.spec.id)
-        self.effects.finish(record.spec.id, outcome)
+        self.effects.finish_job(record.spec.id, outcome)
         return outcome
 
     def _latest_start(self, record: task_table.JobRecord) -> float:
@@ -271,9 +271,9 @@
             self.table.open_task(record, task)
             on_worker[task.id] = task
             if idempotent:
-                starts.append(self.message(record, task))
+                starts.append(self.start_message(record, task))
             else:
-                self.effects.intend(
+                self.effects.record_intent(
                     effects.Intent(task.id, task.attempt, worker, incarnation, demand)
                 )
         if starts:
@@ -288,7 +288,7 @@
             self.update_schedulable(worker, now)
 
     @staticmethod
-    def message(
+    def start_message(
         record: task_table.JobRecord, task: task_table.LiveTask
     ) -> wire.TaskStart:
         """Return the start message of an attempt."""
@@ -306,7 +306,7 @@
         self, record: task_table.JobRecord, task: task_table.LiveTask, now: float
     ) -> None:
         """Count a task that already runs or may run on its worker."""
-        record.held.discard(task.index)
+        record.unconfirmed.discard(task.index)
         record.attempts[task.index] = max(
             record.attempts.get(task.index, 0), task.attempt
         )
@@ -339,7 +339,7 @@
         if state is not None and state.attached:
             self.effects.stop(task.worker, task.id, mode)
 
-    def vacate(
+    def release_task(
         self, record: task_table.JobRecord, task: task_table.LiveTask, now: float
     ) -> None:
         """Give back what a task held; it is waiting afterwards."""
@@ -350,7 +350,7 @@
         self.index.release(task.worker, task.demand)
         self.allowances.free(task.team, task.demand)
         self.shares.ended(task.team, task.demand, now)
-        self.changed = True
+        self.placement_needed = True
 
     def finalize(
         self,
@@ -361,7 +361,7 @@
     ) -> None:
         """Record the final outcome of a task that occupies no worker."""
         record.set_final(index, outcome)
-        self.effects.record(f"{record.spec.id}/{index}", outcome)
+        self.effects.record_outcome(f"{record.spec.id}/{index}", outcome)
         if record.complete():
             if record.outcome is None:
                 job_outcome = self._close_job(record)
@@ -377,7 +377,7 @@
         delay: float = 0.0,
         reason: str = "",
     ) -> None:
-        """Queue a task again that occupies no worker, after `delay` seconds."""
+        """Queue a task again that occupies no worker, after `schedule_retry` seconds."""
         if record.cancelled:
             ran = index in record.ran
             outcome = FAILED_CANCELLED if ran else NOT_RUN_CANCELLED
@@ -386,19 +386,19 @@
             self._gangs.break_up(self, record, reason, now, delay)
         elif delay > 0:
             record.delayed.add(index)
-            self.delay(record, index, now + delay)
+            self.schedule_retry(record, index, now + delay)
         else:
             self.queue.requeue(
                 record.spec, index, now, record.accepted_at, self._latest_start(record)
             )
-            self.changed = True
+            self.placement_needed = True
 
-    def delay(self, record: task_table.JobRecord, index: int, due: float) -> None:
+    def schedule_retry(self, record: task_table.JobRecord, index: int, due: float) -> None:
         """Wake a task at `due`; index -1 wakes all tasks of a gang."""
         self._sequence += 1
         heapq.heappush(self.retries, (due, self._sequence, record.spec.id, index))
 
-    def wake_retries(self, now: float) -> None:
+    def queue_due_retries(self, now: float) -> None:
         """Queue the tasks whose retry time has come."""
         while self.retries and self.retries[0][0] <= now:
             _, _, job_id, index = heapq.heappop(self.retries)
--- a/toucanspring/scheduling/moves.py
+++ b/toucanspring/scheduling/move_planner.py
@@ -9,12 +9,12 @@
 from toucanspring import job
 from toucanspring.reporting import event_kinds
 from toucanspring.scheduling import (
+    capacity_report,
     dispatch,
     interruption,
     lifecycle,
-    need,
+    partition_capacity,
     resizing,
-    room,
     task_table,
 )
 
@@ -46,8 +46,12 @@
     changed_at: Mapping[int, int] = dataclasses.field(default_factory=dict)
     moved_at: Mapping[str, float] = dataclasses.field(default_factory=dict)
     accepted_ms: Mapping[str, int] = dataclasses.field(default_factory=dict)
-    arriving: Mapping[str, need.Listed] = dataclasses.field(default_factory=dict)
-    elsewhere: Mapping[str, need.Listed] = dataclasses.field(default_factory=dict)
+    arriving: Mapping[str, capacity_report.Listed] = dataclasses.field(
+        default_factory=dict
+    )
+    elsewhere: Mapping[str, capacity_report.Listed] = dataclasses.field(
+        default_factory=dict
+    )
     bound: frozenset[str] = frozenset()
     current: int = 0  # number of partitions; 0 keeps `resizing` out
     counts: Mapping[int, int] = dataclasses.field(default_factory=dict)
@@ -69,19 +73,19 @@
     ) -> None:
         self._core = core
         self._dispatcher = dispatcher
-        self._room = room.Room(core)
+        self._room = partition_capacity.Room(core)
         self._idle_since: dict[str, float] = {}
 
-    def state(self, facts: Facts, now: float) -> need.Statement:
+    def state(self, facts: Facts, now: float) -> capacity_report.Statement:
         """Return what the partition lacks and what it does not use."""
         core = self._core
-        new = facts.elsewhere.keys() - (core.elsewhere or {}).keys()
+        new = facts.elsewhere.keys() - (core.other_partition_workers or {}).keys()
         if new - core.known_workers.keys():
             core.new_worker_at = now  # others may follow
-        core.elsewhere = dict(facts.elsewhere)
+        core.other_partition_workers = dict(facts.elsewhere)
         self._note_idle(now)
-        gangs: list[need.Need] = []
-        waiting: dict[tuple, need.Need] = {}
+        gangs: list[capacity_report.Need] = []
+        waiting: dict[tuple, capacity_report.Need] = {}
         for record in self._blocked():
             stated = self._need(record, facts, now)
             if record.spec.kind is job.Kind.GANG:
@@ -89,20 +93,20 @@
                     gangs.append(stated)
             elif stated.waited_ms >= WAIT_BEFORE_MOVE_S * 1000:
                 shape = (stated.demand, stated.availability_zones)
-                waiting[shape] = need.join(waiting.get(shape), stated)
-        lacking: list[need.Need] = []
+                waiting[shape] = capacity_report.join(waiting.get(shape), stated)
+        lacking: list[capacity_report.Need] = []
         for entry in sorted(waiting.values(), key=lambda entry: entry.order):
-            if len(lacking) == need.MAX_WAITING:
+            if len(lacking) == capacity_report.MAX_WAITING:
                 break
             if short := self._still_lacking(entry, facts, now):
                 lacking.append(short)
-        return need.Statement(
+        return capacity_report.Statement(
             facts.version,
             min(gangs, key=lambda entry: entry.order, default=None),
             lacking,
             [
-                need.Idle(worker, state.availability_zone, state.capacity)
-                for worker in self._spare(facts, now)[: need.MAX_IDLE]
+                capacity_report.Idle(worker, state.availability_zone, state.capacity)
+                for worker in self._spare(facts, now)[: capacity_report.MAX_IDLE]
                 for state in (core.workers[worker].facts,)
             ],
         )
@@ -110,7 +114,7 @@
     def plan(
         self,
         own: int,
-        statements: dict[int, need.Statement],
+        statements: dict[int, capacity_report.Statement],
         facts: Facts,
         now: float,
         moving: frozenset[str] = frozenset(),
@@ -121,7 +125,7 @@
         whose they are is not known until the row has been read again.
         """
         self._note_idle(now)
-        served = need.oldest_gang(statements)
+        served = capacity_report.oldest_gang(statements)
         self._collect(own, served)
         chosen: list[str] = []
         batch = None
@@ -160,9 +164,9 @@
 
     def _need(
         self, record: task_table.JobRecord, facts: Facts, now: float
-    ) -> need.Need:
+    ) -> capacity_report.Need:
         spec = record.spec
-        return need.Need(
+        return capacity_report.Need(
             facts.accepted_ms.get(spec.id, 0),
             spec.id,
             self._core.demand(spec),
@@ -171,7 +175,9 @@
             int((now - record.accepted_at) * 1000),
         )
 
-    def _gang_need(self, wanted: need.Need, facts: Facts) -> need.Need | None:
+    def _gang_need(
+        self, wanted: capacity_report.Need, facts: Facts
+    ) -> capacity_report.Need | None:
         """Return what a gang lacks beyond its own partition's workers when empty.
 
         A gang that gets workers is stated until it starts, so that no other gang is
@@ -179,7 +185,7 @@
         """
         own = self._room.own(wanted) + self._room.listed(wanted, facts.arriving)
         lacking = max(0, wanted.tasks - own)
-        if not lacking and self._core.collecting != wanted.job_id:
+        if not lacking and self._core.collecting_gang != wanted.job_id:
             return None
         # A gang beyond the present workers would hold up all others.
         if lacking > self._room.listed(wanted, facts.elsewhere):
@@ -187,8 +193,8 @@
         return wanted.with_tasks(lacking)
 
     def _still_lacking(
-        self, wanted: need.Need, facts: Facts, now: float
-    ) -> need.Need | None:
+        self, wanted: capacity_report.Need, facts: Facts, now: float
+    ) -> capacity_report.Need | None:
         """Return a need without what is free or on its way, if others can meet it."""
         left = wanted.tasks - self._room.listed(wanted, facts.arriving)
         left -= self._room.free(wanted, now)
@@ -216,14 +222,14 @@
     def _spare(self, facts: Facts, now: float) -> list[str]:
         """Return the idle workers that own waiting work does not need."""
         core = self._core
-        held = core.collected.union(
+        held = core.collected_workers.union(
             facts.bound, *(entry.workers for entry in core.reservations.values())
         )
         usable = dict(self._room.usable())
         spare = [
             worker
             for worker, state in usable.items()
-            if (state.schedulable or worker in core.withheld)
+            if (state.schedulable or worker in core.cordoned_workers)
             and worker not in held
             and now - self._idle_since.get(worker, now) >= IDLE_S
             and now - facts.moved_at.get(worker, -math.inf) >= REST_S
@@ -242,7 +248,9 @@
 
     # Gifts
 
-    def _serves_first(self, other: need.Need, facts: Facts, now: float) -> bool:
+    def _serves_first(
+        self, other: capacity_report.Need, facts: Facts, now: float
+    ) -> bool:
         """Return whether an older gang waits here that needs no other workers."""
         for record in self._blocked():
             if record.spec.kind is not job.Kind.GANG:
@@ -252,7 +260,7 @@
                 return True
         return False
 
-    def _choose_for_gang(self, wanted: need.Need, give: bool) -> list[str]:
+    def _choose_for_gang(self, wanted: capacity_report.Need, give: bool) -> list[str]:
         """Return workers whose room is what a gang lacks, those empty first.
 
         With `give` they are to leave the partition without what runs there. Once the
@@ -306,7 +314,7 @@
     def _spare_batch(
         self,
         own: int,
-        statements: Mapping[int, need.Statement],
+        statements: Mapping[int, capacity_report.Statement],
         drained: frozenset[str],
         facts: Facts,
         now: float,
@@ -337,14 +345,14 @@
     def _resize(
         self,
         own: int,
-        statements: Mapping[int, need.Statement],
+        statements: Mapping[int, capacity_report.Statement],
         drained: frozenset[str],
         facts: Facts,
         now: float,
     ) -> tuple[int, list[str]] | None:
         """Return workers to free because the number of partitions has changed."""
         core = self._core
-        held = core.collected.union(
+        held = core.collected_workers.union(
             drained, facts.bound, *(each.workers for each in core.reservations.values())
         )
         has_jobs = own >= facts.current and any(
@@ -367,7 +375,9 @@
         donor = resizing.Donor(own, has_jobs, bool(len(core.queue)))
         return resizing.choose(donor, candidates, facts.current, facts.counts, starving)
 
-    def _collect(self, own: int, served: tuple[int, need.Need] | None) -> None:
+    def _collect(
+        self, own: int, served: tuple[int, capacity_report.Need] | None
+    ) -> None:
         """Keep other work off the workers that the served gang of this partition needs.
 
         Work that backfills would take the workers that arrive one after the other.
@@ -381,13 +391,13 @@
                 job_id = wanted.job_id
                 whole = wanted.with_tasks(len(group))
                 workers = frozenset(self._choose_for_gang(whole, give=False))
-        if (job_id, workers) != (core.collecting, core.collected):
-            core.collecting, core.collected = job_id, workers
-            core.changed = True
+        if (job_id, workers) != (core.collecting_gang, core.collected_workers):
+            core.collecting_gang, core.collected_workers = job_id, workers
+            core.placement_needed = True
 
     def _withhold(self, workers: frozenset[str], now: float) -> None:
         core = self._core
-        changed = core.withheld ^ workers
-        core.withheld = set(workers)
+        changed = core.cordoned_workers ^ workers
+        core.cordoned_workers = set(workers)
         for worker in changed:
             core.update_schedulable(worker, now)
--- a/toucanspring/scheduling/room.py
+++ b/toucanspring/scheduling/partition_capacity.py
@@ -5,7 +5,13 @@
 from collections.abc import Iterator, Mapping
 
 from toucanspring import job, resources
-from toucanspring.scheduling import gang, lifecycle, need, task_table, worker_state
+from toucanspring.scheduling import (
+    capacity_report,
+    gang,
+    lifecycle,
+    task_table,
+    worker_state,
+)
 
 
 class Room:
@@ -37,14 +43,14 @@
         used = (task.demand for task in self.services(worker))
         return self._core.workers[worker].facts.capacity - sum(used, resources.ZERO)
 
-    def own(self, wanted: need.Need) -> int:
+    def own(self, wanted: capacity_report.Need) -> int:
         """Return the room of all own workers once everything but services has ended."""
         return sum(
             wanted.room_in(state.facts.availability_zone, self.lasting(worker))
             for worker, state in self.usable()
         )
 
-    def free(self, wanted: need.Need, now: float) -> int:
+    def free(self, wanted: capacity_report.Need, now: float) -> int:
         """Return the room of workers that came after placement last looked."""
         core = self._core
         spec = core.table.jobs[wanted.job_id].spec
@@ -55,7 +61,9 @@
             if state.schedulable and worker not in excluded
         )
 
-    def listed(self, wanted: need.Need, listed: Mapping[str, need.Listed]) -> int:
+    def listed(
+        self, wanted: capacity_report.Need, listed: Mapping[str, capacity_report.Listed]
+    ) -> int:
         """Return the room of workers that are known from the VM list only."""
         room = 0
         for entry in listed.values():
--- a/toucanspring/scheduling/placement.py
+++ b/toucanspring/scheduling/placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from toucanspring import resources
-from toucanspring.scheduling import inventory, racks, refusal
+from toucanspring.scheduling import inventory, racks, rejection
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -235,7 +235,7 @@
 
         Looks at every worker.
         """
-        return refusal.count_reasons(
+        return rejection.count_reasons(
             self._numbered,
             demand,
             constraints.availability_zones,
@@ -245,7 +245,7 @@
 
     def _no_room(self, demand: resources.Resources, constraints: Constraints) -> NoRoom:
         return NoRoom(
-            refusal.estimate_reasons(
+            rejection.estimate_reasons(
                 self._numbered,
                 demand,
                 constraints.availability_zones,
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -17,7 +17,7 @@
     fairness,
     gang,
     lifecycle,
-    moves,
+    move_planner,
     overuse,
     preemption,
     spreading,
@@ -40,7 +40,7 @@
         self._core = lifecycle.Lifecycle(rng, gang)
         self._dispatcher = dispatch.Dispatcher(self._core)
         self._spreader = spreading.Spreader(self._core, spread_move_s)
-        self.moves = moves.Moves(self._core, self._dispatcher)
+        self.moves = move_planner.Moves(self._core, self._dispatcher)
         self._next_checks = 0.0
         self._tried: set[str] = set()  # blocked jobs, in this turn of preemption
 
@@ -135,12 +135,12 @@
         recovery.lose(self._core, worker, now)
         return self._core.effects.take()
 
-    def expect_elsewhere(self, expected: bool = True) -> None:
+    def expect_other_partitions(self, expected: bool = True) -> None:
         """Refuse no job for its size until other partitions' workers are known.
 
         If none are `expected`, only the own workers count.
         """
-        self._core.elsewhere = None if expected else {}
+        self._core.other_partition_workers = None if expected else {}
 
     def adopt(self, ended: Iterable[log_records.EndedJob], now: float) -> None:
         """Add jobs that ended in another partition; known ones are ignored."""
@@ -182,7 +182,7 @@
                 event_kinds.ZoneTakenOut(zone, self.partition, len(there), sum(there))
             )
         for zone in sorted(before - out):
-            left = core.left_zones.pop(zone, 0)
+            left = core.evacuated_tasks.pop(zone, 0)
             core.effects.publish(event_kinds.ZoneReturned(zone, self.partition, left))
 
     def count_tasks(self, worker: str) -> int:
@@ -201,7 +201,7 @@
         core.allowances.set_ceilings(
             {name: team.ceiling for name, team in teams.items()}
         )
-        core.changed = True
+        core.placement_needed = True
         return core.effects.take()
 
     def set_allowances(
@@ -216,7 +216,7 @@
         """
         self._core.allowances.set_held(held, now)
         self._core.allowances.set_limits(limits)
-        self._core.changed = True
+        self._core.placement_needed = True
         preemption.enforce_ceilings(self._core, now)
         return self._core.effects.take()
 
@@ -244,11 +244,11 @@
     def tick(self, now: float) -> list[effects.Effect]:
         """Place waiting work and do what is due."""
         core = self._core
-        core.wake_retries(now)
+        core.queue_due_retries(now)
         if checks_due := now >= self._next_checks:
             self._next_checks = now + TIMED_CHECKS_S
             core.end_pauses(now)
-            admission.refuse_too_large(core, now)
+            admission.reject_too_large(core, now)
             preemption.enforce_ceilings(core, now)
             preemption.drain(core, now)
             blocked = self._dispatcher.blocked.values()
@@ -259,7 +259,7 @@
             core.effects.add(effect)
         return core.effects.take()
 
-    def is_at_rest(self) -> bool:
+    def is_quiescent(self) -> bool:
         """Return whether nothing becomes due by the passing of time alone."""
         core = self._core
         return not (
@@ -267,7 +267,7 @@
             or core.retries
             or core.reservations
             or core.too_large
-            or core.expected
+            or core.expected_workers
             or core.paused
             or core.leaving
             or core.zones_out
@@ -302,11 +302,13 @@
         waits_for = list(noted.waits_for)
         if record.blocked_on:
             waits_for = [f"job {other}" for other in sorted(record.blocked_on)]
-        elif record.held:
-            waits_for = [f"worker {name}" for name in sorted(self._core.expected)]
+        elif record.unconfirmed:
+            waits_for = [
+                f"worker {name}" for name in sorted(self._core.expected_workers)
+            ]
         elif record.delayed:
             waits_for = ["retry delay"]
-        elif self._core.collecting == job_id:
+        elif self._core.collecting_gang == job_id:
             waits_for = ["workers of other partitions"]
         state = "waiting"
         if status.outcome is not None:
--- a/toucanspring/scheduling/task_table.py
+++ b/toucanspring/scheduling/task_table.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from toucanspring import errors, job, resources
-from toucanspring.scheduling import effects, failure_places
+from toucanspring.scheduling import effects, failure_tracking
 
 # Bounds the memory of an owner; older jobs are answered from the log or not at all.
 FINISHED_JOBS_KEPT = 50_000
@@ -42,16 +42,16 @@
         "failures",
         "finals",
         "gang_aborted",
-        "gang_breaking",
+        "gang_stop_reason",
         "gang_delay",
-        "held",
+        "unconfirmed",
         "live",
         "losses",
         "outcome",
         "progress",
         "ran",
         "spec",
-        "tally",
+        "outcome_counts",
     )
 
     def __init__(self, spec: job.JobSpec, now: float) -> None:
@@ -59,19 +59,19 @@
         self.accepted_at = now
         self.live: dict[int, LiveTask] = {}
         self.finals: dict[int, job.Outcome] = {}
-        self.tally: dict[job.State, int] = {}
+        self.outcome_counts: dict[job.State, int] = {}
         self.answers: dict[str, bytes] = {}
         self.attempts: dict[int, int] = {}  # last attempt, if not the first
         self.failures: dict[int, list[str]] = {}  # the workers of failed attempts
-        self.avoidance: failure_places.FailurePlaces | None = None  # after a failure
+        self.avoidance: failure_tracking.FailurePlaces | None = None  # after a failure
         self.losses: dict[int, int] = {}  # attempts lost with their worker
         self.ran: set[int] = set()  # waiting tasks of which an attempt ran
         self.progress: dict[int, bytes] = {}
         self.delayed: set[int] = set()  # wait for their retry time
-        self.held: set[int] = set()  # may run on a worker not yet attached
+        self.unconfirmed: set[int] = set()  # may run on a worker not yet attached
         self.blocked_on: set[str] = set()
         self.cancelled = False
-        self.gang_breaking = ""  # reason while the other members are being stopped
+        self.gang_stop_reason = ""  # reason while the other members are being stopped
         self.gang_aborted = False  # one member ended for good
         self.gang_delay = 0.0  # before the members start again, in seconds
         self.outcome: job.Outcome | None = None
@@ -98,7 +98,7 @@
     def set_final(self, index: int, outcome: job.Outcome) -> None:
         """Record the final outcome of a task."""
         self.finals[index] = outcome
-        self.tally[outcome.state] = self.tally.get(outcome.state, 0) + 1
+        self.outcome_counts[outcome.state] = self.outcome_counts.get(outcome.state, 0) + 1
         if outcome.answer:
             self.answers[job.task_id(self.spec.id, index)] = outcome.answer
         self.attempts.pop(index, None)
@@ -116,18 +116,18 @@
 
         One unknown task makes the job unknown; `not_run` means that no task ran.
         """
-        tally = self.tally
+        counts = self.outcome_counts
         count = self.spec.task_count
         if not self.finals:
             return job.Outcome(job.State.NOT_RUN, "the job has no tasks")
-        if tally.get(job.State.DONE, 0) == count:
+        if counts.get(job.State.DONE, 0) == count:
             answer = self.finals[0].answer if count == 1 else b""
             return job.Outcome(job.State.DONE, "", answer) if answer else DONE
         for state in (job.State.UNKNOWN, job.State.FAILED, job.State.NOT_RUN):
-            if not tally.get(state):
+            if not counts.get(state):
                 continue
             reason = next(o.reason for o in self.finals.values() if o.state is state)
-            if state is job.State.NOT_RUN and tally[state] < count:
+            if state is job.State.NOT_RUN and counts[state] < count:
                 state = job.State.FAILED  # some tasks ran to their end
             return job.Outcome(state, reason)
         return job.Outcome(job.State.FAILED, "no task has an outcome")
@@ -135,7 +135,7 @@
     def status(self) -> effects.JobStatus:
         """Return the counts of tasks by state."""
         counts: dict[str, int] = {
-            state.value: number for state, number in self.tally.items()
+            state.value: number for state, number in self.outcome_counts.items()
         }
         for task in self.live.values():
             counts[task.state.value] = counts.get(task.state.value, 0) + 1
