--- a/bench/share.py
+++ b/bench/share.py
@@ -68,7 +68,7 @@
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
         teams = [fairness.Team(name, share=kind.share) for name, kind in TEAMS.items()]
-        self.ledger = fairness.Ledger(teams, WINDOW_S)
+        self.ledger = fairness.ShareTracker(teams, WINDOW_S)
         self._backlogs: dict[str, collections.deque] = {}
 
     def prepare(self, backlogs: dict[str, list], total: resources.Resources) -> None:
--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -60,7 +60,7 @@
 
     def _listed(self, matches):
         return {
-            name: capacity_report.Listed(worker.zone, worker.capacity)
+            name: capacity_report.ListedWorker(worker.zone, worker.capacity)
             for name, worker in self.owner.shared.workers.items()
             if matches(self.roster.partitions.get(name))
         }
@@ -134,8 +134,8 @@
         return self.bound
 
     @property
-    def withheld(self):
-        return self.cell.scheduler._core.withheld
+    def cordoned_workers(self):
+        return self.cell.scheduler._core.cordoned_workers
 
     def move(self):
         self.mover.step(self)
--- a/test/test_allowance.py
+++ b/test/test_allowance.py
@@ -60,62 +60,62 @@
     def setUp(self):
         super().setUp()
         self.one = resources.Resources(1, 0, 0)
-        self.ledger = allowance.Ledger()
-        self.ledger.set_ceilings({"zimna": resources.Resources(160, 160, 0)})
+        self.tracker = allowance.AllowanceTracker()
+        self.tracker.set_ceilings({"zimna": resources.Resources(160, 160, 0)})
         self.hold(40, 0.0)
 
     def hold(self, cpus, now):
-        self.ledger.set_held({"zimna": resources.Resources(cpus, 0, 0)}, now)
+        self.tracker.set_held({"zimna": resources.Resources(cpus, 0, 0)}, now)
 
     def test_unused_allowance_is_returned_after_5_s_and_not_used_meanwhile(self):
         # Guards against idle parts, and against use of a part given away.
-        self.ledger.use("zimna", self.one.times(10))
-        self.ledger.free("zimna", self.one.times(4))
-        self.assertEqual([], self.ledger.step(4.9))
-        (given,) = self.ledger.step(5.0)
+        self.tracker.use("zimna", self.one.times(10))
+        self.tracker.free("zimna", self.one.times(4))
+        self.assertEqual([], self.tracker.step(4.9))
+        (given,) = self.tracker.step(5.0)
         expected = effects.ReturnAllowance(
             "zimna", self.one.times(30), self.one.times(10)
         )
         self.assertEqual(expected, given)
         self.hold(40, 5.1)  # a stale read
-        self.assertEqual(4, self.ledger.room("zimna", self.one))
+        self.assertEqual(4, self.tracker.max_starts("zimna", self.one))
         self.hold(10, 5.2)
         self.hold(40, 5.3)  # granted again later
-        self.assertEqual(34, self.ledger.room("zimna", self.one))
+        self.assertEqual(34, self.tracker.max_starts("zimna", self.one))
 
     def test_a_request_asks_for_a_chunk_and_is_repeated(self):
         # Guards against a store write for each start, and against a lost request.
-        self.ledger.use("zimna", self.one.times(40))
+        self.tracker.use("zimna", self.one.times(40))
         want = self.one.times(500)
-        self.ledger.want("zimna", want, self.one)
-        (asked,) = self.ledger.step(1.0)
+        self.tracker.report_shortage("zimna", want, self.one)
+        (asked,) = self.tracker.step(1.0)
         self.assertEqual(self.one.times(50), asked.target)
-        self.ledger.want("zimna", want, self.one)
-        self.assertEqual([], self.ledger.step(1.5))
-        self.ledger.want("zimna", want, self.one)
-        self.assertEqual([asked], self.ledger.step(2.1))
+        self.tracker.report_shortage("zimna", want, self.one)
+        self.assertEqual([], self.tracker.step(1.5))
+        self.tracker.report_shortage("zimna", want, self.one)
+        self.assertEqual([asked], self.tracker.step(2.1))
 
     def test_only_teams_that_hold_or_use_something_are_looked_at(self):
         # Guards against rounds that look at 700 teams of which few are in use.
-        self.ledger.set_ceilings({f"t{n}": self.one.times(10) for n in range(700)})
-        self.ledger.set_held({f"t{n}": resources.ZERO for n in range(700)}, 0.0)
-        self.assertEqual(["zimna"], self.ledger.teams())
-        self.ledger.want("t1", self.one, self.one)
-        (asked,) = self.ledger.step(1.0)
+        self.tracker.set_ceilings({f"t{n}": self.one.times(10) for n in range(700)})
+        self.tracker.set_held({f"t{n}": resources.ZERO for n in range(700)}, 0.0)
+        self.assertEqual(["zimna"], self.tracker.teams())
+        self.tracker.report_shortage("t1", self.one, self.one)
+        (asked,) = self.tracker.step(1.0)
         self.assertEqual("t1", asked.team)
-        self.assertEqual(["t1", "zimna"], self.ledger.teams())
-        self.ledger.step(5.0)
+        self.assertEqual(["t1", "zimna"], self.tracker.teams())
+        self.tracker.step(5.0)
         self.hold(0, 5.1)
-        self.ledger.step(5.2)
-        self.assertNotIn("zimna", self.ledger.teams())
-        self.ledger.use("zimna", self.one)
-        self.assertIn("zimna", self.ledger.teams())
+        self.tracker.step(5.2)
+        self.assertNotIn("zimna", self.tracker.teams())
+        self.tracker.use("zimna", self.one)
+        self.assertIn("zimna", self.tracker.teams())
 
     def test_nothing_counts_as_excess_before_the_row_was_read(self):
         # Guards against a successor that stops all work because it holds nothing yet.
-        ledger = allowance.Ledger()
-        ledger.set_ceilings({"zimna": self.one.times(100)})
-        ledger.use("zimna", self.one.times(50))
-        self.assertEqual(resources.ZERO, ledger.excess("zimna"))
-        ledger.set_held({"zimna": self.one.times(30)}, 1.0)
-        self.assertEqual(self.one.times(20), ledger.excess("zimna"))
+        tracker = allowance.AllowanceTracker()
+        tracker.set_ceilings({"zimna": self.one.times(100)})
+        tracker.use("zimna", self.one.times(50))
+        self.assertEqual(resources.ZERO, tracker.excess("zimna"))
+        tracker.set_held({"zimna": self.one.times(30)}, 1.0)
+        self.assertEqual(self.one.times(20), tracker.excess("zimna"))
--- a/test/test_allowance_contention.py
+++ b/test/test_allowance_contention.py
@@ -20,52 +20,54 @@
         self.waiting = tasks
         self.run_s = run_s
         self.together = together
-        self.ledger = allowance.Ledger()
-        self.ledger.set_ceilings({"team": CEILING})
+        self.tracker = allowance.AllowanceTracker()
+        self.tracker.set_ceilings({"team": CEILING})
         self.running = []
         self.target = None
         self.due = 0.0
-        self.asked_at = -10.0
+        self.requested_at = -10.0
 
     def work(self, now):
         while self.running and self.running[0] <= now:
             heapq.heappop(self.running)
-            self.ledger.free("team", TASK)
+            self.tracker.free("team", TASK)
         if self.waiting:
             self.start(now)
-        for effect in self.ledger.step(now):
+        for effect in self.tracker.step(now):
             least = getattr(effect, "least", resources.ZERO)
             self.target = (effect.target, least)
             if isinstance(effect, effects.RequestAllowance):
-                self.asked_at = now
+                self.requested_at = now
             self.due = min(self.due, now + WRITE_S)
 
     def start(self, now):
-        count = min(self.waiting, self.ledger.room("team", TASK))
+        count = min(self.waiting, self.tracker.max_starts("team", TASK))
         if self.together and count < self.waiting:
             count = 0
         for _ in range(count):
-            self.ledger.use("team", TASK)
+            self.tracker.use("team", TASK)
             heapq.heappush(self.running, now + self.run_s)
         self.waiting -= count
         if self.waiting:
             amount = TASK.times(self.waiting)
-            self.ledger.want("team", amount, amount if self.together else TASK)
+            self.tracker.report_shortage(
+                "team", amount, amount if self.together else TASK
+            )
 
     def update(self, row, now):
         self.due = now + POLL_S
         if self.target is not None:
             (amount, least), self.target = self.target, None
-        elif self.number in row.wants and now - self.asked_at < 2.5:
+        elif self.number in row.wants and now - self.requested_at < 2.5:
             amount = None
         else:
             amount, least = row.parts.get(self.number, resources.ZERO), resources.ZERO
         if amount is not None:
             row = allowance.resize(row, self.number, amount, CEILING, least=least)
         held = row.parts.get(self.number, resources.ZERO)
-        self.ledger.set_held({"team": held}, now)
-        limit = allowance.limit_of(row, self.number, CEILING)
-        self.ledger.set_limits({} if limit is None else {"team": limit})
+        self.tracker.set_held({"team": held}, now)
+        limit = allowance.contended_limit(row, self.number, CEILING)
+        self.tracker.set_limits({} if limit is None else {"team": limit})
         return row
 
 
--- a/test/test_fairness.py
+++ b/test/test_fairness.py
@@ -9,9 +9,9 @@
 TASK = resources.Resources(1000, 1000, 0)
 
 
-def make_ledger(shares, ceilings=None, window_s=60.0):
+def make_tracker(shares, ceilings=None, window_s=60.0):
     ceilings = ceilings or {}
-    ledger = fairness.Ledger(
+    tracker = fairness.ShareTracker(
         [
             fairness.Team(
                 name, share=share, ceiling=ceilings.get(name, resources.UNLIMITED)
@@ -20,35 +20,35 @@
         ],
         window_s,
     )
-    ledger.set_total(TOTAL)
-    return ledger
+    tracker.set_total(TOTAL)
+    return tracker
 
 
 class LedgerTest(testtools.TestCase):
     def test_targets_divide_the_cell_among_active_teams_only(self):
         # Guards against capacity reserved for teams that have no work.
-        ledger = make_ledger({"a": 3, "b": 1, "c": 6})
-        self.assertEqual({"a": 0.75, "b": 0.25}, ledger.targets(["a", "b"]))
+        tracker = make_tracker({"a": 3, "b": 1, "c": 6})
+        self.assertEqual({"a": 0.75, "b": 0.25}, tracker.targets(["a", "b"]))
 
     def test_what_a_ceiling_cuts_off_goes_to_the_other_teams(self):
-        ledger = make_ledger(
+        tracker = make_tracker(
             {"a": 3, "b": 1}, {"a": resources.Resources(20_000, 20_000, 0)}
         )
-        targets = ledger.targets(["a", "b"])
+        targets = tracker.targets(["a", "b"])
         self.assertAlmostEqual(0.2, targets["a"])
         self.assertAlmostEqual(0.8, targets["b"])
 
     def test_no_total_and_unknown_teams_do_not_fail(self):
-        ledger = fairness.Ledger([], 60.0)
-        self.assertEqual(["x"], ledger.rank(["x"], 0.0))
-        ledger.started("x", TASK, 0.0)
-        ledger.ended("x", TASK, 1.0)
-        self.assertEqual({}, ledger.over_share(["x"], 1.0))
+        tracker = fairness.ShareTracker([], 60.0)
+        self.assertEqual(["x"], tracker.rank(["x"], 0.0))
+        tracker.started("x", TASK, 0.0)
+        tracker.ended("x", TASK, 1.0)
+        self.assertEqual({}, tracker.over_share(["x"], 1.0))
 
     def test_equal_tasks_end_in_proportion_to_the_shares(self):
         # Guards against drift between what teams use and what they may use.
         shares = {"a": 5, "b": 3, "c": 2}
-        ledger = make_ledger(shares)
+        tracker = make_tracker(shares)
         rng = random.Random(3)
         running = []
         used = dict.fromkeys(shares, 0.0)
@@ -56,10 +56,10 @@
             now = step * 0.02
             for entry in [entry for entry in running if entry[0] <= now]:
                 running.remove(entry)
-                ledger.ended(entry[1], TASK, now)
+                tracker.ended(entry[1], TASK, now)
             while len(running) < 100:
-                team = ledger.rank(shares, now)[0]
-                ledger.started(team, TASK, now)
+                team = tracker.rank(shares, now)[0]
+                tracker.started(team, TASK, now)
                 running.append((now + rng.uniform(0.5, 4), team))
             for _, team in running:
                 used[team] += 1
@@ -68,52 +68,52 @@
             self.assertAlmostEqual(share / 10, part, delta=0.01)
 
     def test_what_a_team_missed_is_repaid(self):
-        ledger = make_ledger({"a": 1, "b": 1})
+        tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(50):
-            ledger.started("a", TASK, 0.0)
-        ledger.rank(["a", "b"], 0.0)
-        ledger.rank(["a", "b"], 10.0)
+            tracker.started("a", TASK, 0.0)
+        tracker.rank(["a", "b"], 0.0)
+        tracker.rank(["a", "b"], 10.0)
         for _ in range(50):
-            ledger.started("b", TASK, 10.0)
-        self.assertGreater(ledger.shortfalls(["a", "b"], 10.0)["b"], 0)
+            tracker.started("b", TASK, 10.0)
+        self.assertGreater(tracker.shortfalls(["a", "b"], 10.0)["b"], 0)
 
     def test_idle_time_earns_no_credit(self):
         # Guards against a team saving up its share and then filling the cell.
-        ledger = make_ledger({"a": 1, "b": 1})
+        tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(50):
-            ledger.started("a", TASK, 0.0)
+            tracker.started("a", TASK, 0.0)
         for step in range(100):
-            ledger.rank(["a"], step * 0.1)
+            tracker.rank(["a"], step * 0.1)
         for _ in range(50):
-            ledger.started("b", TASK, 10.0)
-        self.assertAlmostEqual(0.0, ledger.shortfalls(["a", "b"], 10.0)["b"])
+            tracker.started("b", TASK, 10.0)
+        self.assertAlmostEqual(0.0, tracker.shortfalls(["a", "b"], 10.0)["b"])
 
     def test_over_share_names_only_teams_above_their_part_of_a_full_cell(self):
         # Guards against stopping lent work while the cell has room.
-        ledger = make_ledger({"a": 1, "b": 1})
+        tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(80):
-            ledger.started("a", TASK, 0.0)
-        over = ledger.over_share(["a", "b"], 1.0)
+            tracker.started("a", TASK, 0.0)
+        over = tracker.over_share(["a", "b"], 1.0)
         self.assertEqual(["a"], list(over))
         self.assertAlmostEqual(0.3, over["a"])
         for _ in range(40):
-            ledger.ended("a", TASK, 2.0)
-        self.assertEqual({}, ledger.over_share(["a", "b"], 2.0))
+            tracker.ended("a", TASK, 2.0)
+        self.assertEqual({}, tracker.over_share(["a", "b"], 2.0))
 
     def test_teams_far_above_their_target_yield_only_in_a_full_cell(self):
         # Guards against small tasks that take each gap before a large task fits, and
         # against idle capacity when a blocked team lacks something else.
-        ledger = make_ledger({"a": 1, "b": 1})
+        tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(80):
-            ledger.started("a", TASK, 0.0)
-        self.assertEqual(set(), ledger.yielding(["a", "b"], 0.0))
+            tracker.started("a", TASK, 0.0)
+        self.assertEqual(set(), tracker.yielding(["a", "b"], 0.0))
         for _ in range(15):
-            ledger.started("b", TASK, 0.0)
-        self.assertEqual({"a"}, ledger.yielding(["a", "b"], 0.0))
+            tracker.started("b", TASK, 0.0)
+        self.assertEqual({"a"}, tracker.yielding(["a", "b"], 0.0))
 
     def test_actual_is_a_decayed_mean(self):
-        ledger = make_ledger({"a": 1}, window_s=10.0)
+        tracker = make_tracker({"a": 1}, window_s=10.0)
         for _ in range(50):
-            ledger.started("a", TASK, 0.0)
-        self.assertLess(ledger.actual(1.0)["a"], 0.1)
-        self.assertAlmostEqual(0.5, ledger.actual(200.0)["a"], places=6)
+            tracker.started("a", TASK, 0.0)
+        self.assertLess(tracker.average_use(1.0)["a"], 0.1)
+        self.assertAlmostEqual(0.5, tracker.average_use(200.0)["a"], places=6)
--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -54,7 +54,7 @@
         p.submit(0, "a", demand=WHOLE, task_count=3)
         p.run(20)
         self.assertEqual({"w10", "w11"}, p.row()[1])
-        self.assertEqual(set(), p[1].withheld)
+        self.assertEqual(set(), p[1].cordoned_workers)
 
     def test_a_worker_named_by_an_incomplete_record_stays(self):
         # Guards against a successor that cannot ask the worker about an end or a
--- a/test/test_scheduler.py
+++ b/test/test_scheduler.py
@@ -72,17 +72,17 @@
         # makes rounds rarely.
         limit = resources.Resources(16_000, 1 << 20, 8)
         c = cell.Cell(teams=[fairness.Team("zimna", ceiling=limit)])
-        rests = c.scheduler.is_at_rest
-        self.assertTrue(rests())
+        is_quiescent = c.scheduler.is_quiescent
+        self.assertTrue(is_quiescent())
         c.submit(cell.spec())
         c.tick()
-        self.assertFalse(rests())  # a job waits, and the allowance is not known
+        self.assertFalse(is_quiescent())  # a job waits, and the allowance is not known
         c.grant("zimna", limit)
         c.tick()
         self.assertEqual({"a/0": "w0"}, c.running())
-        self.assertFalse(rests())  # what is not used goes back after 5 s
+        self.assertFalse(is_quiescent())  # what is not used goes back after 5 s
         c.grant("zimna", c.scheduler._core.allowances.used("zimna"))
-        self.assertTrue(rests())
+        self.assertTrue(is_quiescent())
         for begin, end in (
             (("worker_leaving", "w0", True), ("worker_leaving", "w0", False)),
             (
@@ -91,9 +91,9 @@
             ),
         ):
             c.call(*begin)
-            self.assertFalse(rests())
+            self.assertFalse(is_quiescent())
             c.call(*end)
-            self.assertTrue(rests())
+            self.assertTrue(is_quiescent())
 
     def test_a_lowered_allowance_stops_the_latest_work(self):
         # Guards against a team that stays above a lowered ceiling.
@@ -152,7 +152,7 @@
         for number in range(3):
             c.submit(cell.spec(f"j{number}", task_count=2, retries=1))
         core = c.scheduler._core
-        while core.quarantine.allows("w0", c.now) is quarantine.Verdict.YES:
+        while core.quarantine.eligibility("w0", c.now) is quarantine.Eligibility.YES:
             c.tick(0.5)
             c.end_all("failed", run_ms=10)
         for _ in range(3):  # failed probes
--- a/test/test_tick_interval.py
+++ b/test/test_tick_interval.py
@@ -7,11 +7,11 @@
     def test_rounds_are_rare_only_after_two_idle_ones_at_rest(self):
         # Guards against timed checks that miss the last change, and against waiting
         # work that is looked at once a second.
-        for idle_rounds, rests, expected in (
+        for idle_ticks, is_quiescent, expected in (
             (0, True, tick_interval.TICK_INTERVAL_S),
             (1, True, tick_interval.IDLE_TICK_INTERVAL_S),
-            (2, True, tick_interval.REST_TICK_INTERVAL_S),
+            (2, True, tick_interval.QUIESCENT_TICK_INTERVAL_S),
             (9, False, tick_interval.IDLE_TICK_INTERVAL_S),
         ):
-            found = tick_interval.interval(idle_rounds, lambda at=rests: at)
+            found = tick_interval.next_interval(idle_ticks, lambda at=is_quiescent: at)
             self.assertEqual(expected, found)
--- a/toucanspring/owners/allowances.py
+++ b/toucanspring/owners/allowances.py
@@ -146,7 +146,9 @@
             found, held[team] = self._update(
                 table, team, row.version, present, targets.get(team)
             )
-            limit = allowance.limit_of(found, self._partition, self._ceilings[team])
+            limit = allowance.contended_limit(
+                found, self._partition, self._ceilings[team]
+            )
             if limit is not None:
                 limits[team] = limit
         is_busy = limits or targets or any(team not in self._settled for team in held)
@@ -220,7 +222,7 @@
             # The own want ends by time, so that such a row is looked at each time.
             if target is None and self._partition not in present.wants:
                 ceiling = self._ceilings[team]
-                limit = allowance.limit_of(present, self._partition, ceiling)
+                limit = allowance.contended_limit(present, self._partition, ceiling)
                 self._settled[team] = Settled(version, ceiling, part, limit)
             return present, part
         key = ROW_PREFIX + team
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -141,7 +141,7 @@
         spread = count > 1 and self._settings.moves == "on"
         if spread != self._spread:
             self._spread = spread
-            self._scheduler.expect_elsewhere(spread)
+            self._scheduler.expect_other_partitions(spread)
 
     def bound_workers(self) -> frozenset[str]:
         """Return the workers of incomplete records, which must stay here.
@@ -164,7 +164,7 @@
         self.ready.set()
         last_tick = 0.0
         interval_s = tick_interval.TICK_INTERVAL_S
-        idle_rounds = 0
+        idle_ticks = 0
         while not self.journal.fenced:
             handled = self._handle_messages(interval_s)
             now = time.monotonic()
@@ -174,9 +174,9 @@
                 if self._executor.may_start(now):
                     found = self._scheduler.tick(now)
                     self._executor.carry_out(found)
-                idle_rounds = 0 if handled or found else idle_rounds + 1
-                interval_s = tick_interval.interval(
-                    idle_rounds, self._scheduler.is_at_rest
+                idle_ticks = 0 if handled or found else idle_ticks + 1
+                interval_s = tick_interval.next_interval(
+                    idle_ticks, self._scheduler.is_quiescent
                 )
         log.warning("partition {}: fenced under epoch {}", self.number, self.epoch)
         # In a greenlet of its own, because the release ends this one.
--- a/toucanspring/owners/recovery.py
+++ b/toucanspring/owners/recovery.py
@@ -27,7 +27,7 @@
     now: float,
 ) -> None:
     """Rebuild the state from the log; `expected` workers may run tasks."""
-    core.expected = dict(expected)
+    core.expected_workers = dict(expected)
     records = [record for spec in specs if (record := core.table.add(spec, now))]
     for task_id, outcome in finished.items():
         record = core.table.jobs.get(job.job_of(task_id))
@@ -72,8 +72,8 @@
     if not admission.wait_for_dependencies(core, record, now):
         return  # nothing of it has started
     if restored_task(spec.idempotent, intent=False, expected=True) == "held":
-        record.held.update(record.waiting_indices())
-        core.held_jobs.add(spec.id)
+        record.unconfirmed.update(record.waiting_indices())
+        core.unconfirmed_jobs.add(spec.id)
         return
     for intent in intents:
         index = task_table.task_index(intent.task_id)
@@ -94,15 +94,17 @@
         )
         core.adopt(record, task, now)
     for task in list(record.live.values()):
-        expected = task.worker in core.expected
+        expected = task.worker in core.expected_workers
         if restored_task(spec.idempotent, intent=True, expected=expected) == "lost":
             attempt.lost(core, task, f"worker {task.worker} is gone", now)
     if record.outcome is not None:
         return
     if record.cancelled:
         core.end_waiting(record, lifecycle.NOT_RUN_CANCELLED, now)
-    elif spec.kind is job.Kind.GANG and (record.live or record.gang_breaking):
-        core.held_jobs.add(spec.id)  # complete again once its workers are attached
+    elif spec.kind is job.Kind.GANG and (record.live or record.gang_stop_reason):
+        core.unconfirmed_jobs.add(
+            spec.id
+        )  # complete again once its workers are attached
     else:
         core.enqueue(record, now)
 
@@ -139,17 +141,17 @@
     if former is not None:
         state.leaving = former.leaving
         _drop_orphans(core, former)
-    admission.know_worker(core, facts, now)
+    admission.register_worker(core, facts, now)
     core.index.add(worker, facts.capacity, facts.availability_zone, facts.rack)
     core.shares.set_total(core.index.total())
     attributed = core.tasks_on.setdefault(worker, {})
     for task in attributed.values():
         core.index.allocate(worker, task.demand)
     state.schedulable = True
-    core.changed = True
-    if core.collecting:
+    core.placement_needed = True
+    if core.collecting_gang:
         # May have moved here for the gang; `moves` frees it if the gang has enough.
-        core.collected |= {worker}
+        core.collected_workers |= {worker}
     core.update_schedulable(worker, now)
     present = set()
     # Running attempts first: an older ended attempt of the same task must not queue
@@ -161,7 +163,7 @@
     for task in list(attributed.values()):
         if (task.id, task.attempt) not in present and task.id in core.table.live:
             _attach_absent(core, task, facts, now)
-    core.expected.pop(worker, None)
+    core.expected_workers.pop(worker, None)
     settle(core, now)
 
 
@@ -186,7 +188,7 @@
         return
     record = core.table.jobs.get(job.job_of(entry.task_id))
     index = task_table.task_index(entry.task_id)
-    if record is not None and index in record.held:
+    if record is not None and index in record.unconfirmed:
         started_at = now - entry.age_ms / 1000
         task = task_table.LiveTask(
             entry.task_id,
@@ -251,7 +253,7 @@
         _drop_orphans(core, state)
     core.index.remove(worker)
     core.shares.set_total(core.index.total())
-    core.expected.pop(worker, None)
+    core.expected_workers.pop(worker, None)
     for task in list(core.tasks_on.pop(worker, {}).values()):
         if task.id in core.table.live:
             attempt.lost(core, task, f"worker {worker} was lost", now)
@@ -267,12 +269,12 @@
 def settle(core: lifecycle.Lifecycle, now: float) -> None:
     """Queue the restored tasks that no worker can be running any more."""
     count_possible_use(core)
-    if core.expected:
+    if core.expected_workers:
         return
-    for job_id in sorted(core.held_jobs):
+    for job_id in sorted(core.unconfirmed_jobs):
         record = core.table.jobs[job_id]
-        held = sorted(record.held)
-        record.held.clear()
+        held = sorted(record.unconfirmed)
+        record.unconfirmed.clear()
         # An attempt may have run and failed before the takeover, so these tasks
         # can no longer end as "not run".
         record.ran.update(held)
@@ -280,16 +282,16 @@
             continue
         if record.cancelled:
             core.end_waiting(record, lifecycle.FAILED_CANCELLED, now)
-        elif record.gang_breaking:
-            gang.break_up(core, record, record.gang_breaking, now)
+        elif record.gang_stop_reason:
+            gang.restart(core, record, record.gang_stop_reason, now)
         elif record.spec.kind is not job.Kind.GANG:
             core.enqueue(record, now, held)  # the others are queued already
         elif not record.live:
             core.queue.remove(job_id)
             core.enqueue(record, now)
         elif record.waiting_count():
-            gang.break_up(core, record, "members are missing after takeover", now)
-    core.held_jobs.clear()
+            gang.restart(core, record, "members are missing after takeover", now)
+    core.unconfirmed_jobs.clear()
 
 
 def count_possible_use(core: lifecycle.Lifecycle) -> None:
@@ -299,10 +301,10 @@
     bound is the capacity of the workers not yet attached: unlimited if unknown.
     """
     capacity = resources.ZERO
-    for amount in core.expected.values():
+    for amount in core.expected_workers.values():
         if amount is None:
             capacity = resources.UNLIMITED
             break
         capacity += amount
-    teams = {core.table.jobs[job_id].spec.team for job_id in core.held_jobs}
-    core.allowances.set_possible(dict.fromkeys(teams, capacity))
+    teams = {core.table.jobs[job_id].spec.team for job_id in core.unconfirmed_jobs}
+    core.allowances.set_unconfirmed(dict.fromkeys(teams, capacity))
--- a/toucanspring/scheduling/admission.py
+++ b/toucanspring/scheduling/admission.py
@@ -6,10 +6,10 @@
 from toucanspring.scheduling import effects, lifecycle, task_table
 
 # Without a new worker for so long, all workers of the partition are known.
-FLEET_SETTLED_S = 5.0
+WORKERS_SETTLED_S = 5.0
 
 
-def refusal(core: lifecycle.Lifecycle, spec: job.JobSpec) -> str:
+def rejection_reason(core: lifecycle.Lifecycle, spec: job.JobSpec) -> str:
     """Return why a job can never run, or an empty string."""
     demand = spec.demand
     if spec.task_count < 1:
@@ -40,7 +40,7 @@
             room += spec.demand.count_in(facts.capacity)
             if room >= needed:
                 return False
-    for worker, listed in (core.elsewhere or {}).items():
+    for worker, listed in (core.other_partition_workers or {}).items():
         if worker in core.known_workers:
             continue  # was here before it moved
         if not zones or listed.availability_zone in zones:
@@ -52,7 +52,7 @@
     return True
 
 
-def know_worker(
+def register_worker(
     core: lifecycle.Lifecycle, facts: effects.WorkerFacts, now: float
 ) -> None:
     """Remember a worker's capacity."""
@@ -61,13 +61,17 @@
     core.known_workers[facts.worker] = facts
 
 
-def refuse_too_large(core: lifecycle.Lifecycle, now: float) -> None:
+def reject_too_large(core: lifecycle.Lifecycle, now: float) -> None:
     """End the jobs that no set of workers has room for, once all are known."""
-    if not core.too_large or core.expected or core.elsewhere is None:
+    if (
+        not core.too_large
+        or core.expected_workers
+        or core.other_partition_workers is None
+    ):
         return
-    if not (core.known_workers or core.elsewhere):
+    if not (core.known_workers or core.other_partition_workers):
         return
-    if now - core.new_worker_at < FLEET_SETTLED_S:
+    if now - core.new_worker_at < WORKERS_SETTLED_S:
         return
     job_ids, core.too_large = core.too_large, set()
     for job_id in sorted(job_ids):
@@ -83,12 +87,12 @@
     record = core.table.add(spec, now)
     if record is None:
         return
-    if reason := refusal(core, spec):
+    if reason := rejection_reason(core, spec):
         core.end_waiting(record, job.Outcome(job.State.NOT_RUN, reason), now)
         return
-    if core.elsewhere is None or is_too_large(core, spec):
+    if core.other_partition_workers is None or is_too_large(core, spec):
         core.too_large.add(spec.id)
-        refuse_too_large(core, now)
+        reject_too_large(core, now)
     if record.outcome is None and wait_for_dependencies(core, record, now):
         core.enqueue(record, now)
 
--- a/toucanspring/scheduling/allowance.py
+++ b/toucanspring/scheduling/allowance.py
@@ -2,7 +2,7 @@
 
 The row `allowances/<team>` holds one part per partition. `resize` computes the
 next row; its result depends on absolute targets, so repeating a request whose
-answer was lost changes nothing. `Ledger` tracks what one partition holds and uses.
+answer was lost changes nothing. `AllowanceTracker` tracks what one partition holds and uses.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 RETURN_AFTER_S = 5.0  # unused for so long before it is given back
 CONTENDED_RETURN_AFTER_S = 0.5  # the same while other partitions want more
-RETRY_S = 1.0  # a request without answer is repeated
-CHUNKS = 16  # requests ask for up to this fraction of the ceiling
+REQUEST_RETRY_S = 1.0  # a request without answer is repeated
+CHUNKS_PER_CEILING = 16  # requests ask for up to this fraction of the ceiling
 
 Amount = team_allowance.Amount
 ZERO = team_allowance.ZERO
@@ -35,7 +35,7 @@
     wants: dict[int, resources.Resources] = {}
 
 
-def limit_of(
+def contended_limit(
     row: Row, partition: int, ceiling: resources.Resources
 ) -> resources.Resources | None:
     """Return what a partition may hold while others want more; None if none does.
@@ -65,7 +65,7 @@
     )
 
 
-def _tuple(amount: resources.Resources) -> Amount:
+def _as_tuple(amount: resources.Resources) -> Amount:
     return (amount.cpus, amount.memory, amount.accelerators)
 
 
@@ -102,9 +102,12 @@
     keys = sorted(set(row.parts) | {partition})
     columns = []
     for present, want, limit in zip(
-        zip(*(_tuple(row.parts.get(key, resources.ZERO)) for key in keys), strict=True),
-        _tuple(target),
-        _tuple(ceiling),
+        zip(
+            *(_as_tuple(row.parts.get(key, resources.ZERO)) for key in keys),
+            strict=True,
+        ),
+        _as_tuple(target),
+        _as_tuple(ceiling),
         strict=True,
     ):
         fixed = sum(v for k, v in zip(keys, present, strict=True) if k in ownerless)
@@ -128,25 +131,25 @@
     )
 
 
-class Ledger:
+class AllowanceTracker:
     """Track what one partition holds and uses of each team's ceiling."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, team_allowance.Account] = {}
+        self._accounts: dict[str, team_allowance.TeamAllowance] = {}
         self._active: set[str] = set()  # all others hold, use and ask for nothing
         # Amounts that waiting work needs: all of it, and the least that helps.
-        self._short: dict[str, tuple[Amount, Amount]] = {}
+        self._shortages: dict[str, tuple[Amount, Amount]] = {}
 
-    def _account(self, team: str) -> team_allowance.Account:
+    def _account(self, team: str) -> team_allowance.TeamAllowance:
         account = self._accounts.get(team)
         if account is None:
-            account = self._accounts[team] = team_allowance.Account()
+            account = self._accounts[team] = team_allowance.TeamAllowance()
         return account
 
     def set_ceilings(self, ceilings: Mapping[str, resources.Resources]) -> None:
         """Set the ceilings in force; a team not named keeps its last one."""
         for team, ceiling in ceilings.items():
-            limits = _tuple(ceiling)
+            limits = _as_tuple(ceiling)
             account = self._account(team)
             account.ceiling = None if limits == UNLIMITED else limits
 
@@ -154,13 +157,13 @@
         """Set what the rows give to this partition."""
         for team, amount in held.items():
             account = self._account(team)
-            value = _tuple(amount)
+            value = _as_tuple(amount)
             changed, account.held = value != account.held, value
             if value != ZERO:
                 self._active.add(team)
-            if not account.known:
-                account.known = True
-                account.peak, account.since = account.used, now
+            if not account.row_read:
+                account.row_read = True
+                account.peak, account.peak_since = account.used, now
             if account.target is None:
                 continue
             if account.returning:
@@ -171,15 +174,15 @@
             if answered:
                 account.target = None
                 account.returning = False
-                account.peak, account.since = account.used, now
+                account.peak, account.peak_since = account.used, now
 
     def set_limits(self, limits: Mapping[str, resources.Resources]) -> None:
         """Set what may be held of ceilings of which other partitions want more."""
         for team, account in self._accounts.items():
             limit = limits.get(team)
-            account.limit = None if limit is None else _tuple(limit)
+            account.limit = None if limit is None else _as_tuple(limit)
 
-    def room(self, team: str, demand: resources.Resources) -> int:
+    def max_starts(self, team: str, demand: resources.Resources) -> int:
         """Return how many times `demand` may start within the allowance."""
         account = self._account(team)
         ceiling = account.ceiling
@@ -191,7 +194,7 @@
             needs,
             ceiling,
             account.usable(),
-            map(int.__add__, account.used, account.possible),
+            map(int.__add__, account.used, account.unconfirmed),
             UNLIMITED,
             strict=True,
         ):
@@ -229,7 +232,7 @@
         """Return what is used beyond the part held, after a ceiling was lowered."""
         account = self._account(team)
         # Most teams run nothing in most partitions, and this is asked often.
-        if account.used == ZERO or account.ceiling is None or not account.known:
+        if account.used == ZERO or account.ceiling is None or not account.row_read:
             return resources.ZERO
         return resources.Resources(
             *(
@@ -244,23 +247,23 @@
         """Return the teams that may hold, use or ask for something."""
         return sorted(self._active)
 
-    def set_possible(self, amounts: Mapping[str, resources.Resources]) -> None:
+    def set_unconfirmed(self, amounts: Mapping[str, resources.Resources]) -> None:
         """Set what teams may be using on workers that cannot be asked yet."""
         for team, account in self._accounts.items():
             if team not in amounts:
-                account.possible = ZERO
+                account.unconfirmed = ZERO
         for team, amount in amounts.items():
-            self._account(team).possible = _tuple(amount)
+            self._account(team).unconfirmed = _as_tuple(amount)
             self._active.add(team)
 
-    def want(
+    def report_shortage(
         self, team: str, amount: resources.Resources, least: resources.Resources
     ) -> None:
         """Note that work of size `amount` waits only for allowance."""
-        present, floor = self._short.get(team, (ZERO, ZERO))
-        self._short[team] = (
-            tuple(map(max, present, _tuple(amount))),
-            tuple(map(max, floor, _tuple(least))),
+        present, floor = self._shortages.get(team, (ZERO, ZERO))
+        self._shortages[team] = (
+            tuple(map(max, present, _as_tuple(amount))),
+            tuple(map(max, floor, _as_tuple(least))),
         )
 
     def step(
@@ -271,74 +274,74 @@
         With `all_teams` false, only teams whose work waits are looked at.
         """
         due = []
-        self._active.update(self._short)
-        for team in self.teams() if all_teams else list(self._short):
+        self._active.update(self._shortages)
+        for team in self.teams() if all_teams else list(self._shortages):
             account = self._accounts[team]
-            effect = self._next_effect(team, account, self._short.get(team), now)
+            effect = self._next_effect(team, account, self._shortages.get(team), now)
             if effect is not None:
                 due.append(effect)
             elif account.is_idle():
                 self._active.discard(team)
-        self._short.clear()
+        self._shortages.clear()
         return due
 
-    def is_timed(self) -> bool:
+    def has_timer(self) -> bool:
         """Return whether a request or a return may become due with time."""
-        return any(self._accounts[team].is_timed() for team in self._active)
+        return any(self._accounts[team].has_timer() for team in self._active)
 
     def _next_effect(
         self,
         team: str,
-        account: team_allowance.Account,
-        short: tuple[Amount, Amount] | None,
+        account: team_allowance.TeamAllowance,
+        shortage: tuple[Amount, Amount] | None,
         now: float,
     ) -> effects.RequestAllowance | effects.ReturnAllowance | None:
-        if account.ceiling is None or not account.known:
+        if account.ceiling is None or not account.row_read:
             # A target chosen before the row is read could be below the present part
             # and give away what running work uses.
             return None
         if account.target is not None:
-            if now - account.asked_at < RETRY_S:
+            if now - account.requested_at < REQUEST_RETRY_S:
                 return None
             if account.returning:
                 # Repeating is harmless, because the target is absolute.
-                return self._ask(team, account, account.target, now)
+                return self._request(team, account, account.target, now)
             account.target = None
         if account.limit is not None:
-            excess = self._contended_target(account, short is not None, now)
+            excess = self._contended_target(account, shortage is not None, now)
             if excess != account.held:
-                return self._ask(team, account, excess, now)
-        if short is not None:
-            target = self._target(account, short)
-            return self._ask(team, account, target, now, least=short[1])
-        if now - account.since < RETURN_AFTER_S:
+                return self._request(team, account, excess, now)
+        if shortage is not None:
+            target = self._requested_target(account, shortage)
+            return self._request(team, account, target, now, least=shortage[1])
+        if now - account.peak_since < RETURN_AFTER_S:
             return None
-        peak, account.peak, account.since = account.peak, account.used, now
-        needed = map(int.__add__, map(max, peak, account.used), account.possible)
+        peak, account.peak, account.peak_since = account.peak, account.used, now
+        needed = map(int.__add__, map(max, peak, account.used), account.unconfirmed)
         target = tuple(map(min, account.held, needed))
         if target != account.held:
-            return self._ask(team, account, target, now)
+            return self._request(team, account, target, now)
         return None
 
     @staticmethod
     def _contended_target(
-        account: team_allowance.Account, is_short: bool, now: float
+        account: team_allowance.TeamAllowance, has_shortage: bool, now: float
     ) -> Amount:
         """Return what to keep while others want more.
 
         What is above the limit goes at once. Within the limit a short pause keeps
         teams with short tasks from returning and asking again for each of them.
         """
-        used = tuple(map(int.__add__, account.used, account.possible))
+        used = tuple(map(int.__add__, account.used, account.unconfirmed))
         keep = tuple(map(max, used, account.limit))
-        if not is_short and now - account.since >= CONTENDED_RETURN_AFTER_S:
+        if not has_shortage and now - account.peak_since >= CONTENDED_RETURN_AFTER_S:
             keep = tuple(map(max, used, account.peak))
-            account.peak, account.since = account.used, now
+            account.peak, account.peak_since = account.used, now
         return tuple(map(min, account.held, keep))
 
     @staticmethod
-    def _target(
-        account: team_allowance.Account, short: tuple[Amount, Amount]
+    def _requested_target(
+        account: team_allowance.TeamAllowance, shortage: tuple[Amount, Amount]
     ) -> Amount:
         """Return what to hold: the amount that waits, but one chunk at a time."""
         limits = account.ceiling if account.limit is None else account.limit
@@ -346,11 +349,14 @@
             held
             if ceiling >= unlimited
             else max(
-                held, min(limit, used + max(least, min(amount, ceiling // CHUNKS)))
+                held,
+                min(
+                    limit, used + max(least, min(amount, ceiling // CHUNKS_PER_CEILING))
+                ),
             )
             for used, amount, least, held, limit, ceiling, unlimited in zip(
                 account.used,
-                *short,
+                *shortage,
                 account.held,
                 limits,
                 account.ceiling,
@@ -360,16 +366,16 @@
         )
 
     @staticmethod
-    def _ask(
+    def _request(
         team: str,
-        account: team_allowance.Account,
+        account: team_allowance.TeamAllowance,
         target: Amount,
         now: float,
         least: Amount = ZERO,
     ) -> effects.RequestAllowance | effects.ReturnAllowance | None:
         if target == account.held:
             return None
-        account.target, account.asked_at = target, now
+        account.target, account.requested_at = target, now
         goal = resources.Resources(*target)
         held = resources.Resources(*account.held)
         account.returning = any(map(int.__lt__, target, account.held))
--- a/toucanspring/scheduling/attempt.py
+++ b/toucanspring/scheduling/attempt.py
@@ -33,9 +33,9 @@
         task = core.table.live.get(end.task_id)
         if task is not None and task.worker == worker and task.attempt == end.attempt:
             record = core.table.jobs[task.job_id]
-            core.vacate(record, task, now)
-            _learn(core, record, worker, end, now)
-            _end(core, record, task, end, now)
+            core.release_task(record, task, now)
+            _record_observation(core, record, worker, end, now)
+            _handle_end(core, record, task, end, now)
             continue
         _report_unattributed(core, worker, end, now)
 
@@ -50,7 +50,7 @@
         del state.orphans[end.task_id]
         core.index.release(worker, orphan.demand)
         core.allowances.free(orphan.team, orphan.demand)
-        core.changed = True
+        core.placement_needed = True
     record = core.table.jobs.get(job.job_of(end.task_id))
     if record is None:
         return
@@ -59,20 +59,20 @@
         # The first record may not be durable yet. A worker that forgot the task
         # before would let a successor start it again, so the acknowledgement waits
         # for a second record.
-        core.effects.record(end.task_id, record.finals[index])
+        core.effects.record_outcome(end.task_id, record.finals[index])
         return
     # Keeps the number of the next attempt apart from reported ones.
     record.attempts[index] = max(record.attempts.get(index, 0), end.attempt)
-    if index in record.held:
-        record.held.discard(index)
+    if index in record.unconfirmed:
+        record.unconfirmed.discard(index)
         task = task_table.LiveTask(
             end.task_id, record.spec.id, index, end.attempt, worker=worker
         )
-        _learn(core, record, worker, end, now)
-        _end(core, record, task, end, now)
+        _record_observation(core, record, worker, end, now)
+        _handle_end(core, record, task, end, now)
 
 
-def _learn(
+def _record_observation(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     worker: str,
@@ -88,19 +88,19 @@
     if ok:
         core.estimator.observe(spec.name, spec.team, spec.demand, end.usage, seconds)
     avoidance.record_end(core, record, worker, ok, seconds, now)
-    before = core.quarantine.allows(worker, now)
-    core.quarantine.record(worker, spec.id, ok, seconds, now)
-    after = core.quarantine.allows(worker, now)
+    before = core.quarantine.eligibility(worker, now)
+    core.quarantine.record_result(worker, spec.id, ok, seconds, now)
+    after = core.quarantine.eligibility(worker, now)
     if after is before:
         return
     core.update_schedulable(worker, now)
-    if before is quarantine.Verdict.YES:
+    if before is quarantine.Eligibility.YES:
         core.effects.publish(event_kinds.WorkerQuarantined(worker))
-    elif after is quarantine.Verdict.YES:
+    elif after is quarantine.Eligibility.YES:
         core.effects.publish(event_kinds.WorkerReleased(worker))
 
 
-def _end(
+def _handle_end(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     task: task_table.LiveTask,
@@ -109,7 +109,7 @@
 ) -> None:
     """Decide what follows the end of an attempt that ran."""
     spec, index = record.spec, task.index
-    stopped = task.stop_reason or record.gang_breaking
+    stopped = task.stop_reason or record.gang_stop_reason
     if end.state == "done" and (spec.kind is not job.Kind.SERVICE or record.cancelled):
         outcome = task_table.DONE
         if end.answer:
@@ -141,10 +141,10 @@
 ) -> None:
     failures = record.failures.setdefault(task.index, [])
     failures.append(task.worker)
-    bad = set(core.quarantine.quarantined())
-    counted = sum(1 for worker in failures if worker not in bad)
+    quarantined = set(core.quarantine.quarantined())
+    counted = sum(1 for worker in failures if worker not in quarantined)
     retries = record.spec.retries
-    if counted > retries or len(failures) > retries + lifecycle.UNCOUNTED_FAILURES:
+    if counted > retries or len(failures) > retries + lifecycle.MAX_UNCOUNTED_FAILURES:
         core.finalize(record, task.index, job.Outcome(job.State.FAILED, reason), now)
         return
     core.requeue(record, task.index, now, retry_delay(core, len(failures)), reason)
@@ -163,7 +163,9 @@
     delay = 0.0
     if not task.stop_reason and end.state != "checkpointed":
         failures.append(task.worker)
-        del failures[: -lifecycle.UNCOUNTED_FAILURES]  # only the delay depends on it
+        del failures[
+            : -lifecycle.MAX_UNCOUNTED_FAILURES
+        ]  # only the delay depends on it
         delay = retry_delay(core, len(failures))
     core.requeue(record, task.index, now, delay)
 
@@ -174,7 +176,9 @@
     return min(lifecycle.RETRY_MAX_S, delay) * core.rng.uniform(0.8, 1.2)
 
 
-def accepted(core: lifecycle.Lifecycle, worker: str, task_ids: Iterable[str]) -> None:
+def starts_accepted(
+    core: lifecycle.Lifecycle, worker: str, task_ids: Iterable[str]
+) -> None:
     """Mark tasks as running."""
     state = core.workers.get(worker)
     if state is not None:
@@ -186,7 +190,7 @@
             task.state = running
 
 
-def refused(
+def starts_refused(
     core: lifecycle.Lifecycle,
     worker: str,
     refusals: Iterable[tuple[str, str]],
@@ -209,7 +213,7 @@
         ):
             continue
         record = core.table.jobs[task.job_id]
-        core.vacate(record, task, now)
+        core.release_task(record, task, now)
         core.requeue(record, task.index, now, reason=f"start refused: {reason}")
 
 
@@ -217,7 +221,7 @@
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
     """Send the starts whose intents are in the log, unless something changed."""
-    for task in _intended(core, intents):
+    for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
         state = core.workers.get(task.worker)
         usable = (
@@ -229,9 +233,9 @@
         )
         if usable:
             task.state = job.State.STARTING
-            core.effects.start(task.worker, [core.message(record, task)])
+            core.effects.start(task.worker, [core.start_message(record, task)])
         else:
-            core.vacate(record, task, now)
+            core.release_task(record, task, now)
             core.requeue(record, task.index, now, reason="worker is no longer usable")
 
 
@@ -239,14 +243,14 @@
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
     """Queue tasks again whose intents were not written; none was sent."""
-    for task in _intended(core, intents):
+    for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
-        core.vacate(record, task, now)
+        core.release_task(record, task, now)
         delay = lifecycle.RETRY_FIRST_S
         core.requeue(record, task.index, now, delay, "the intent was not written")
 
 
-def _intended(
+def _matching_intents(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent]
 ) -> Iterator[task_table.LiveTask]:
     """Yield the tasks that still wait for exactly these intents."""
@@ -264,7 +268,7 @@
 def never_ran(core: lifecycle.Lifecycle, task: task_table.LiveTask, now: float) -> None:
     """Queue a task again that the worker certainly never started nor will start."""
     record = core.table.jobs[task.job_id]
-    core.vacate(record, task, now)
+    core.release_task(record, task, now)
     core.requeue(record, task.index, now, reason="the start did not reach the worker")
 
 
@@ -274,13 +278,13 @@
     """End an attempt whose worker is gone: it may have run, and runs no more."""
     record = core.table.jobs[task.job_id]
     index = task.index
-    core.vacate(record, task, now)
-    follows = after_loss(task.state, record.spec.idempotent)
-    if follows == "never_ran":
+    core.release_task(record, task, now)
+    disposition = after_loss(task.state, record.spec.idempotent)
+    if disposition == "never_ran":
         core.requeue(record, index, now, reason=reason)
         return
     record.ran.add(index)
-    if follows == "unknown":
+    if disposition == "unknown":
         core.finalize(record, index, job.Outcome(job.State.UNKNOWN, reason), now)
         return
     record.losses[index] = losses = record.losses.get(index, 0) + 1
--- a/toucanspring/scheduling/collector.py
+++ b/toucanspring/scheduling/collector.py
@@ -27,15 +27,15 @@
         """Add a stop on a worker."""
         self._stops.setdefault((worker, mode), []).append(task_id)
 
-    def intend(self, intent: effects.Intent) -> None:
+    def record_intent(self, intent: effects.Intent) -> None:
         """Add an intent to the log."""
         self._intents.append(intent)
 
-    def record(self, task_id: str, outcome: job.Outcome) -> None:
+    def record_outcome(self, task_id: str, outcome: job.Outcome) -> None:
         """Add a task outcome to the log."""
         self._outcomes[task_id] = outcome
 
-    def finish(self, job_id: str, outcome: job.Outcome) -> None:
+    def finish_job(self, job_id: str, outcome: job.Outcome) -> None:
         """Add the end of a job."""
         self._finished.append(effects.JobFinished(job_id, outcome))
 
--- a/toucanspring/scheduling/decisions.py
+++ b/toucanspring/scheduling/decisions.py
@@ -4,11 +4,11 @@
 
 import collections
 
-JOBS_KEPT = 10_000
-PLACEMENTS_KEPT = 32  # latest placements kept for each job
+MAX_JOBS = 10_000
+MAX_PLACEMENTS = 32  # latest placements kept for each job
 
 
-class Record:
+class JobDecisions:
     """Hold the last decisions about one job."""
 
     __slots__ = ("placements", "rank", "rejected", "waits_for")
@@ -23,24 +23,26 @@
 class Decisions:
     """Keep the last decisions about the jobs considered most recently."""
 
-    def __init__(self, limit: int = JOBS_KEPT) -> None:
-        self._records: collections.OrderedDict[str, Record] = collections.OrderedDict()
+    def __init__(self, limit: int = MAX_JOBS) -> None:
+        self._records: collections.OrderedDict[str, JobDecisions] = (
+            collections.OrderedDict()
+        )
         self._limit = limit
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def _record(self, job_id: str) -> Record:
+    def _record(self, job_id: str) -> JobDecisions:
         record = self._records.get(job_id)
         if record is None:
-            record = self._records[job_id] = Record()
+            record = self._records[job_id] = JobDecisions()
             if len(self._records) > self._limit:
                 self._records.popitem(last=False)
         else:
             self._records.move_to_end(job_id)
         return record
 
-    def wait(
+    def record_wait(
         self,
         job_id: str,
         rank: int,
@@ -53,7 +55,7 @@
         record.waits_for = [waits_for]
         record.rejected = rejected or {}
 
-    def place(
+    def record_placement(
         self, job_id: str, rank: int, task_ids: list[str], worker: str, reason: str
     ) -> None:
         """Record where tasks of a job were started, and why there."""
@@ -62,12 +64,12 @@
         record.waits_for = []
         record.rejected = {}
         placements = record.placements
-        for task_id in task_ids[-PLACEMENTS_KEPT:]:
+        for task_id in task_ids[-MAX_PLACEMENTS:]:
             placements.pop(task_id, None)
             placements[task_id] = f"{worker}: {reason}"
-        while len(placements) > PLACEMENTS_KEPT:
+        while len(placements) > MAX_PLACEMENTS:
             del placements[next(iter(placements))]
 
-    def find(self, job_id: str) -> Record:
+    def find(self, job_id: str) -> JobDecisions:
         """Return what is known of a job; an empty record if nothing is."""
-        return self._records.get(job_id) or Record()
+        return self._records.get(job_id) or JobDecisions()
--- a/toucanspring/scheduling/dispatch.py
+++ b/toucanspring/scheduling/dispatch.py
@@ -18,16 +18,18 @@
     waiting,
 )
 
-CHUNK = 64  # tasks of one team started before the teams are ranked again
+TEAM_BATCH = 64  # tasks of one team started before the teams are ranked again
 STARTS_PER_TICK = 512  # bounds the time of one tick to a few tens of milliseconds
-GROUPS_PER_TEAM = 64  # jobs without room that are looked at for each team and tick
+MAX_UNPLACED_GROUPS = 64  # jobs without room that are looked at for each team and tick
 # Of these, so many are the first ones in each tick. The others move on through the
 # queue from tick to tick as long as none of the team starts, so that no job waits
 # behind many that find no room; after a start the order of service counts again.
-FIRST_GROUPS = 32
-BLOCKED_KEPT = 256  # jobs without room that preemption looks at
-SIZE_REASONS = frozenset({"cpus", "memory"})
-IDLE_S = 1.0  # without changes, waiting work is looked at again after so long
+HEAD_GROUPS = 32
+MAX_BLOCKED_JOBS = 256  # jobs without room that preemption looks at
+CAPACITY_REASONS = frozenset({"cpus", "memory"})
+RESCAN_INTERVAL_S = (
+    1.0  # without changes, waiting work is looked at again after so long
+)
 
 
 class Dispatcher:
@@ -35,31 +37,33 @@
 
     def __init__(self, core: lifecycle.Lifecycle) -> None:
         self._core = core
-        self._next_look = 0.0
+        self._next_scan = 0.0
         self._groups: dict[str, Iterator[waiting.Group]] = {}
-        self._lacks_size = False  # a group found no worker with enough free
-        self._passed: dict[str, int] = {}  # groups after the first ones, by team
-        self._started: set[str] = set()  # teams that started tasks in the last tick
+        self._lacks_capacity = False  # a group found no worker with enough free
+        self._scan_offsets: dict[str, int] = {}  # groups after the first ones, by team
+        self._started_teams: set[str] = (
+            set()
+        )  # teams that started tasks in the last tick
         # Jobs that found no room when they were last looked at, by ID.
         self.blocked: dict[str, task_table.JobRecord] = {}
 
     def place(self, now: float) -> int:
         """Start what can start; return the number of tasks."""
         core = self._core
-        if not core.changed and now < self._next_look:
+        if not core.placement_needed and now < self._next_scan:
             return 0
-        core.changed = False
-        self._next_look = now + IDLE_S
+        core.placement_needed = False
+        self._next_scan = now + RESCAN_INTERVAL_S
         self.blocked = {
             job_id: record
             for job_id, record in self.blocked.items()
             if job_id in core.queue
         }
         self._groups = {}
-        for team in self._started:
-            self._passed.pop(team, None)
-        self._started.clear()
-        gang.expire(core, now)
+        for team in self._started_teams:
+            self._scan_offsets.pop(team, None)
+        self._started_teams.clear()
+        gang.expire_reservations(core, now)
         candidates = set(core.queue.teams())
         no_room: set[tuple] = set()
         started = 0
@@ -73,19 +77,19 @@
             for rank, team in enumerate(ranked, 1):
                 if team not in candidates:
                     continue
-                self._lacks_size = False
+                self._lacks_capacity = False
                 progress = self._place_team(team, rank, no_room, now, team in yielding)
                 if progress:
                     break
                 candidates.discard(team)
-                if self._lacks_size and not yielding:
+                if self._lacks_capacity and not yielding:
                     yielding = self._yielding(team, waiting_teams, now)
             started += progress
             if not progress:
                 break
             candidates &= set(core.queue.teams())
         if started >= STARTS_PER_TICK:
-            core.changed = True  # the rest follows in the next tick
+            core.placement_needed = True  # the rest follows in the next tick
         return started
 
     def _yielding(self, team: str, waiting: frozenset[str], now: float) -> set[str]:
@@ -96,7 +100,7 @@
         return shares.yielding(waiting, now)
 
     def _place_team(
-        self, team: str, rank: int, no_room: set, now: float, only_pressing: bool
+        self, team: str, rank: int, no_room: set, now: float, only_preempting: bool
     ) -> int:
         # One iterator for the whole tick, since creating one costs time in
         # proportion to the number of waiting jobs.
@@ -104,19 +108,19 @@
         if groups is None:
             groups = self._groups[team] = self._next_groups(team, now)
         started = 0
-        without_room = 0
+        unplaced = 0
         for group in groups:
-            if only_pressing and not self._is_pressing(group.spec.id, now):
+            if only_preempting and not self._may_preempt(group.spec.id, now):
                 self._groups[team] = itertools.chain([group], groups)
                 break
-            placed = self._place_group(group, CHUNK - started, rank, no_room, now)
+            placed = self._place_group(group, TEAM_BATCH - started, rank, no_room, now)
             started += placed
-            without_room += not placed
+            unplaced += not placed
             if placed:
-                self._started.add(team)
+                self._started_teams.add(team)
             if placed and group.indices:
                 self._groups[team] = itertools.chain([group], groups)
-            if started >= CHUNK or without_room >= GROUPS_PER_TEAM:
+            if started >= TEAM_BATCH or unplaced >= MAX_UNPLACED_GROUPS:
                 break
         return started
 
@@ -126,71 +130,75 @@
         Those for which running work was stopped are the very first: far back in the
         queue they would not be looked at before their reservation ends.
         """
-        skipped_until = FIRST_GROUPS + self._passed.pop(team, 0)
+        skipped_until = HEAD_GROUPS + self._scan_offsets.pop(team, 0)
         queue = self._core.queue
-        served = {
-            job_id for job_id in self._core.reservations if self._has_room(job_id)
+        freed = {
+            job_id for job_id in self._core.reservations if self._has_freed_room(job_id)
         }
-        for job_id in sorted(served):
+        for job_id in sorted(freed):
             group = queue.find(job_id)
             if group is not None and group.spec.team == team:
                 yield group
         for position, group in enumerate(queue.next_groups(team, now)):
-            if FIRST_GROUPS <= position < skipped_until or group.spec.id in served:
+            if HEAD_GROUPS <= position < skipped_until or group.spec.id in freed:
                 continue
-            if position >= FIRST_GROUPS:
-                self._passed[team] = position + 1 - FIRST_GROUPS
+            if position >= HEAD_GROUPS:
+                self._scan_offsets[team] = position + 1 - HEAD_GROUPS
             yield group
-        self._passed.pop(team, None)  # all were seen; the next tick begins again
+        self._scan_offsets.pop(team, None)  # all were seen; the next tick begins again
 
-    def _is_pressing(self, job_id: str, now: float) -> bool:
+    def _may_preempt(self, job_id: str, now: float) -> bool:
         """Return whether a job may stop others, and so need not yield to them."""
         record = self._core.table.jobs[job_id]
-        return self._has_room(job_id) or preemption.is_pressing(self._core, record, now)
+        return self._has_freed_room(job_id) or preemption.may_preempt(
+            self._core, record, now
+        )
 
-    def _has_room(self, job_id: str) -> bool:
+    def _has_freed_room(self, job_id: str) -> bool:
         """Return whether running work was stopped for a job."""
         held = self._core.reservations.get(job_id)
-        return held is not None and held.making_room
+        return held is not None and held.by_preemption
 
     def _place_group(
         self, group: waiting.Group, limit: int, rank: int, no_room: set, now: float
     ) -> int:
         core, spec = self._core, group.spec
         record = core.table.jobs[spec.id]
-        together = spec.kind is job.Kind.GANG
-        count = len(group) if together else min(len(group), limit)
+        is_gang = spec.kind is job.Kind.GANG
+        count = len(group) if is_gang else min(len(group), limit)
         demand = core.demand(spec)
-        room = core.allowances.room(spec.team, demand)
-        if room < (count if together else 1):
+        room = core.allowances.max_starts(spec.team, demand)
+        if room < (count if is_gang else 1):
             needed = demand.times(len(group))
-            least = demand.times(count) if together else demand
-            core.allowances.want(spec.team, needed, least)
-            core.decisions.wait(spec.id, rank, "allowance below the team's ceiling")
+            least = demand.times(count) if is_gang else demand
+            core.allowances.report_shortage(spec.team, needed, least)
+            core.decisions.record_wait(
+                spec.id, rank, "allowance below the team's ceiling"
+            )
             return 0
-        avoided = avoidance.avoided(core, record, demand, now)
-        excluded = gang.excluded_for(core, spec, now) | avoided
-        shape = (demand, spec.availability_zones, excluded, together and count)
-        if shape in no_room:
-            return self._note_no_room(record, rank, placement.NoRoom({}))
+        avoided = avoidance.avoided_workers(core, record, demand, now)
+        excluded = gang.excluded_workers(core, spec, now) | avoided
+        placement_key = (demand, spec.availability_zones, excluded, is_gang and count)
+        if placement_key in no_room:
+            return self._record_no_room(record, rank, placement.NoRoom({}))
         if room < count:
-            core.allowances.want(spec.team, demand.times(count), demand)
+            core.allowances.report_shortage(spec.team, demand.times(count), demand)
             count = room
         constraints = self._constraints(record, excluded, avoided)
-        if together:
+        if is_gang:
             chosen = gang.place(core, record, demand, constraints)
             if isinstance(chosen, placement.NoRoom):
                 gang.reserve(core, spec, count, demand, avoided, now)
-                no_room.add(shape)
-                return self._note_no_room(record, rank, chosen)
+                no_room.add(placement_key)
+                return self._record_no_room(record, rank, chosen)
         else:
             found = core.index.choose_many(demand, count, constraints)
             if not found:
                 rejected = placement.NoRoom(core.index.explain(demand, constraints))
-                no_room.add(shape)
-                return self._note_no_room(record, rank, rejected)
+                no_room.add(placement_key)
+                return self._record_no_room(record, rank, rejected)
             chosen = [
-                (worker, core.queue.take(spec.id, self._share(worker, share, now)))
+                (worker, core.queue.take(spec.id, self._task_limit(worker, share, now)))
                 for worker, share in found
             ]
         self.blocked.pop(spec.id, None)
@@ -198,21 +206,21 @@
         for worker, indices in chosen:
             core.start(record, worker, indices, demand, now)
             ids = [f"{spec.id}/{index}" for index in indices[-8:]]
-            core.decisions.place(spec.id, rank, ids, worker, "best fit")
+            core.decisions.record_placement(spec.id, rank, ids, worker, "best fit")
             started += len(indices)
         return started
 
-    def _share(self, worker: str, share: int, now: float) -> int:
-        verdict = self._core.quarantine.allows(worker, now)
-        return 1 if verdict is quarantine.Verdict.PROBE else share
+    def _task_limit(self, worker: str, share: int, now: float) -> int:
+        verdict = self._core.quarantine.eligibility(worker, now)
+        return 1 if verdict is quarantine.Eligibility.PROBE else share
 
-    def _note_no_room(
+    def _record_no_room(
         self, record: task_table.JobRecord, rank: int, rejected: placement.NoRoom
     ) -> int:
-        if not SIZE_REASONS.isdisjoint(rejected.rejected):
-            self._lacks_size = True
+        if not CAPACITY_REASONS.isdisjoint(rejected.rejected):
+            self._lacks_capacity = True
         if record.spec.id not in self.blocked:
-            if len(self.blocked) >= BLOCKED_KEPT:
+            if len(self.blocked) >= MAX_BLOCKED_JOBS:
                 del self.blocked[next(iter(self.blocked))]
             self.blocked[record.spec.id] = record
         self._core.decisions.wait(record.spec.id, rank, "room", rejected.rejected)
--- a/toucanspring/scheduling/draining.py
+++ b/toucanspring/scheduling/draining.py
@@ -38,8 +38,8 @@
     return (
         record.spec.kind is job.Kind.GANG
         and record.spec.job_class is job.JobClass.DEADLINE
-        and not held.making_room
-        and not held.weighed
+        and not held.by_preemption
+        and not held.cost_compared
         and held.idle_cost > 0.0
     )
 
@@ -77,7 +77,7 @@
 ) -> bool:
     """Return whether the waiting tasks of a job keep its team within its share."""
     team = record.spec.team
-    targets = core.shares.targets(core.using_teams() | set(core.queue.teams()))
+    targets = core.shares.targets(core.running_teams() | set(core.queue.teams()))
     use = core.shares.use(team) + demand.times(record.waiting_count())
     return use.dominant(core.index.total()) <= targets.get(team, 0.0)
 
--- a/toucanspring/scheduling/estimate.py
+++ b/toucanspring/scheduling/estimate.py
@@ -24,7 +24,7 @@
 class Samples:
     """Hold the latest observations for one name of a team."""
 
-    __slots__ = ("cached", "cpus", "memory", "run_seconds")
+    __slots__ = ("cached_quantiles", "cpus", "memory", "run_seconds")
 
     def __init__(self) -> None:
         self.cpus: collections.deque[int] = collections.deque(maxlen=MAX_SAMPLES)
@@ -32,17 +32,17 @@
         self.run_seconds: collections.deque[float] = collections.deque(
             maxlen=MAX_SAMPLES
         )
-        self.cached: tuple[int, int, float] | None = None
+        self.cached_quantiles: tuple[int, int, float] | None = None
 
-    def high(self) -> tuple[int, int, float]:
+    def quantiles(self) -> tuple[int, int, float]:
         """Return high quantiles of processors, memory and run time."""
-        if self.cached is None:
-            self.cached = (
+        if self.cached_quantiles is None:
+            self.cached_quantiles = (
                 quantile(self.cpus, SIZE_QUANTILE),
                 quantile(self.memory, SIZE_QUANTILE),
                 quantile(self.run_seconds, RUN_QUANTILE),
             )
-        return self.cached
+        return self.cached_quantiles
 
 
 def quantile(values: collections.deque, fraction: float) -> float:
@@ -76,7 +76,7 @@
         samples = self._samples_of(name, team)
         _add_size(samples, declared, usage)
         samples.run_seconds.append(run_seconds)
-        samples.cached = None
+        samples.cached_quantiles = None
 
     def _samples_of(self, name: str, team: str) -> Samples:
         key = (team, name)
@@ -98,7 +98,7 @@
         """Record the usage of a task that still runs."""
         samples = self._samples_of(name, team)
         _add_size(samples, declared, usage)
-        samples.cached = None
+        samples.cached_quantiles = None
 
     def demand(self, spec: job.JobSpec) -> resources.Resources:
         """Return the amount to hold for one task.
@@ -109,12 +109,12 @@
         samples = self._samples.get((spec.team, spec.name))
         if samples is None or not samples.cpus:
             return declared
-        cpus, memory, _ = samples.high()
-        cpus = _bound(declared.cpus, math.ceil(cpus * HEADROOM))
-        memory = _bound(declared.memory, math.ceil(memory * HEADROOM))
+        cpus, memory, _ = samples.quantiles()
+        cpus = _cap_learned(declared.cpus, math.ceil(cpus * HEADROOM))
+        memory = _cap_learned(declared.memory, math.ceil(memory * HEADROOM))
         if len(samples.cpus) < MIN_SAMPLES:
-            cpus = _between(declared.cpus, cpus)
-            memory = _between(declared.memory, memory)
+            cpus = _raise_declared(declared.cpus, cpus)
+            memory = _raise_declared(declared.memory, memory)
         return resources.Resources(cpus, memory, declared.accelerators)
 
     def run_seconds(self, spec: job.JobSpec) -> float:
@@ -122,7 +122,7 @@
         samples = self._samples.get((spec.team, spec.name))
         if samples is None:
             return spec.run_seconds
-        seconds = samples.high()[2]
+        seconds = samples.quantiles()[2]
         if len(samples.run_seconds) < MIN_SAMPLES:
             return max(seconds, spec.run_seconds)
         return seconds
@@ -143,11 +143,11 @@
         samples.memory.append(usage.memory or declared.memory)
 
 
-def _between(declared: int, observed: int) -> int:
+def _raise_declared(declared: int, observed: int) -> int:
     """Raise a declared size to the observed one, within the bound."""
     return max(declared, min(observed, int(declared * MAX_OF_DECLARED)))
 
 
-def _bound(declared: int, learned: int) -> int:
+def _cap_learned(declared: int, learned: int) -> int:
     """Bound a learned size by a multiple of the declared one."""
     return min(learned, int(declared * MAX_LEARNED_OF_DECLARED))
--- a/toucanspring/scheduling/fairness.py
+++ b/toucanspring/scheduling/fairness.py
@@ -13,18 +13,18 @@
 
 from toucanspring import resources
 
-ROUNDING = 1e-9  # of sums of shares
+ROUNDING_ERROR = 1e-9  # of sums of shares
 # Time in which a team should get back what it missed. Measured with bench.share:
 # shorter times overshoot, longer ones and none at all leave large tasks behind.
-REPAY_S = 1.5
+DEFICIT_RECOVERY_S = 1.5
 # Bound on what is repaid at once, as a multiple of the target, so that a team that
 # missed much does not fill the cell with long tasks.
-MAX_REPAY = 1.0
+MAX_CORRECTION = 1.0
 # A team this far above its target, as a fraction of it, yields to blocked teams.
 YIELD_ABOVE = 0.25
 # With a larger part of the cell idle, no team yields: what keeps a blocked team from
 # starting is then not the use by others.
-MAX_IDLE = 0.1
+MAX_IDLE_FRACTION = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     ceiling: resources.Resources = resources.UNLIMITED
 
 
-class Account:
+class TeamUsage:
     """Hold the use of one team, now and averaged over the recent past."""
 
     __slots__ = (
@@ -60,7 +60,7 @@
         self.updated_at = now
 
 
-class Ledger:
+class ShareTracker:
     """Record the use of teams and compare it with their targets.
 
     Shares and targets are fractions of the cell: the use of a team is its
@@ -69,11 +69,11 @@
 
     def __init__(self, teams: Iterable[Team], window_s: float = 60.0) -> None:
         self._teams = {team.name: team for team in teams}
-        self._accounts: dict[str, Account] = {}
+        self._accounts: dict[str, TeamUsage] = {}
         self._window_s = window_s
         self._total = resources.ZERO
-        self._ranked_at = 0.0
-        self._demanding: frozenset[str] = frozenset()  # active when last ranked
+        self._deficits_updated_at = 0.0
+        self._last_active: frozenset[str] = frozenset()  # active when last ranked
 
     def set_teams(self, teams: Iterable[Team]) -> None:
         """Replace the teams; use by teams that are gone stays recorded."""
@@ -126,13 +126,13 @@
 
     def rank(self, active: Iterable[str], now: float) -> list[str]:
         """Return the active teams, the one most below its target first."""
-        lacks = self._lacks(active, now)
+        found = self._shortfalls_and_targets(active, now)
 
         def key(name: str) -> tuple:
-            lack, target = lacks[name]
-            return (-lack / target if target > 0 else math.inf, -lack, name)
+            shortfall, target = found[name]
+            return (-shortfall / target if target > 0 else math.inf, -shortfall, name)
 
-        return sorted(lacks, key=key)
+        return sorted(found, key=key)
 
     def shortfalls(self, active: Iterable[str], now: float) -> dict[str, float]:
         """Return what each active team lacks, in dominant share; negative if over.
@@ -140,7 +140,12 @@
         That is its target part of all use, less its own use, plus what it missed in
         the window.
         """
-        return {name: lack for name, (lack, _) in self._lacks(active, now).items()}
+        return {
+            name: shortfall
+            for name, (shortfall, _) in self._shortfalls_and_targets(
+                active, now
+            ).items()
+        }
 
     def yielding(self, active: Iterable[str], now: float) -> set[str]:
         """Return the teams that are to start nothing while a lower one is blocked.
@@ -152,35 +157,37 @@
         held = resources.ZERO
         for account in self._accounts.values():
             held += account.use
-        if held.dominant(self._total) < 1 - MAX_IDLE:
+        if held.dominant(self._total) < 1 - MAX_IDLE_FRACTION:
             return set()
         return {
             name
-            for name, (lack, target) in self._lacks(active, now).items()
-            if lack < -YIELD_ABOVE * target
+            for name, (shortfall, target) in self._shortfalls_and_targets(
+                active, now
+            ).items()
+            if shortfall < -YIELD_ABOVE * target
         }
 
-    def _lacks(
+    def _shortfalls_and_targets(
         self, active: Iterable[str], now: float
     ) -> dict[str, tuple[float, float]]:
         """Return shortfall and target of the active teams."""
         names = list(active)
-        targets = self.targets(self._with_users(names))
+        targets = self.targets(self._with_running_teams(names))
         self._update_deficits(frozenset(names), targets, now)
-        everything = sum(
+        total_use = sum(
             account.use.dominant(self._total) for account in self._accounts.values()
         )
-        lacks = {}
+        found = {}
         for name in names:
             account = self._accounts[name]
-            entitled = targets[name] * everything
-            bound = MAX_REPAY * entitled
-            repaid = max(-bound, min(bound, account.deficit / REPAY_S))
-            lack = entitled - account.use.dominant(self._total) + repaid
-            lacks[name] = (lack, targets[name])
-        return lacks
-
-    def actual(self, now: float) -> dict[str, float]:
+            entitled = targets[name] * total_use
+            bound = MAX_CORRECTION * entitled
+            correction = max(-bound, min(bound, account.deficit / DEFICIT_RECOVERY_S))
+            shortfall = entitled - account.use.dominant(self._total) + correction
+            found[name] = (shortfall, targets[name])
+        return found
+
+    def average_use(self, now: float) -> dict[str, float]:
         """Return the decayed mean of the dominant share of every team."""
         return {name: self._advance(name, now).average for name in list(self._accounts)}
 
@@ -190,13 +197,13 @@
         Teams that only run work count as active: they keep their share. A team is
         not over its share while the teams together use less than the cell.
         """
-        targets = self.targets(self._with_users(active))
+        targets = self.targets(self._with_running_teams(active))
         uses = {
             name: self._advance(name, now).use.dominant(self._total) for name in targets
         }
-        everything = max(1.0, sum(uses.values()))
-        excess = {name: uses[name] - targets[name] * everything for name in targets}
-        over = [name for name in excess if excess[name] > ROUNDING]
+        total_use = max(1.0, sum(uses.values()))
+        excess = {name: uses[name] - targets[name] * total_use for name in targets}
+        over = [name for name in excess if excess[name] > ROUNDING_ERROR]
         return {
             name: excess[name]
             for name in sorted(over, key=lambda name: (-excess[name], name))
@@ -206,17 +213,17 @@
         team = self._teams.get(name)
         return min(1.0, team.ceiling.dominant(self._total)) if team else 0.0
 
-    def _with_users(self, names: Iterable[str]) -> dict[str, None]:
+    def _with_running_teams(self, names: Iterable[str]) -> dict[str, None]:
         """Return the given teams and those that run work."""
-        users = (
+        running = (
             name
             for name, account in self._accounts.items()
             if account.use != resources.ZERO
         )
-        return dict.fromkeys((*names, *users))
+        return dict.fromkeys((*names, *running))
 
     def _update_deficits(
-        self, demanding: frozenset[str], targets: dict[str, float], now: float
+        self, active: frozenset[str], targets: dict[str, float], now: float
     ) -> None:
         """Add what teams were entitled to since the last update, less their use.
 
@@ -230,26 +237,26 @@
             self._advance(name, now)
             used[name] = account.integral - account.ranked_integral
             account.ranked_integral = account.integral
-        everything = sum(used.values())
-        kept = math.exp(-max(0.0, now - self._ranked_at) / self._window_s)
-        self._ranked_at = now
+        total_use = sum(used.values())
+        decay = math.exp(-max(0.0, now - self._deficits_updated_at) / self._window_s)
+        self._deficits_updated_at = now
         for name, account in self._accounts.items():
-            gain = targets.get(name, 0.0) * everything - used[name]
-            if name not in self._demanding:
+            gain = targets.get(name, 0.0) * total_use - used[name]
+            if name not in self._last_active:
                 gain = min(0.0, gain)
-            account.deficit = account.deficit * kept + gain
-        self._demanding = demanding
+            account.deficit = account.deficit * decay + gain
+        self._last_active = active
 
-    def _advance(self, name: str, now: float) -> Account:
+    def _advance(self, name: str, now: float) -> TeamUsage:
         account = self._accounts.get(name)
         if account is None:
-            account = self._accounts[name] = Account(now)
+            account = self._accounts[name] = TeamUsage(now)
             return account
         elapsed = now - account.updated_at
         if elapsed > 0:
-            kept = math.exp(-elapsed / self._window_s)
+            decay = math.exp(-elapsed / self._window_s)
             use = account.use.dominant(self._total)
-            account.average = account.average * kept + use * (1 - kept)
+            account.average = account.average * decay + use * (1 - decay)
             account.integral += use * elapsed
             account.updated_at = now
         return account
--- a/toucanspring/scheduling/lifecycle.py
+++ b/toucanspring/scheduling/lifecycle.py
@@ -30,7 +30,7 @@
 RETRY_GROWTH = 2.0
 RETRY_MAX_S = 60.0
 # Ends a task whose failures were all on workers that were quarantined later.
-UNCOUNTED_FAILURES = 10
+MAX_UNCOUNTED_FAILURES = 10
 # A task that was lost with its worker so often is likely to be the cause.
 MAX_LOSSES = 5
 CANCELLED = "cancelled"
@@ -38,7 +38,7 @@
 FAILED_CANCELLED = job.Outcome(job.State.FAILED, CANCELLED)
 
 
-class GangRules(Protocol):
+class GangHandler(Protocol):
     """What happens to a gang when one of its members ends or waits again."""
 
     def member_ended(
@@ -50,7 +50,7 @@
     ) -> None:
         """Go on after one member became final and others did not."""
 
-    def break_up(
+    def restart(
         self,
         core: Lifecycle,
         record: task_table.JobRecord,
@@ -58,13 +58,13 @@
         now: float,
         delay: float,
     ) -> None:
-        """Stop all members, which start again together after `schedule_retry` seconds."""
+        """Stop all members, which start again together after `delay` seconds."""
 
 
 class Lifecycle:
     """Start, end, queue and finish the tasks of one partition."""
 
-    def __init__(self, rng: random.Random, gangs: GangRules) -> None:
+    def __init__(self, rng: random.Random, gangs: GangHandler) -> None:
         self._gangs = gangs
         self.rng = rng
         self.table = task_table.TaskTable()
@@ -97,7 +97,9 @@
         self.collecting_gang = ""
         self.collected_workers: frozenset[str] = frozenset()
         # Workers of other partitions; `None` until they are known.
-        self.other_partition_workers: dict[str, capacity_report.Listed] | None = {}
+        self.other_partition_workers: (
+            dict[str, capacity_report.ListedWorker] | None
+        ) = {}
         self.leaving: set[str] = set()  # workers for which `leaving` is set
         self.retries: list[tuple[float, int, str, int]] = []  # heap by due time
         self._sequence = 0
@@ -117,7 +119,8 @@
             and not state.overused
             and now >= state.paused_until
             and worker not in self.cordoned_workers
-            and self.quarantine.allows(worker, now) is not quarantine.Verdict.NO
+            and self.quarantine.eligibility(worker, now)
+            is not quarantine.Eligibility.NO
         )
         if schedulable != state.schedulable:
             state.schedulable = schedulable
@@ -166,11 +169,11 @@
     ) -> None:
         """Queue tasks of a job, by default all that wait for nothing else."""
         if indices is None:
-            held, delayed = record.unconfirmed, record.delayed
+            unconfirmed, delayed = record.unconfirmed, record.delayed
             indices = (
                 index
                 for index in record.waiting_indices()
-                if index not in held and index not in delayed
+                if index not in unconfirmed and index not in delayed
             )
         self.queue.add(record.spec, indices, now, self._latest_start(record))
         self.placement_needed = True
@@ -282,7 +285,7 @@
         self.index.allocate(worker, total)
         self.allowances.use(team, total)
         self.shares.started(team, total, now)
-        if self.quarantine.allows(worker, now) is quarantine.Verdict.PROBE:
+        if self.quarantine.eligibility(worker, now) is quarantine.Eligibility.PROBE:
             self.quarantine.probe_started(worker, now)
             self.effects.publish(event_kinds.WorkerProbed(worker))
             self.update_schedulable(worker, now)
@@ -377,13 +380,13 @@
         delay: float = 0.0,
         reason: str = "",
     ) -> None:
-        """Queue a task again that occupies no worker, after `schedule_retry` seconds."""
+        """Queue a task again that occupies no worker, after `delay` seconds."""
         if record.cancelled:
             ran = index in record.ran
             outcome = FAILED_CANCELLED if ran else NOT_RUN_CANCELLED
             self.finalize(record, index, outcome, now)
         elif record.spec.kind is job.Kind.GANG:
-            self._gangs.break_up(self, record, reason, now, delay)
+            self._gangs.restart(self, record, reason, now, delay)
         elif delay > 0:
             record.delayed.add(index)
             self.schedule_retry(record, index, now + delay)
@@ -393,7 +396,9 @@
             )
             self.placement_needed = True
 
-    def schedule_retry(self, record: task_table.JobRecord, index: int, due: float) -> None:
+    def schedule_retry(
+        self, record: task_table.JobRecord, index: int, due: float
+    ) -> None:
         """Wake a task at `due`; index -1 wakes all tasks of a gang."""
         self._sequence += 1
         heapq.heappush(self.retries, (due, self._sequence, record.spec.id, index))
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -24,7 +24,9 @@
     summary,
 )
 
-TIMED_CHECKS_S = 0.1  # period of checks for ended pauses, probes and allowances
+TIMED_CHECKS_INTERVAL_S = (
+    0.1  # period of checks for ended pauses, probes and allowances
+)
 
 
 class Scheduler:
@@ -34,15 +36,17 @@
         self,
         partition: int,
         rng: random.Random,
-        spread_move_s: float = spreading.MOVE_S,
+        spread_move_s: float = spreading.MOVE_INTERVAL_S,
     ) -> None:
         self.partition = partition
         self._core = lifecycle.Lifecycle(rng, gang)
         self._dispatcher = dispatch.Dispatcher(self._core)
         self._spreader = spreading.Spreader(self._core, spread_move_s)
-        self.moves = move_planner.Moves(self._core, self._dispatcher)
+        self.move_planner = move_planner.MovePlanner(self._core, self._dispatcher)
         self._next_checks = 0.0
-        self._tried: set[str] = set()  # blocked jobs, in this turn of preemption
+        self._preemption_attempts: set[str] = (
+            set()
+        )  # blocked jobs, in this turn of preemption
 
     def submit(self, specs: list[job.JobSpec], now: float) -> list[effects.Effect]:
         """Queue durable jobs; known IDs are ignored."""
@@ -96,7 +100,7 @@
     ) -> list[effects.Effect]:
         """Apply the ends of attempts and the usage; repeated ones change nothing."""
         attempt.report(self._core, worker, finished, now)
-        overuse.report(self._core, worker, usage, now)
+        overuse.apply_usage(self._core, worker, usage, now)
         return self._core.effects.take()
 
     def starts_answered(
@@ -107,8 +111,8 @@
         now: float,
     ) -> list[effects.Effect]:
         """Note accepted starts and queue refused ones again."""
-        attempt.accepted(self._core, worker, accepted)
-        attempt.refused(self._core, worker, refused, now)
+        attempt.starts_accepted(self._core, worker, accepted)
+        attempt.starts_refused(self._core, worker, refused, now)
         return self._core.effects.take()
 
     def starts_unanswered(
@@ -161,27 +165,31 @@
         self, out: frozenset[str], now: float
     ) -> list[effects.Effect]:
         """Start nothing in zones that are out of service and stop work there."""
-        before, self._core.zones_out = self._core.zones_out, out
-        self._publish_zones(before, out)
+        previous, self._core.zones_out = self._core.zones_out, out
+        self._publish_zone_events(previous, out)
         for worker in self._core.workers:
             self._core.update_schedulable(worker, now)
-        preemption.drain(self._core, now)
+        preemption.drain_workers(self._core, now)
         return self._core.effects.take()
 
-    def _publish_zones(self, before: frozenset[str], out: frozenset[str]) -> None:
+    def _publish_zone_events(
+        self, previous: frozenset[str], out: frozenset[str]
+    ) -> None:
         core = self._core
         if not core.workers:
             return  # nothing is known yet, as at a takeover
-        for zone in sorted(out - before):
-            there = [
+        for zone in sorted(out - previous):
+            task_counts = [
                 len(core.tasks_on.get(worker, ()))
                 for worker, state in core.workers.items()
                 if state.facts.availability_zone == zone
             ]
             core.effects.publish(
-                event_kinds.ZoneTakenOut(zone, self.partition, len(there), sum(there))
+                event_kinds.ZoneTakenOut(
+                    zone, self.partition, len(task_counts), sum(task_counts)
+                )
             )
-        for zone in sorted(before - out):
+        for zone in sorted(previous - out):
             left = core.evacuated_tasks.pop(zone, 0)
             core.effects.publish(event_kinds.ZoneReturned(zone, self.partition, left))
 
@@ -246,13 +254,13 @@
         core = self._core
         core.queue_due_retries(now)
         if checks_due := now >= self._next_checks:
-            self._next_checks = now + TIMED_CHECKS_S
+            self._next_checks = now + TIMED_CHECKS_INTERVAL_S
             core.end_pauses(now)
             admission.reject_too_large(core, now)
             preemption.enforce_ceilings(core, now)
-            preemption.drain(core, now)
+            preemption.drain_workers(core, now)
             blocked = self._dispatcher.blocked.values()
-            preemption.make_room(core, blocked, self._tried, now)
+            preemption.preempt(core, blocked, self._preemption_attempts, now)
             self._spreader.step(now)
         self._dispatcher.place(now)
         for effect in core.allowances.step(now, checks_due):
@@ -272,7 +280,7 @@
             or core.leaving
             or core.zones_out
             or core.quarantine.quarantined()
-            or core.allowances.is_timed()
+            or core.allowances.has_timer()
         )
 
     def lookup(self, job_id: str) -> effects.JobStatus | errors.NotFound:
@@ -298,8 +306,8 @@
         if isinstance(status, errors.NotFound):
             return status
         record = self._core.table.jobs[job_id]
-        noted = self._core.decisions.find(job_id)
-        waits_for = list(noted.waits_for)
+        decision = self._core.decisions.find(job_id)
+        waits_for = list(decision.waits_for)
         if record.blocked_on:
             waits_for = [f"job {other}" for other in sorted(record.blocked_on)]
         elif record.unconfirmed:
@@ -316,5 +324,10 @@
         elif record.live:
             state = "running"
         return effects.Explanation(
-            job_id, state, noted.rank, waits_for, noted.rejected, noted.placements
+            job_id,
+            state,
+            decision.rank,
+            waits_for,
+            decision.rejected,
+            decision.placements,
         )
--- a/toucanspring/scheduling/task_table.py
+++ b/toucanspring/scheduling/task_table.py
@@ -35,7 +35,7 @@
         "accepted_at",
         "answers",
         "attempts",
-        "avoidance",
+        "failure_tracker",
         "blocked_on",
         "cancelled",
         "delayed",
@@ -63,7 +63,9 @@
         self.answers: dict[str, bytes] = {}
         self.attempts: dict[int, int] = {}  # last attempt, if not the first
         self.failures: dict[int, list[str]] = {}  # the workers of failed attempts
-        self.avoidance: failure_tracking.FailurePlaces | None = None  # after a failure
+        self.failure_tracker: failure_tracking.FailureTracker | None = (
+            None  # after a failure
+        )
         self.losses: dict[int, int] = {}  # attempts lost with their worker
         self.ran: set[int] = set()  # waiting tasks of which an attempt ran
         self.progress: dict[int, bytes] = {}
@@ -98,7 +100,9 @@
     def set_final(self, index: int, outcome: job.Outcome) -> None:
         """Record the final outcome of a task."""
         self.finals[index] = outcome
-        self.outcome_counts[outcome.state] = self.outcome_counts.get(outcome.state, 0) + 1
+        self.outcome_counts[outcome.state] = (
+            self.outcome_counts.get(outcome.state, 0) + 1
+        )
         if outcome.answer:
             self.answers[job.task_id(self.spec.id, index)] = outcome.answer
         self.attempts.pop(index, None)
--- a/toucanspring/scheduling/team_allowance.py
+++ b/toucanspring/scheduling/team_allowance.py
@@ -6,19 +6,19 @@
 ZERO: Amount = (0, 0, 0)
 
 
-class Account:
+class TeamAllowance:
     """Track the use and the part of one team; amounts are tuples for speed."""
 
     __slots__ = (
-        "asked_at",
+        "requested_at",
         "ceiling",
         "held",
-        "known",
+        "row_read",
         "limit",
         "peak",
-        "possible",
+        "unconfirmed",
         "returning",
-        "since",
+        "peak_since",
         "target",
         "used",
     )
@@ -27,20 +27,22 @@
         self.ceiling: Amount | None = None  # None: the team has no ceiling
         self.held = ZERO  # as in the row
         self.limit: Amount | None = None  # while other partitions want more
-        self.known = False  # whether the row was read
+        self.row_read = False  # whether the row was read
         self.target: Amount | None = None  # of the request that is under way
         self.returning = False
-        self.asked_at = 0.0
+        self.requested_at = 0.0
         self.used = ZERO
-        self.possible = ZERO  # of the former owner, on workers not yet attached
-        self.peak = ZERO  # most used since `since`
-        self.since = 0.0
+        self.unconfirmed = ZERO  # of the former owner, on workers not yet attached
+        self.peak = ZERO  # most used since `peak_since`
+        self.peak_since = 0.0
 
     def is_idle(self) -> bool:
         """Return whether the account holds, uses and asks for nothing."""
-        return self.target is None and self.held == self.used == self.possible == ZERO
+        return (
+            self.target is None and self.held == self.used == self.unconfirmed == ZERO
+        )
 
-    def is_timed(self) -> bool:
+    def has_timer(self) -> bool:
         """Return whether a request or a return of a part may become due with time."""
         if self.ceiling is None:
             return False
@@ -48,7 +50,7 @@
             self.target is not None
             or self.limit is not None
             or self.held != self.used
-            or self.possible != ZERO
+            or self.unconfirmed != ZERO
         )
 
     def usable(self) -> Amount:
--- a/toucanspring/scheduling/tick_interval.py
+++ b/toucanspring/scheduling/tick_interval.py
@@ -11,17 +11,17 @@
 # With nothing that time alone makes due, ten rounds a second were still the largest
 # part of what an idle partition costs. Two idle rounds come first, which are at least
 # 0.1 s apart, so that the timed checks have seen the last change.
-REST_TICK_INTERVAL_S = 1.0
-IDLE_ROUNDS_BEFORE_REST = 2
+QUIESCENT_TICK_INTERVAL_S = 1.0
+IDLE_TICKS_BEFORE_QUIESCENCE = 2
 
 
-def interval(idle_rounds: int, is_at_rest: Callable[[], bool]) -> float:
+def next_interval(idle_ticks: int, is_quiescent: Callable[[], bool]) -> float:
     """Return the seconds until the next round, unless a message comes first.
 
-    `idle_rounds` counts the last rounds without a message and without an effect.
+    `idle_ticks` counts the last rounds without a message and without an effect.
     """
-    if not idle_rounds:
+    if not idle_ticks:
         return TICK_INTERVAL_S
-    if idle_rounds < IDLE_ROUNDS_BEFORE_REST or not is_at_rest():
+    if idle_ticks < IDLE_TICKS_BEFORE_QUIESCENCE or not is_quiescent():
         return IDLE_TICK_INTERVAL_S
-    return REST_TICK_INTERVAL_S
+    return QUIESCENT_TICK_INTERVAL_S
--- a/toucanspring/scheduling/waiting.py
+++ b/toucanspring/scheduling/waiting.py
@@ -40,14 +40,14 @@
         return len(self.indices)
 
     @property
-    def urgency(self) -> float:
+    def order_time(self) -> float:
         """Return the time by which groups of different classes are ordered."""
         job_class = self.spec.job_class
-        urgency = self.added_at + CLASS_DELAYS_S[job_class]
+        order_time = self.added_at + CLASS_DELAYS_S[job_class]
         if job_class == job.JobClass.DEADLINE:
             floor = self.added_at + CLASS_DELAYS_S[job.JobClass.URGENT]
-            urgency = max(floor, min(urgency, self.latest_start))
-        return urgency
+            order_time = max(floor, min(order_time, self.latest_start))
+        return order_time
 
 
 class WaitingQueue:
@@ -77,7 +77,7 @@
             indices = list(indices)
             if not indices:
                 return
-            group = self._open(spec, now, latest_start)
+            group = self._add_group(spec, now, latest_start)
         group.indices.extend(indices)
 
     def requeue(
@@ -92,7 +92,7 @@
         group = self._groups.get(spec.id)
         if group is None:
             since = now if accepted_at is None else accepted_at
-            group = self._open(spec, since, latest_start)
+            group = self._add_group(spec, since, latest_start)
         group.indices.appendleft(index)
 
     def remove(self, job_id: str) -> list[int]:
@@ -100,7 +100,7 @@
         group = self._groups.get(job_id)
         if group is None:
             return []
-        self._close(group)
+        self._remove_group(group)
         return list(group.indices)
 
     def take(self, job_id: str, count: int) -> list[int]:
@@ -110,7 +110,7 @@
             return []
         taken = [group.indices.popleft() for _ in range(min(count, len(group)))]
         if not group.indices:
-            self._close(group)
+            self._remove_group(group)
         return taken
 
     def find(self, job_id: str) -> Group | None:
@@ -127,19 +127,21 @@
             self._in_order(job_class, entries, now)
             for job_class, entries in self._teams.get(team, {}).items()
         ]
-        heads = [(groups[0].urgency, groups[0].key[1], groups) for groups in lists]
+        next_entries = [
+            (groups[0].order_time, groups[0].key[1], groups) for groups in lists
+        ]
         positions = {id(groups): 0 for groups in lists}
-        while heads:
-            heads.sort(key=lambda head: head[:2])
-            _, _, groups = heads[0]
+        while next_entries:
+            next_entries.sort(key=lambda entry: entry[:2])
+            _, _, groups = next_entries[0]
             position = positions[id(groups)]
             group = groups[position]
             positions[id(groups)] = position = position + 1
             if position < len(groups):
                 following = groups[position]
-                heads[0] = (following.urgency, following.key[1], groups)
+                next_entries[0] = (following.order_time, following.key[1], groups)
             else:
-                del heads[0]
+                del next_entries[0]
             if group.indices and self._groups.get(group.spec.id) is group:
                 yield group
 
@@ -152,7 +154,9 @@
         oldest = min((group.added_at for group in self._groups.values()), default=now)
         return max(0.0, now - oldest)
 
-    def _open(self, spec: job.JobSpec, now: float, latest_start: float | None) -> Group:
+    def _add_group(
+        self, spec: job.JobSpec, now: float, latest_start: float | None
+    ) -> Group:
         if latest_start is None:
             latest_start = math.inf
             if spec.deadline_seconds is not None:
@@ -165,7 +169,7 @@
         bisect.insort(entries, (group.key, group), key=lambda entry: entry[0])
         return group
 
-    def _close(self, group: Group) -> None:
+    def _remove_group(self, group: Group) -> None:
         spec = group.spec
         del self._groups[spec.id]
         classes = self._teams[spec.team]
