--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -29,7 +29,7 @@
     "start at home": "toucanspring.scheduling.lifecycle.Lifecycle.start",
     "end at home": "toucanspring.scheduling.attempt.report",
     "report": "toucanspring.scheduling.attempt.report",
-    "plan move": "toucanspring.scheduling.move_planner.Moves.plan",
+    "plan move": "toucanspring.scheduling.move_planner.MovePlanner.plan",
     "plan drop": "toucanspring.owners.fleet.Service",
     "send transaction": "toucanspring.owners.mover.Service.step",
     "transaction": "toucanspring.owners.roster.Roster.take",
--- a/test/test_avoidance.py
+++ b/test/test_avoidance.py
@@ -11,35 +11,35 @@
 class AvoidanceTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.avoidance = failure_tracking.FailurePlaces()
+        self.tracker = failure_tracking.FailureTracker()
 
     def fail(self, worker, now, rack="r"):
-        self.avoidance.record(worker, rack, False, 0.1, now)
+        self.tracker.record(worker, rack, False, 0.1, now)
 
     def test_a_worker_is_avoided_for_longer_after_each_failed_trial(self):
         # Guards against a bad worker that takes many tasks of a job at every trial.
         self.fail("a", 0.0)
         self.fail("a", 1.0)  # of the same round
-        self.assertEqual({"a"}, self.avoidance.workers(9.9))
-        self.assertEqual(set(), self.avoidance.workers(10.0))
+        self.assertEqual({"a"}, self.tracker.avoided_workers(9.9))
+        self.assertEqual(set(), self.tracker.avoided_workers(10.0))
         self.fail("a", 10.0)
-        self.assertEqual({"a"}, self.avoidance.workers(29.9))
-        self.assertEqual(set(), self.avoidance.workers(30.0))
+        self.assertEqual({"a"}, self.tracker.avoided_workers(29.9))
+        self.assertEqual(set(), self.tracker.avoided_workers(30.0))
 
     def test_a_success_or_a_long_run_clears_a_worker(self):
         for ok, seconds in ((True, 0.1), (False, 60.0)):
             self.fail("a", 0.0)
-            self.avoidance.record("a", "r", ok, seconds, 1.0)
-            self.assertEqual(set(), self.avoidance.workers(1.0))
+            self.tracker.record("a", "r", ok, seconds, 1.0)
+            self.assertEqual(set(), self.tracker.avoided_workers(1.0))
 
     def test_a_rack_is_avoided_after_two_of_its_workers(self):
         self.fail("a", 0.0)
         self.fail("b", 0.0, rack="other")
         self.fail("c", 0.0, rack="")
         self.fail("d", 0.0, rack="")
-        self.assertEqual(set(), self.avoidance.racks(1.0))
+        self.assertEqual(set(), self.tracker.avoided_racks(1.0))
         self.fail("e", 0.0)
-        self.assertEqual({"r"}, self.avoidance.racks(1.0))
+        self.assertEqual({"r"}, self.tracker.avoided_racks(1.0))
 
 
 class CellTest(testtools.TestCase):
--- a/test/test_move_planner.py
+++ b/test/test_move_planner.py
@@ -26,7 +26,7 @@
     def test_a_gang_of_the_whole_cell_gets_the_last_workers(self):
         p = partitioned.Partitions(2, 2, 2)
         p.gang(0, "gang", 6)
-        p.run(move_planner.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 5)
         self.assertEqual(6, p.running("gang"))
 
     def test_two_gangs_are_served_one_after_the_other(self):
@@ -35,10 +35,10 @@
         p.gang(1, "first", 5)
         p.clock.now += 0.1
         p.gang(0, "second", 5)
-        p.run(move_planner.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 5)
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
         self.end(p, 1, "first")
-        p.run(move_planner.LAST_AFTER_S + 10)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 10)
         self.assertEqual(5, p.running("second"))
 
     def test_the_order_survives_a_takeover(self):
@@ -49,7 +49,7 @@
         p.gang(0, "second", 5)
         p.run(3)
         p.take_over(1)
-        p.run(move_planner.LAST_AFTER_S + 10)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 10)
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
 
     def test_a_gang_keeps_its_workers_until_it_starts(self):
@@ -77,8 +77,8 @@
         p.gang(0, "first", 2)
         p.run(0.5)
         p.gang(1, "second", 3)
-        p.run(move_planner.LAST_AFTER_S + 3)
-        self.assertEqual(set(), p[0].withheld)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 3)
+        self.assertEqual(set(), p[0].cordoned_workers)
         self.end(p, 0, "own")
         p.run(1)
         self.assertEqual((2, 0), (p.running("first"), p.running("second")))
@@ -90,13 +90,15 @@
             owner.cell.call("set_availability_zones", frozenset({"z1"}))
         p.run(0.5)
         p.gang(1, "second", 3)
-        p.run(move_planner.LAST_AFTER_S + 5)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 5)
         self.assertEqual((0, 3), (p.running("first"), p.running("second")))
 
     def test_gangs_of_equal_age_are_ordered_by_job_id(self):
-        wanted = [capacity_report.Need(5, name, WHOLE, 1) for name in ("b", "a")]
+        wanted = [
+            capacity_report.CapacityRequest(5, name, WHOLE, 1) for name in ("b", "a")
+        ]
         stated = {
-            number: capacity_report.Statement(0, each)
+            number: capacity_report.CapacityReport(0, each)
             for number, each in enumerate(wanted)
         }
         self.assertEqual((1, wanted[1]), capacity_report.oldest_gang(stated))
@@ -107,9 +109,9 @@
         p.run(1)
         p.gang(0, "gang", 3)
         p.run(move_planner.DRAIN_AFTER_S - 1)
-        self.assertEqual(set(), p[1].withheld)
+        self.assertEqual(set(), p[1].cordoned_workers)
         p.run(2)
-        [drained] = p[1].withheld
+        [drained] = p[1].cordoned_workers
         [task] = p.workers[drained].running
         p[1].cell.end(drained, task)
         p.run(3)
@@ -122,10 +124,10 @@
         p.run(1)
         p.gang(0, "gang", 3)
         p.run(move_planner.DRAIN_AFTER_S + 1)
-        [drained] = p[1].withheld
+        [drained] = p[1].cordoned_workers
         p[0].cell.cancel("gang")
         p.run(1)
-        self.assertEqual(set(), p[1].withheld)
+        self.assertEqual(set(), p[1].cordoned_workers)
         [task] = p.workers[drained].running
         p[1].cell.end(drained, task, "checkpointed")
         p.run(0.5)
@@ -156,7 +158,7 @@
         self.assertEqual(0, p.running("small"))
         p.run(move_planner.DRAIN_AFTER_S)
         self.end(p, 2, "busy")
-        p.run(move_planner.LAST_AFTER_S + 3)
+        p.run(move_planner.LAST_WORKER_AFTER_S + 3)
         self.assertEqual(4, p.running("gang"))
 
 
--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -90,7 +90,7 @@
         # Guards against a worker that goes back and forth.
         p = self.return_moved()
         self.assertEqual({"w00", "w10"}, p.row()[0])
-        p.run(move_planner.REST_S)
+        p.run(move_planner.MOVE_COOLDOWN_S)
         self.assertEqual(3, p.running("b"))
 
     def test_a_moved_worker_moves_at_once_for_a_gang(self):
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -2,7 +2,7 @@
 
 from toucanspring.scheduling import quarantine
 
-YES, PROBE, NO = quarantine.Verdict
+YES, PROBE, NO = quarantine.Eligibility
 
 
 class QuarantineTest(testtools.TestCase):
@@ -12,22 +12,22 @@
 
     def fail(self, count, jobs=("a", "b"), seconds=1.0, worker="w"):
         for number in range(count):
-            self.quarantine.record(
+            self.quarantine.record_result(
                 worker, jobs[number % len(jobs)], False, seconds, 0.0
             )
 
     def test_quick_failures_of_two_jobs_lead_to_quarantine(self):
         self.fail(4)
-        self.assertEqual(YES, self.quarantine.allows("w", 1.0))
+        self.assertEqual(YES, self.quarantine.eligibility("w", 1.0))
         self.fail(1)
-        self.assertEqual(NO, self.quarantine.allows("w", 1.0))
+        self.assertEqual(NO, self.quarantine.eligibility("w", 1.0))
         self.assertEqual(["w"], self.quarantine.quarantined())
-        self.assertEqual(YES, self.quarantine.allows("other", 1.0))
+        self.assertEqual(YES, self.quarantine.eligibility("other", 1.0))
 
     def test_one_broken_job_takes_no_worker_out(self):
         # Guards against a job that fails everywhere emptying the cell.
         self.fail(100, jobs=("a",))
-        self.assertEqual(YES, self.quarantine.allows("w", 1.0))
+        self.assertEqual(YES, self.quarantine.eligibility("w", 1.0))
 
     def test_two_broken_jobs_do_not_empty_the_cell(self):
         # Guards against jobs that can never run taking out one worker after another.
@@ -41,7 +41,7 @@
         for round_ in range(20):
             for number in range(8):
                 self.fail(1, jobs=(f"j{round_}",), worker=f"bad{number}")
-            self.quarantine.record("good", f"j{round_}", True, 60.0, 0.0)
+            self.quarantine.record_result("good", f"j{round_}", True, 60.0, 0.0)
             for number in range(8):
                 self.fail(1, jobs=(f"j{round_}",), worker=f"bad{7 - number}")
         bad = [name for name in self.quarantine.quarantined() if name != "good"]
@@ -50,9 +50,9 @@
     def test_a_success_or_a_long_run_breaks_the_row(self):
         for ok, seconds in ((True, 1.0), (False, 60.0)):
             self.fail(4)
-            self.quarantine.record("w", "c", ok, seconds, 0.0)
+            self.quarantine.record_result("w", "c", ok, seconds, 0.0)
             self.fail(4)
-            self.assertEqual(YES, self.quarantine.allows("w", 1.0))
+            self.assertEqual(YES, self.quarantine.eligibility("w", 1.0))
             self.quarantine.forget("w")
 
     def test_probes_come_one_at_a_time_with_growing_delay(self):
@@ -61,24 +61,24 @@
         now, delays = 0.0, []
         for _ in range(4):
             start = now
-            while self.quarantine.allows("w", now) != PROBE:
+            while self.quarantine.eligibility("w", now) != PROBE:
                 now += 1.0
             delays.append(now - start)
             self.quarantine.probe_started("w", now)
-            self.assertEqual(NO, self.quarantine.allows("w", now))
-            self.quarantine.record("w", "c", False, 0.1, now)
+            self.assertEqual(NO, self.quarantine.eligibility("w", now))
+            self.quarantine.record_result("w", "c", False, 0.1, now)
         self.assertEqual([10.0, 20.0, 40.0, 80.0], delays)
 
     def test_a_probe_that_succeeds_ends_the_quarantine(self):
         self.fail(5)
-        self.quarantine.record("w", "old", True, 60.0, 1.0)
-        self.assertEqual(NO, self.quarantine.allows("w", 1.0))
+        self.quarantine.record_result("w", "old", True, 60.0, 1.0)
+        self.assertEqual(NO, self.quarantine.eligibility("w", 1.0))
         self.quarantine.probe_started("w", 10.0)
-        self.quarantine.record("w", "c", True, 1.0, 11.0)
-        self.assertEqual(YES, self.quarantine.allows("w", 11.0))
+        self.quarantine.record_result("w", "c", True, 1.0, 11.0)
+        self.assertEqual(YES, self.quarantine.eligibility("w", 11.0))
 
     def test_a_probe_without_result_is_repeated(self):
         # Guards against a lost probe keeping a worker out for ever.
         self.fail(5)
         self.quarantine.probe_started("w", 10.0)
-        self.assertEqual(PROBE, self.quarantine.allows("w", 1000.0))
+        self.assertEqual(PROBE, self.quarantine.eligibility("w", 1000.0))
--- a/test/test_racks.py
+++ b/test/test_racks.py
@@ -199,7 +199,7 @@
     def test_a_rack_has_at_most_the_upper_bound_of_those_not_counted(self):
         # Guards against racks far larger than needed when few are counted, and against
         # no rack although one has room.
-        self.patch(racks, "MAX_COUNTED", 2)
+        self.patch(racks, "MAX_COUNTED_RACKS", 2)
         rng = random.Random(13)
         for _ in range(100):
             plain = Plain(rng)
--- a/test/test_scheduler.py
+++ b/test/test_scheduler.py
@@ -13,7 +13,7 @@
 
 class StartsTest(testtools.TestCase):
     def test_a_non_idempotent_task_starts_only_after_its_intent_is_durable(self):
-        # Guards against a start that a successor could not know of.
+        # Guards against a start that would be unknown after a takeover.
         c = cell.Cell()
         c.hold_intents = True
         c.submit(cell.spec(idempotent=False))
@@ -23,8 +23,8 @@
         c.write_intents()
         self.assertEqual({"a/0": "w0"}, c.running())
 
-    def test_an_intent_for_a_zone_taken_out_meanwhile_starts_elsewhere(self):
-        # Guards against a start that was decided before the zone was taken out.
+    def test_an_intent_for_a_zone_that_goes_out_of_service_starts_in_another(self):
+        # Guards against a start that was decided while the zone was still in service.
         c = cell.Cell(workers=2)
         c.hold_intents = True
         c.submit(cell.spec(idempotent=False))
@@ -38,8 +38,8 @@
         self.assertNotEqual(zone, c.workers[c.running()["a/0"]].zone)
         self.assertEqual(2, c.intents["a/0"].attempt)
 
-    def test_a_refused_start_is_queued_again_under_a_new_attempt(self):
-        # Guards against giving up, or hammering a worker that refuses.
+    def test_a_refused_start_is_requeued_as_a_new_attempt(self):
+        # Guards against giving up after a refusal, and against retries without a delay.
         c = cell.Cell()
         c.submit(cell.spec(idempotent=False))
         worker = c.workers["w0"]
@@ -53,11 +53,11 @@
         self.assertEqual(2, worker.running["a/0"].attempt)
 
     def test_work_waits_for_allowance_and_asks_for_a_chunk(self):
-        # Guards against starts beyond the part of the ceiling held here.
+        # Guards against starts beyond this partition's part of the ceiling.
         limit = resources.Resources(16_000, 1 << 20, 8)
         c = cell.Cell(teams=[fairness.Team("zimna", ceiling=limit)])
         c.submit(cell.spec(task_count=20))
-        self.assertEqual([], c.tick())  # the row was not read yet
+        self.assertEqual([], c.tick())  # the row has not been read yet
         c.grant("zimna", resources.ZERO)
         request = c.tick()[-1]
         self.assertIsInstance(request, effects.RequestAllowance)
@@ -67,20 +67,20 @@
         c.tick()
         self.assertEqual(5, len(c.running()))
 
-    def test_a_partition_rests_only_while_time_alone_makes_nothing_due(self):
-        # Guards against decisions that come up to a second late because the partition
-        # makes rounds rarely.
+    def test_a_partition_is_quiescent_only_without_pending_timers(self):
+        # Guards against decisions that are up to a second late because a partition with
+        # pending timers ticks at the quiescent interval.
         limit = resources.Resources(16_000, 1 << 20, 8)
         c = cell.Cell(teams=[fairness.Team("zimna", ceiling=limit)])
         is_quiescent = c.scheduler.is_quiescent
         self.assertTrue(is_quiescent())
         c.submit(cell.spec())
         c.tick()
-        self.assertFalse(is_quiescent())  # a job waits, and the allowance is not known
+        self.assertFalse(is_quiescent())  # a job waits for an unknown allowance
         c.grant("zimna", limit)
         c.tick()
         self.assertEqual({"a/0": "w0"}, c.running())
-        self.assertFalse(is_quiescent())  # what is not used goes back after 5 s
+        self.assertFalse(is_quiescent())  # the unused amount is returned after 5 s
         c.grant("zimna", c.scheduler._core.allowances.used("zimna"))
         self.assertTrue(is_quiescent())
         for begin, end in (
@@ -95,7 +95,7 @@
             c.call(*end)
             self.assertTrue(is_quiescent())
 
-    def test_a_lowered_allowance_stops_the_latest_work(self):
+    def test_a_lowered_allowance_stops_the_latest_tasks(self):
         # Guards against a team that stays above a lowered ceiling.
         limit = resources.Resources(16_000, 1 << 20, 8)
         c = cell.Cell(teams=[fairness.Team("zimna", ceiling=limit)])
@@ -108,7 +108,7 @@
         c.grant("zimna", resources.Resources(5_000, 1 << 20, 8))
         self.assertEqual(["new/0", "new/1", "new/2"], sorted(c.stopped("checkpoint")))
 
-    def test_work_that_can_never_run_is_refused_with_the_reason(self):
+    def test_a_job_that_can_never_run_is_rejected_with_the_reason(self):
         # Guards against jobs that wait forever.
         c = cell.Cell(teams=[fairness.Team("zimna", ceiling=cell.CAPACITY)])
         c.tick(10)  # all workers are known by then
@@ -132,7 +132,7 @@
 
 class EndsTest(testtools.TestCase):
     def test_retries_are_bounded_and_their_delay_grows(self):
-        # Guards against a task that fails forever and against tight loops.
+        # Guards against endless retries, and against retries without a delay.
         c = cell.Cell()
         c.submit(cell.spec(retries=3))
         starts = []
@@ -147,7 +147,7 @@
         self.assertEqual(job.Outcome(State.FAILED, "exit 1"), c.finished["a"])
 
     def test_failures_on_a_quarantined_worker_do_not_count(self):
-        # Guards against jobs that fail because one worker fails everything.
+        # Guards against jobs that fail because one worker fails all tasks.
         c = cell.Cell()
         for number in range(3):
             c.submit(cell.spec(f"j{number}", task_count=2, retries=1))
@@ -166,7 +166,7 @@
         self.assertIs(State.DONE, c.finished["late"].state)
 
     def test_a_repeated_or_old_report_changes_nothing(self):
-        # Guards against counting one end twice, also for a newer attempt.
+        # Guards against counting an end twice, or for a newer attempt.
         c = cell.Cell()
         c.submit(cell.spec(retries=1))
         c.tick()
@@ -181,7 +181,7 @@
         self.assertEqual({"done": 1}, c.scheduler.lookup("a").counts)
 
     def test_a_service_is_restarted_when_it_ends(self):
-        # Guards against a service that stays down, or is declared done.
+        # Guards against a service that is not restarted, or counts as done.
         c = cell.Cell()
         c.submit(cell.spec(kind=job.Kind.SERVICE, retries=0))
         for state in ("done", "failed", "done"):
@@ -194,8 +194,8 @@
         self.assertEqual(job.Outcome(State.FAILED, "cancelled"), c.finished["a"])
 
     def test_a_failed_dependency_ends_the_whole_chain_as_not_run(self):
-        # Guards against dependents that wait forever; the chain is longer than the
-        # recursion limit.
+        # Guards against dependents that wait forever. The chain of 3,000 jobs is longer
+        # than the recursion limit.
         c = cell.Cell()
         c.submit(cell.spec("j0", idempotent=False))
         c.submit(*(cell.spec(f"j{n}", after=(f"j{n - 1}",)) for n in range(1, 3000)))
@@ -206,7 +206,7 @@
         self.assertIn("j0 ended failed: disk", c.finished["j1"].reason)
 
     def test_a_dependency_of_another_partition_is_watched(self):
-        # Guards against starting work whose dependency is unknown here.
+        # Guards against starting a job whose dependency is unknown in this partition.
         c = cell.Cell()
         watch = c.submit(cell.spec(after=("far",)))
         self.assertEqual([effects.WatchJobs("a", ["far"])], watch)
@@ -218,7 +218,7 @@
         self.assertEqual({"a/0": "w0"}, c.running())
 
     def test_cancelling_10000_tasks_while_they_start_and_end_is_exact(self):
-        # Guards against quadratic cost and against "not run" for work that ran.
+        # Guards against quadratic cost, and against "not run" for tasks that ran.
         c = cell.Cell(workers=24)
         rng = random.Random(3)
         c.submit(cell.spec(task_count=10_000))
@@ -241,7 +241,7 @@
         self.assertEqual(10_000, sum(counts.values()))
         self.assertEqual(len(c.starts), counts["done"] + counts["failed"])
         self.assertEqual(len(stopped), counts["failed"])
-        self.assertLess(spent, 1.0)  # 10 times of what it takes on a slow machine
+        self.assertLess(spent, 1.0)  # 10 times the time on a slow machine
 
     def test_lookup_and_explain_of_an_unknown_job_is_not_found(self):
         c = cell.Cell()
@@ -249,15 +249,15 @@
         self.assertIsInstance(c.scheduler.explain("x"), errors.NotFound)
 
 
-class PressureTest(testtools.TestCase):
+class PreemptionTest(testtools.TestCase):
     def fill(self, c, **fields):
         c.submit(cell.spec("fill", task_count=64, run_seconds=1000, **fields))
         c.tick()
         self.assertEqual(64, len(c.running()))
 
-    def test_urgent_work_checkpoints_deferrable_work_and_gets_its_room(self):
-        # Guards against urgent work that waits behind hours of deferrable work, and
-        # against other waiting work that takes the room first.
+    def test_an_urgent_job_checkpoints_deferrable_tasks_and_takes_their_capacity(self):
+        # Guards against urgent jobs that wait for hours behind deferrable tasks, and
+        # against other jobs that take the freed capacity first.
         c = cell.Cell(workers=2)
         self.fill(c, job_class=job.JobClass.DEFERRABLE)
         c.submit(cell.spec("other", team="kern", task_count=5))
@@ -277,8 +277,8 @@
         ]
         self.assertEqual(3, sum(task.progress == b"mark" for task in marks))
 
-    def test_the_stops_make_room_on_one_worker(self):
-        # Guards against stopping the one task that would suffice after two others.
+    def test_preemption_stops_only_as_many_tasks_as_needed(self):
+        # Guards against further stops after those that free enough capacity.
         c = cell.Cell(workers=1)
         for name, cpus, count in (("early", 2000, 13), ("late", 3000, 2)):
             demand = resources.Resources(cpus, 1024)
@@ -294,8 +294,8 @@
         c.tick()
         self.assertEqual(1, len(c.running("now")))
 
-    def test_jobs_for_which_no_room_can_be_made_do_not_hold_up_later_ones(self):
-        # Guards against urgent work that waits behind hopeless work for good.
+    def test_jobs_that_preemption_cannot_help_do_not_block_later_ones(self):
+        # Guards against an urgent job that waits forever behind jobs that cannot start.
         c = cell.Cell(workers=1)
         c.submit(cell.spec("kept", task_count=16, idempotent=False, run_seconds=1000))
         c.tick()
@@ -313,8 +313,8 @@
         self.assertEqual(1, len(c.stopped("checkpoint")))
         self.assertEqual(1, len(c.running("now")))
 
-    def test_non_idempotent_work_is_never_stopped_for_other_work(self):
-        # Guards against losing work that cannot be started again.
+    def test_non_idempotent_tasks_are_never_preempted(self):
+        # Guards against losing tasks that must not be restarted.
         c = cell.Cell(workers=2)
         self.fill(c, job_class=job.JobClass.DEFERRABLE, idempotent=False)
         c.submit(cell.spec("now", job_class=job.JobClass.URGENT))
@@ -322,9 +322,9 @@
             c.tick(0.2)
         self.assertEqual([], c.stopped())
 
-    def test_lent_capacity_is_taken_back_down_to_the_share(self):
-        # Guards against a team that keeps what others are entitled to, and against
-        # taking more than that.
+    def test_capacity_used_above_the_share_is_reclaimed(self):
+        # Guards against a team that keeps capacity to which others are entitled, and
+        # against reclaiming more than that.
         c = cell.Cell(workers=2)
         self.fill(c)
         c.submit(cell.spec("mine", team="kern", task_count=64, run_seconds=1000))
@@ -335,8 +335,8 @@
         self.assertEqual(32, len(c.running("mine")))
         self.assertEqual(32, len(c.running("fill")))
 
-    def test_a_zone_taken_out_checkpoints_idempotent_work_there(self):
-        # Guards against work that stays in a closed zone, or is lost with it.
+    def test_idempotent_tasks_in_a_zone_out_of_service_are_checkpointed(self):
+        # Guards against tasks that stay in a zone out of service, or are lost with it.
         c = cell.Cell(workers=2)
         self.fill(c)
         self.assertEqual([], c.stopped())
--- a/test/test_spreading.py
+++ b/test/test_spreading.py
@@ -49,7 +49,7 @@
         stops = self.let_pass(c, 60)
         self.assertEqual({"z0": 4, "z1": 4, "z2": 4}, self.by_zone(c))
         self.assertEqual(4, sum(stops))
-        width = int(spreading.MOVE_S)
+        width = int(spreading.MOVE_INTERVAL_S)
         windows = [sum(stops[at : at + width]) for at in range(len(stops))]
         self.assertEqual(1, max(windows))
 
@@ -126,5 +126,5 @@
         c.cancel("service")
         for name in c.workers:
             c.report(name)
-        self.let_pass(c, int(spreading.ROOM_S) + 1)
+        self.let_pass(c, int(spreading.RESERVATION_S) + 1)
         self.assertEqual({}, c.scheduler._core.reservations)
--- a/toucanspring/cell/heartbeat.py
+++ b/toucanspring/cell/heartbeat.py
@@ -38,7 +38,7 @@
     owned: dict[int, int]  # partition -> epoch
     free: resources.Resources = resources.ZERO
     draining: bool = False
-    statements: dict[int, capacity_report.Statement] = {}  # by own partition
+    statements: dict[int, capacity_report.CapacityReport] = {}  # by own partition
 
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -64,7 +64,7 @@
         self.sightings: dict[str, ownership.Sighting] = {}
         self.rows: dict[str, tuple[int, renewal.MemberRow]] = {}
         self.free_resources: Callable[[], resources.Resources] = lambda: resources.ZERO
-        self.statements: Callable[[], dict[int, capacity_report.Statement]] = dict
+        self.statements: Callable[[], dict[int, capacity_report.CapacityReport]] = dict
         self._watches: list[tuple[Callable, Callable]] = []
         self._listeners: list[HeartbeatListener] = []
         self._polls = 0
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -139,19 +139,19 @@
             for worker in self.roster.workers_of(partition)
         }
 
-    def listed(self, partition: int) -> dict[str, capacity_report.Listed]:
+    def listed(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
         """Return the workers of a partition by their entries in the VM list."""
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition: int) -> dict[str, capacity_report.Listed]:
+    def elsewhere(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
         """Return the workers of all other partitions."""
         return self._listed(lambda owner: owner != partition)
 
     def _listed(
         self, matches: Callable[[int], bool]
-    ) -> dict[str, capacity_report.Listed]:
+    ) -> dict[str, capacity_report.ListedWorker]:
         return {
-            worker: capacity_report.Listed(
+            worker: capacity_report.ListedWorker(
                 self._vms[worker].availability_zone,
                 self._capacity(worker),
                 self.is_leaving(worker),
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -47,7 +47,7 @@
         self._kernel = core
         self._clock = clock
         self._enabled = options.moves == "on"
-        self._stated: dict[int, capacity_report.Statement] = {}
+        self._stated: dict[int, capacity_report.CapacityReport] = {}
         self._doubts: dict[int, Doubt] = {}
         self._steps: dict[int, gevent.Greenlet] = {}
         self._greenlet: gevent.Greenlet | None = None
@@ -70,16 +70,16 @@
             self._greenlet.kill()
         gevent.killall(list(self._steps.values()))
 
-    def statements(self) -> dict[int, capacity_report.Statement]:
+    def statements(self) -> dict[int, capacity_report.CapacityReport]:
         """Return the statements on owned partitions, for heartbeats."""
         owned = self._kernel.find("claims").owned()
         return {
             number: stated for number, stated in self._stated.items() if number in owned
         }
 
-    def known(self) -> dict[int, capacity_report.Statement]:
+    def known(self) -> dict[int, capacity_report.CapacityReport]:
         """Return the latest statement on each partition from its present owner."""
-        found: dict[int, tuple[int, capacity_report.Statement]] = {}
+        found: dict[int, tuple[int, capacity_report.CapacityReport]] = {}
         peers = self._kernel.find("membership").peer_states()
         for message in peers.values():
             for number, stated in message.statements.items():
@@ -130,10 +130,10 @@
 
         def decide(
             scheduler: object,
-        ) -> tuple[capacity_report.Statement, move_planner.Batch | None]:
+        ) -> tuple[capacity_report.CapacityReport, move_planner.Batch | None]:
             now = self._clock()
-            stated = scheduler.moves.state(facts, now)
-            batch = scheduler.moves.plan(
+            stated = scheduler.move_planner.report(facts, now)
+            batch = scheduler.move_planner.plan(
                 number, {**statements, number: stated}, facts, now, moving
             )
             return stated, batch
@@ -145,11 +145,11 @@
         if batch is not None:
             self._move(owner, batch)
 
-    def _facts(self, owner: partition.Partition) -> move_planner.Facts:
+    def _facts(self, owner: partition.Partition) -> move_planner.CellView:
         fleet = self._kernel.find("fleet")
         now = self._clock()
         attached = owner.facts()
-        return move_planner.Facts(
+        return move_planner.CellView(
             fleet.roster.version,
             dict(fleet.roster.changed_at),
             dict(fleet.roster.moved_at),
--- a/toucanspring/scheduling/admission.py
+++ b/toucanspring/scheduling/admission.py
@@ -1,11 +1,11 @@
-"""Acceptance of jobs: checks, dependencies, and sizes that can never run."""
+"""Job admission: validation, dependencies and rejection of oversized jobs."""
 
 from __future__ import annotations
 
 from toucanspring import job
 from toucanspring.scheduling import effects, lifecycle, task_table
 
-# Without a new worker for so long, all workers of the partition are known.
+# All workers of the partition count as known once none was added for this time.
 WORKERS_SETTLED_S = 5.0
 
 
@@ -31,7 +31,7 @@
 
 
 def is_too_large(core: lifecycle.Lifecycle, spec: job.JobSpec) -> bool:
-    """Return whether the known workers of the cell, empty, have no room for a job."""
+    """Return whether a job would not fit on the cell's known workers if idle."""
     room = 0
     needed = spec.task_count if spec.kind is job.Kind.GANG else 1
     zones = spec.availability_zones
@@ -42,9 +42,9 @@
                 return False
     for worker, listed in (core.other_partition_workers or {}).items():
         if worker in core.known_workers:
-            continue  # was here before it moved
+            continue  # counted above; it has moved to another partition
         if not zones or listed.availability_zone in zones:
-            # A worker of unknown size may be large enough.
+            # A worker of unknown capacity may be large enough.
             amount = listed.capacity
             room += needed if amount is None else spec.demand.count_in(amount)
             if room >= needed:
@@ -55,14 +55,14 @@
 def register_worker(
     core: lifecycle.Lifecycle, facts: effects.WorkerFacts, now: float
 ) -> None:
-    """Remember a worker's capacity."""
+    """Record the capacity and zone of a worker."""
     if facts.worker not in core.known_workers:
         core.new_worker_at = now
     core.known_workers[facts.worker] = facts
 
 
 def reject_too_large(core: lifecycle.Lifecycle, now: float) -> None:
-    """End the jobs that no set of workers has room for, once all are known."""
+    """Reject jobs that can never fit, once all workers are known."""
     if (
         not core.too_large
         or core.expected_workers
@@ -83,7 +83,7 @@
 
 
 def submit(core: lifecycle.Lifecycle, spec: job.JobSpec, now: float) -> None:
-    """Accept a durable job; a repeated one is ignored."""
+    """Admit a durable job; a repeated submission is ignored."""
     record = core.table.add(spec, now)
     if record is None:
         return
@@ -103,7 +103,7 @@
     now: float,
     watch: bool = True,
 ) -> bool:
-    """Return whether a job may start; end it if a dependency has failed."""
+    """Return whether a job is ready; end it if a dependency did not succeed."""
     unknown = []
     for job_id in record.spec.after:
         other = core.table.jobs.get(job_id)
--- a/toucanspring/scheduling/attempt.py
+++ b/toucanspring/scheduling/attempt.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: reports, refused starts, lost workers."""
+"""Handle the end of attempts: reports, refused starts and lost workers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     task_table,
 )
 
-SERVICE_STABLE_S = 60.0  # a service that ran so long starts with a fresh delay
+SERVICE_STABLE_S = 60.0  # a run of this length resets a service's restart delay
 
-# Pause of starts on a worker that refused one; doubled with each refusal in a row.
+# A worker that refuses a start gets no new ones for this time, which doubles with
+# each consecutive refusal.
 REFUSAL_PAUSE_S = 0.1
 REFUSAL_PAUSE_MAX_S = 5.0
 
@@ -27,7 +28,7 @@
     finished: Iterable[wire.FinishedTask],
     now: float,
 ) -> None:
-    """Apply the ends of attempts that a worker reports, possibly again."""
+    """Apply ended attempts that a worker reports, possibly repeatedly."""
     for end in finished:
         core.effects.acknowledge(worker, end.task_id)
         task = core.table.live.get(end.task_id)
@@ -43,7 +44,7 @@
 def _report_unattributed(
     core: lifecycle.Lifecycle, worker: str, end: wire.FinishedTask, now: float
 ) -> None:
-    """Handle a report of an old attempt, of a former owner or of an orphan."""
+    """Handle a report of an old attempt, an orphan or a previous owner's task."""
     state = core.workers.get(worker)
     orphan = state.orphans.get(end.task_id) if state else None
     if orphan is not None and orphan.attempt == end.attempt:
@@ -56,12 +57,12 @@
         return
     index = task_table.task_index(end.task_id)
     if index in record.finals:
-        # The first record may not be durable yet. A worker that forgot the task
-        # before would let a successor start it again, so the acknowledgement waits
-        # for a second record.
+        # The first record may not be durable yet. If the worker discarded the task
+        # before that, the next owner would start it again, so the acknowledgement
+        # waits for a second record.
         core.effects.record_outcome(end.task_id, record.finals[index])
         return
-    # Keeps the number of the next attempt apart from reported ones.
+    # The next attempt must not reuse the number of a reported one.
     record.attempts[index] = max(record.attempts.get(index, 0), end.attempt)
     if index in record.unconfirmed:
         record.unconfirmed.discard(index)
@@ -79,7 +80,7 @@
     end: wire.FinishedTask,
     now: float,
 ) -> None:
-    """Learn sizes and run times from tasks that were not stopped."""
+    """Update estimates and failure tracking, unless the task was checkpointed."""
     if end.state == "checkpointed":
         return
     spec = record.spec
@@ -107,7 +108,7 @@
     end: wire.FinishedTask,
     now: float,
 ) -> None:
-    """Decide what follows the end of an attempt that ran."""
+    """Finish, retry or requeue the task of an attempt that ran."""
     spec, index = record.spec, task.index
     stopped = task.stop_reason or record.gang_stop_reason
     if end.state == "done" and (spec.kind is not job.Kind.SERVICE or record.cancelled):
@@ -171,7 +172,7 @@
 
 
 def retry_delay(core: lifecycle.Lifecycle, failures: int) -> float:
-    """Return a growing delay with jitter, in seconds."""
+    """Return an exponential delay with jitter, in seconds."""
     delay = lifecycle.RETRY_FIRST_S * lifecycle.RETRY_GROWTH ** (failures - 1)
     return min(lifecycle.RETRY_MAX_S, delay) * core.rng.uniform(0.8, 1.2)
 
@@ -179,7 +180,7 @@
 def starts_accepted(
     core: lifecycle.Lifecycle, worker: str, task_ids: Iterable[str]
 ) -> None:
-    """Mark tasks as running."""
+    """Mark tasks as running whose start a worker accepted."""
     state = core.workers.get(worker)
     if state is not None:
         state.refusals = 0
@@ -196,7 +197,7 @@
     refusals: Iterable[tuple[str, str]],
     now: float,
 ) -> None:
-    """Queue tasks again whose start was refused; they certainly did not run."""
+    """Requeue tasks whose start was refused, so that they cannot have run."""
     state = core.workers.get(worker)
     if state is not None and refusals:
         pause = REFUSAL_PAUSE_S * 2**state.refusals
@@ -220,7 +221,7 @@
 def intents_durable(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
-    """Send the starts whose intents are in the log, unless something changed."""
+    """Send the starts whose intents are durable and whose worker is still usable."""
     for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
         state = core.workers.get(task.worker)
@@ -242,7 +243,7 @@
 def intents_failed(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
-    """Queue tasks again whose intents were not written; none was sent."""
+    """Requeue tasks whose intents were not written; their starts were not sent."""
     for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
         core.release_task(record, task, now)
@@ -253,7 +254,7 @@
 def _matching_intents(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent]
 ) -> Iterator[task_table.LiveTask]:
-    """Yield the tasks that still wait for exactly these intents."""
+    """Yield the tasks that are still waiting for exactly these intents."""
     for intent in intents:
         task = core.table.live.get(intent.task_id)
         if (
@@ -266,7 +267,7 @@
 
 
 def never_ran(core: lifecycle.Lifecycle, task: task_table.LiveTask, now: float) -> None:
-    """Queue a task again that the worker certainly never started nor will start."""
+    """Requeue a task that its worker has not started and cannot start later."""
     record = core.table.jobs[task.job_id]
     core.release_task(record, task, now)
     core.requeue(record, task.index, now, reason="the start did not reach the worker")
@@ -275,7 +276,7 @@
 def lost(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, reason: str, now: float
 ) -> None:
-    """End an attempt whose worker is gone: it may have run, and runs no more."""
+    """End an attempt whose worker is gone; it may have run before."""
     record = core.table.jobs[task.job_id]
     index = task.index
     core.release_task(record, task, now)
@@ -295,10 +296,10 @@
 
 
 def after_loss(state: job.State, idempotent: bool) -> str:
-    """Return what follows for an attempt whose worker is gone.
+    """Return how to treat an attempt whose worker is gone.
 
-    `never_ran`: it was not sent; `requeue`: it runs no more and may run again;
-    `unknown`: it may have run, so it must not run again.
+    `never_ran`: the start was not sent. `requeue`: the task has stopped and may run
+    again. `unknown`: the task may have run and must not run again.
     """
     if state is job.State.INTENDED:
         return "never_ran"
--- a/toucanspring/scheduling/avoidance.py
+++ b/toucanspring/scheduling/avoidance.py
@@ -1,8 +1,9 @@
-"""Workers and racks that a job stays away from because it fails there.
+"""Avoidance of the workers and racks on which a job fails.
 
-Quarantine needs the failures of several jobs, so that one broken job takes no worker
-out. A cell may run a single large job, and workers that fail at once attract most of
-its tasks, since they always have room. The job itself therefore avoids them for a time.
+Quarantine requires failures of several jobs, so that one broken job does not disable
+workers. In a cell that runs a single large job, workers whose tasks fail at once would
+attract most of its tasks, since they always have room. The job therefore avoids them
+for a time.
 """
 
 from __future__ import annotations
@@ -20,23 +21,26 @@
     run_seconds: float,
     now: float,
 ) -> None:
-    """Note where a task of a job ended well or failed."""
-    if record.avoidance is None:
+    """Record on which worker a task of a job succeeded or failed."""
+    if record.failure_tracker is None:
         if ok:
             return
-        record.avoidance = failure_tracking.FailurePlaces()
+        record.failure_tracker = failure_tracking.FailureTracker()
     state = core.workers.get(worker)
     rack = state.facts.rack if state is not None else ""
-    avoided_s = record.avoidance.record(worker, rack, ok, run_seconds, now)
+    avoided_s = record.failure_tracker.record(worker, rack, ok, run_seconds, now)
     if not avoided_s:
         return
     job_id = record.spec.id
     core.effects.publish(event_kinds.WorkerAvoided(job_id, worker, avoided_s))
-    if record.avoidance.count_in(rack, now) == failure_tracking.WORKERS_OF_BAD_RACK:
+    if (
+        record.failure_tracker.count_avoided_in(rack, now)
+        == failure_tracking.RACK_AVOIDANCE_THRESHOLD
+    ):
         core.effects.publish(event_kinds.RackAvoided(job_id, rack))
 
 
-def avoided(
+def avoided_workers(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     demand: resources.Resources,
@@ -46,12 +50,12 @@
 
     A job that fails everywhere is broken and uses up its retries on any worker.
     """
-    if record.avoidance is None:
+    if record.failure_tracker is None:
         return frozenset()
-    workers = record.avoidance.workers(now)
+    workers = record.failure_tracker.avoided_workers(now)
     if not workers:
         return frozenset()
-    if racks := record.avoidance.racks(now):
+    if racks := record.failure_tracker.avoided_racks(now):
         workers.update(
             name for name, state in core.workers.items() if state.facts.rack in racks
         )
--- a/toucanspring/scheduling/dispatch.py
+++ b/toucanspring/scheduling/dispatch.py
@@ -1,4 +1,4 @@
-"""Placement of waiting work, team by team."""
+"""Place waiting tasks on workers, one team at a time."""
 
 from __future__ import annotations
 
@@ -19,36 +19,34 @@
 )
 
 TEAM_BATCH = 64  # tasks of one team started before the teams are ranked again
-STARTS_PER_TICK = 512  # bounds the time of one tick to a few tens of milliseconds
-MAX_UNPLACED_GROUPS = 64  # jobs without room that are looked at for each team and tick
-# Of these, so many are the first ones in each tick. The others move on through the
-# queue from tick to tick as long as none of the team starts, so that no job waits
-# behind many that find no room; after a start the order of service counts again.
+STARTS_PER_TICK = 512  # limits one tick to a few tens of milliseconds
+MAX_UNPLACED_GROUPS = 64  # unplaceable jobs examined per team and tick
+# Jobs at the head of the queue that are examined in every tick. The rest of
+# MAX_UNPLACED_GROUPS advances through the queue from tick to tick until a task of the
+# team starts, so that many unplaceable jobs cannot starve a later one. After a start
+# the scan begins at the head again.
 HEAD_GROUPS = 32
-MAX_BLOCKED_JOBS = 256  # jobs without room that preemption looks at
+MAX_BLOCKED_JOBS = 256  # unplaceable jobs considered for preemption
 CAPACITY_REASONS = frozenset({"cpus", "memory"})
-RESCAN_INTERVAL_S = (
-    1.0  # without changes, waiting work is looked at again after so long
-)
+RESCAN_INTERVAL_S = 1.0  # rescan of waiting jobs when nothing has changed
 
 
 class Dispatcher:
-    """Start waiting work where there is room, allowance and an open zone."""
+    """Start waiting tasks as capacity, allowances and availability zones permit."""
 
     def __init__(self, core: lifecycle.Lifecycle) -> None:
         self._core = core
         self._next_scan = 0.0
         self._groups: dict[str, Iterator[waiting.Group]] = {}
-        self._lacks_capacity = False  # a group found no worker with enough free
-        self._scan_offsets: dict[str, int] = {}  # groups after the first ones, by team
-        self._started_teams: set[str] = (
-            set()
-        )  # teams that started tasks in the last tick
-        # Jobs that found no room when they were last looked at, by ID.
+        self._lacks_capacity = False  # a group found too little free CPU or memory
+        # Position in the queue of each team's scan, counted from HEAD_GROUPS.
+        self._scan_offsets: dict[str, int] = {}
+        self._started_teams: set[str] = set()  # started tasks in the last tick
+        # Jobs that could not be placed when last examined, by ID.
         self.blocked: dict[str, task_table.JobRecord] = {}
 
     def place(self, now: float) -> int:
-        """Start what can start; return the number of tasks."""
+        """Start as many tasks as possible and return their number."""
         core = self._core
         if not core.placement_needed and now < self._next_scan:
             return 0
@@ -67,8 +65,8 @@
         candidates = set(core.queue.teams())
         no_room: set[tuple] = set()
         started = 0
-        # Teams that use the cell but have nothing waiting are not ranked: they would
-        # gain credit for a share that they do not ask for.
+        # Running teams without waiting tasks are not ranked, because they would
+        # accumulate a deficit for a share that they do not request.
         waiting_teams = frozenset(candidates)
         yielding: set[str] = set()
         while candidates and started < STARTS_PER_TICK:
@@ -89,11 +87,11 @@
                 break
             candidates &= set(core.queue.teams())
         if started >= STARTS_PER_TICK:
-            core.placement_needed = True  # the rest follows in the next tick
+            core.placement_needed = True  # continue in the next tick
         return started
 
     def _yielding(self, team: str, waiting: frozenset[str], now: float) -> set[str]:
-        """Return the teams that leave the gaps to a blocked team below its share."""
+        """Return the teams that leave free capacity to `team`, if it is below share."""
         shares = self._core.shares
         if shares.shortfalls(waiting, now)[team] <= 0:
             return set()
@@ -102,8 +100,8 @@
     def _place_team(
         self, team: str, rank: int, no_room: set, now: float, only_preempting: bool
     ) -> int:
-        # One iterator for the whole tick, since creating one costs time in
-        # proportion to the number of waiting jobs.
+        # The iterator is kept for the whole tick because creating one takes time
+        # linear in the number of waiting jobs.
         groups = self._groups.get(team)
         if groups is None:
             groups = self._groups[team] = self._next_groups(team, now)
@@ -125,10 +123,10 @@
         return started
 
     def _next_groups(self, team: str, now: float) -> Iterator[waiting.Group]:
-        """Yield the first groups of a team, then those after the last one seen.
+        """Yield the head of a team's queue, then the groups after the last scan.
 
-        Those for which running work was stopped are the very first: far back in the
-        queue they would not be looked at before their reservation ends.
+        Jobs for which running tasks were preempted come before both. Far back in the
+        queue, they might not be examined before their reservation expires.
         """
         skipped_until = HEAD_GROUPS + self._scan_offsets.pop(team, 0)
         queue = self._core.queue
@@ -145,17 +143,17 @@
             if position >= HEAD_GROUPS:
                 self._scan_offsets[team] = position + 1 - HEAD_GROUPS
             yield group
-        self._scan_offsets.pop(team, None)  # all were seen; the next tick begins again
+        self._scan_offsets.pop(team, None)  # the scan reached the end of the queue
 
     def _may_preempt(self, job_id: str, now: float) -> bool:
-        """Return whether a job may stop others, and so need not yield to them."""
+        """Return whether a job may preempt others and therefore need not yield."""
         record = self._core.table.jobs[job_id]
         return self._has_freed_room(job_id) or preemption.may_preempt(
             self._core, record, now
         )
 
     def _has_freed_room(self, job_id: str) -> bool:
-        """Return whether running work was stopped for a job."""
+        """Return whether running tasks were preempted for a job."""
         held = self._core.reservations.get(job_id)
         return held is not None and held.by_preemption
 
@@ -223,7 +221,9 @@
             if len(self.blocked) >= MAX_BLOCKED_JOBS:
                 del self.blocked[next(iter(self.blocked))]
             self.blocked[record.spec.id] = record
-        self._core.decisions.wait(record.spec.id, rank, "room", rejected.rejected)
+        self._core.decisions.record_wait(
+            record.spec.id, rank, "room", rejected.rejected
+        )
         return 0
 
     def _constraints(
--- a/toucanspring/scheduling/draining.py
+++ b/toucanspring/scheduling/draining.py
@@ -1,22 +1,22 @@
-"""Comparison of what the draining of workers for a gang costs with checkpoints."""
+"""Compare the cost of draining workers for a gang with that of checkpoints."""
 
 from __future__ import annotations
 
 from toucanspring import job, resources
 from toucanspring.scheduling import lifecycle, reservation, task_table
 
-OVERDUE_S = 1.0  # a task beyond its expected end is expected to end so soon
-# What a checkpoint costs a task beside its progress: storing it, and waiting and
-# starting elsewhere.
+OVERDUE_S = 1.0  # assumed remaining time of a task past its expected end
+# Cost of a checkpoint besides lost progress: storing it, waiting, and starting on
+# another worker.
 CHECKPOINT_COST_S = 10.0
 
 
 def idle_cost(
     core: lifecycle.Lifecycle, workers: frozenset[str], until: float, now: float
 ) -> float:
-    """Return what stays idle on workers that drain, in seconds of the whole cell.
+    """Return the idle capacity of draining workers, in seconds of the whole cell.
 
-    Nothing counts as idle as long as no other job waits.
+    The cost is zero while no other job is waiting.
     """
     if len(core.queue) < 2:
         return 0.0
@@ -31,9 +31,9 @@
 
 
 def may_end(record: task_table.JobRecord, held: reservation.Reservation) -> bool:
-    """Return whether checkpoints may end the draining of workers for a gang.
+    """Return whether checkpoints may replace the draining of workers for a gang.
 
-    Only deadline work is ahead of all classes whose work may be stopped.
+    Only the deadline class ranks above all classes that may be preempted.
     """
     return (
         record.spec.kind is job.Kind.GANG
@@ -50,10 +50,10 @@
     victims: dict[str, list[task_table.LiveTask]],
     demand: resources.Resources,
 ) -> dict[str, list[task_table.LiveTask]]:
-    """Return those that may be stopped to end the draining, the cheapest first.
+    """Return the tasks that may be checkpointed, the cheapest first.
 
-    A gang that takes its team beyond its share replaces only work of the team. The
-    stop of one member would stop a whole gang, so gangs are left.
+    If the gang takes its team above its share, only tasks of that team are eligible.
+    Gang members are not, because stopping one would stop the whole gang.
     """
     team = None if _is_within_target(core, record, demand) else record.spec.team
     return {
@@ -75,7 +75,7 @@
     record: task_table.JobRecord,
     demand: resources.Resources,
 ) -> bool:
-    """Return whether the waiting tasks of a job keep its team within its share."""
+    """Return whether a job's waiting tasks would keep its team within its share."""
     team = record.spec.team
     targets = core.shares.targets(core.running_teams() | set(core.queue.teams()))
     use = core.shares.use(team) + demand.times(record.waiting_count())
@@ -85,10 +85,10 @@
 def checkpoint_cost(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, now: float
 ) -> float:
-    """Return what stopping a task costs at most, in seconds of the whole cell.
+    """Return the maximum cost of stopping a task, in seconds of the whole cell.
 
-    A task that has not yet gone on from a checkpoint is counted as if it had to
-    begin again, since its work may not support checkpoints.
+    A task that has never resumed from a checkpoint may not support checkpoints, so
+    it is assumed to lose all its progress.
     """
     seconds = CHECKPOINT_COST_S
     if not task.progress:
--- a/toucanspring/scheduling/gang.py
+++ b/toucanspring/scheduling/gang.py
@@ -1,4 +1,4 @@
-"""Placement of gangs, and reservations held for work that waits for room."""
+"""Placement, restart and end of gangs, and reservations of workers for them."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     task_table,
 )
 
-RESERVATION_S = 1.0  # then the expected ends of tasks are looked at again
-# More reservations would leave little capacity for backfill.
+RESERVATION_S = 1.0  # then it is renewed from the current expected ends of tasks
+# More reservations would leave little capacity for backfilling.
 MAX_RESERVATIONS = 2
 
 
-def excluded_for(
+def excluded_workers(
     core: lifecycle.Lifecycle, spec: job.JobSpec, now: float
 ) -> frozenset[str]:
     """Return the reserved workers that a task of this job must not use.
@@ -29,31 +29,31 @@
     A task that is expected to end before the reservation starts may backfill.
     """
     excluded: frozenset[str] = frozenset()
-    if core.collecting == spec.id:
-        # Reservations of later gangs would hold the workers that it gets.
+    if core.collecting_gang == spec.id:
+        # Reservations of later gangs must not hold the workers that it collects.
         return excluded
     urgent = spec.job_class in (job.JobClass.CHECK, job.JobClass.URGENT)
-    if core.collecting and not urgent:
-        excluded = core.collected
+    if core.collecting_gang and not urgent:
+        excluded = core.collected_workers
     if not core.reservations:
         return excluded
     end = now + core.estimator.run_seconds(spec)
-    for job_id, held in core.reservations.items():
+    for job_id, reserved in core.reservations.items():
         service = spec.kind is job.Kind.SERVICE
-        if not held.exclusive or job_id == spec.id:
+        if not reserved.exclusive or job_id == spec.id:
             continue
-        if service or end > held.starts_at:
-            excluded |= held.workers
+        if service or end > reserved.starts_at:
+            excluded |= reserved.workers
     return excluded
 
 
-def expire(core: lifecycle.Lifecycle, now: float) -> None:
-    """Drop reservations whose time is over or whose job no longer waits."""
-    for job_id, held in list(core.reservations.items()):
-        waits = job_id in core.queue or held.moving
-        if now >= held.expires or not waits:
+def expire_reservations(core: lifecycle.Lifecycle, now: float) -> None:
+    """Drop reservations that have expired or whose job no longer waits."""
+    for job_id, reserved in list(core.reservations.items()):
+        waits = job_id in core.queue or reserved.for_move
+        if now >= reserved.expires_at or not waits:
             del core.reservations[job_id]
-            core.changed = True
+            core.placement_needed = True
 
 
 def place(
@@ -62,18 +62,19 @@
     demand: resources.Resources,
     constraints: placement.Constraints,
 ) -> list[tuple[str, list[int]]] | placement.NoRoom:
-    """Return workers and task indices for all waiting tasks, taken from the queue."""
+    """Take all waiting tasks of a gang from the queue and choose their workers."""
     spec = record.spec
     count = record.waiting_count()
     chosen: list[tuple[str, int]] | placement.NoRoom = placement.NoRoom({})
     if quarantined := core.quarantine.quarantined():
-        # A worker whose probe is due takes part only if there is no room without
-        # it: it could hold up the whole gang, but without other work nobody probes.
-        without = constraints.excluded.union(quarantined)
+        # Workers due for a probe are used only if there is no room without them, since
+        # one could delay the whole gang. They are not excluded altogether, since
+        # without other work nothing else would probe them.
+        excluded = constraints.excluded.union(quarantined)
         chosen = core.index.choose_gang(
             demand,
             count,
-            dataclasses.replace(constraints, excluded=without),
+            dataclasses.replace(constraints, excluded=excluded),
             spec.compact,
         )
     if isinstance(chosen, placement.NoRoom):
@@ -97,12 +98,12 @@
     avoided: frozenset[str],
     now: float,
 ) -> None:
-    """Hold the workers on which a gang is expected to have room first."""
+    """Reserve the workers on which a gang is expected to have room first."""
     if spec.id in core.reservations or len(core.reservations) >= MAX_RESERVATIONS:
         return
     taken = avoided
-    for held in core.reservations.values():
-        taken |= held.workers
+    for reserved in core.reservations.values():
+        taken |= reserved.workers
     found = earliest_room(core, spec, count, demand, taken, now)
     if found is not None:
         workers, starts_at = found
@@ -122,7 +123,7 @@
     taken: frozenset[str],
     now: float,
 ) -> tuple[frozenset[str], float] | None:
-    """Return the workers and the time at which `count` tasks are expected to fit."""
+    """Return the workers and the earliest time at which `count` tasks should fit."""
     zones = spec.availability_zones
     free: dict[str, resources.Resources] = {}
     ends: list[tuple[float, str, resources.Resources]] = []
@@ -157,36 +158,36 @@
     return frozenset(workers), starts_at
 
 
-def break_up(
+def restart(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     reason: str,
     now: float,
     delay: float = 0.0,
 ) -> None:
-    """Stop the members that run and queue all unfinished ones together again."""
+    """Stop the running members and queue all unfinished ones together."""
     record.gang_delay = max(record.gang_delay, delay)
-    if not record.gang_breaking:
-        record.gang_breaking = reason or "gang member stopped"
+    if not record.gang_stop_reason:
+        record.gang_stop_reason = reason or "gang member stopped"
         core.effects.publish(
             event_kinds.GangRequeued(
-                record.spec.id, len(record.live), record.gang_breaking
+                record.spec.id, len(record.live), record.gang_stop_reason
             )
         )
-        _stop_members(core, record, f"gang stopped: {record.gang_breaking}", now)
-    _settle(core, record, now)
+        _stop_members(core, record, f"gang stopped: {record.gang_stop_reason}", now)
+    _finish_stop(core, record, now)
 
 
 def abort(
     core: lifecycle.Lifecycle, record: task_table.JobRecord, reason: str, now: float
 ) -> None:
-    """End a gang of which one member ended for good without being done."""
+    """End a gang after one member ended without success and cannot be retried."""
     first = not record.gang_aborted
     record.gang_aborted = True
     if first:
-        record.gang_breaking = record.gang_breaking or reason
+        record.gang_stop_reason = record.gang_stop_reason or reason
         _stop_members(core, record, f"gang ended: {reason}", now)
-    _settle(core, record, now)
+    _finish_stop(core, record, now)
 
 
 def member_ended(
@@ -195,11 +196,11 @@
     outcome: job.Outcome,
     now: float,
 ) -> None:
-    """Go on after one member became final and others did not."""
+    """Abort the gang, or finish its stop, after one member has become final."""
     if outcome.state is not job.State.DONE:
         abort(core, record, outcome.reason, now)
     else:
-        _settle(core, record, now)
+        _finish_stop(core, record, now)
 
 
 def _stop_members(
@@ -210,18 +211,18 @@
     )
     for task in list(record.live.values()):
         if task.state is job.State.INTENDED:
-            core.vacate(record, task, now)  # was not sent
+            core.release_task(record, task, now)  # the start was not sent
         else:
             interruption.interrupt(core, task, reason, mode, event_kinds.StopCause.GANG)
 
 
-def _settle(
+def _finish_stop(
     core: lifecycle.Lifecycle, record: task_table.JobRecord, now: float
 ) -> None:
-    """Go on once no member occupies a worker."""
-    if record.live or record.held or record.outcome is not None:
+    """End or requeue a stopped gang once no member occupies a worker."""
+    if record.live or record.unconfirmed or record.outcome is not None:
         return
-    reason, record.gang_breaking = record.gang_breaking, ""
+    reason, record.gang_stop_reason = record.gang_stop_reason, ""
     if not reason:
         return
     if record.gang_aborted or record.cancelled:
@@ -230,4 +231,4 @@
     delay, record.gang_delay = record.gang_delay, 0.0
     record.delayed.update(record.waiting_indices())
     core.queue.remove(record.spec.id)
-    core.delay(record, -1, now + delay)
+    core.schedule_retry(record, -1, now + delay)
--- a/toucanspring/scheduling/interruption.py
+++ b/toucanspring/scheduling/interruption.py
@@ -1,4 +1,4 @@
-"""Stops of running tasks that the owner of a partition decides by itself."""
+"""Stops of running tasks on the scheduler's own decision."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     cause: event_kinds.StopCause,
     for_job: str = "",
 ) -> None:
-    """Stop a task and publish why; `mode` is `checkpoint` or `kill`."""
+    """Stop a task and publish the cause; `mode` is `checkpoint` or `kill`."""
     state = core.workers.get(task.worker)
     zone = state.facts.availability_zone if state is not None else ""
     if cause is event_kinds.StopCause.ZONE_OUT:
-        core.left_zones[zone] += 1
+        core.evacuated_tasks[zone] += 1
     core.effects.publish(
         event_kinds.TasksStopped(task.job_id, task.worker, zone, cause, mode, for_job)
     )
--- a/toucanspring/scheduling/inventory.py
+++ b/toucanspring/scheduling/inventory.py
@@ -1,4 +1,4 @@
-"""Workers sorted into buckets by free resources, to find the best fit quickly."""
+"""Buckets of workers by free resources, for a fast best-fit search."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from toucanspring import resources
 
-# Free processors and memory are sorted into size classes, four for each power of
-# two, so that a class differs from the next by at most 25%.
+# Free processors and memory fall into size classes, four per power of two, so that
+# adjacent classes differ by at most 25%.
 CLASS_BITS = 2
-# Upper bound on the members of one bucket that are compared; limits the cost of a
-# decision independently of the number of workers.
+# At most this many members of a bucket are compared, so that the cost of a decision
+# does not depend on the number of workers.
 MAX_PROBES = 4
-# Weight of the difference between left over processors and left over memory.
+# Weight of the difference between leftover processors and leftover memory.
 IMBALANCE_WEIGHT = 0.5
 
 
 def size_class(amount: int) -> int:
-    """Return the size class of an amount; 0 for none."""
+    """Return the size class of an amount; 0 for amounts of 0 and below."""
     if amount <= 0:
         return 0
     bits = amount.bit_length()
@@ -37,28 +37,28 @@
     return ((number & (1 << CLASS_BITS) - 1) + (1 << CLASS_BITS)) << shift
 
 
-CLASSES = 64 << CLASS_BITS  # enough for 64 bit amounts
-FLOORS = [class_floor(number) for number in range(CLASSES)]
+CLASS_COUNT = 64 << CLASS_BITS  # enough for 64 bit amounts
+CLASS_FLOORS = [class_floor(number) for number in range(CLASS_COUNT)]
 
 
-class Home(Protocol):
-    """Sums of the workers beside a worker, which hear of its changes."""
+class RackTotals(Protocol):
+    """Totals of the free resources in a rack, updated when a worker changes."""
 
-    def count(self, entry: Worker, sign: int) -> None:
-        """Add what a worker has free to the sums, or take it out."""
+    def adjust_totals(self, entry: Worker, sign: int) -> None:
+        """Add (sign 1) or subtract (-1) the free resources of a worker."""
 
-    def note_change(
+    def update_totals(
         self,
         cpus_before: int,
         memory_before: int,
         accelerators_before: int,
         entry: Worker,
     ) -> None:
-        """Take in that other amounts are free on a worker."""
+        """Apply a change of the free resources of a schedulable worker."""
 
 
 class Worker:
-    """Hold the state of one worker in the index."""
+    """Entry of one worker in the index, with its free resources."""
 
     __slots__ = (
         "accelerators",
@@ -66,12 +66,12 @@
         "buckets",
         "capacity",
         "cpus",
-        "home",
+        "list_index",
         "memory",
         "name",
-        "number",
         "positions",
         "rack",
+        "rack_totals",
         "schedulable",
     )
 
@@ -86,36 +86,36 @@
         self.memory = capacity.memory
         self.accelerators = capacity.accelerators
         self.schedulable = True
-        self.number = 0  # position in the list of all workers
-        self.home: Home | None = None
-        # Buckets and positions in them: in the cell's shelf, then in the zone's.
+        self.list_index = 0  # position in the list of all workers
+        self.rack_totals: RackTotals | None = None
+        # By level: 0 is the pool of the cell, 1 the pool of the availability zone.
         self.buckets: tuple[Bucket, ...] = ()
         self.positions = [0, 0]
 
     @property
     def free(self) -> resources.Resources:
-        """Return what is not allocated."""
+        """Return what is not allocated; amounts may be negative."""
         return resources.Resources(self.cpus, self.memory, self.accelerators)
 
 
 class Bucket:
-    """Hold the workers of one table whose free resources are of the same classes."""
+    """Workers of one table whose free resources have the same size classes."""
 
     __slots__ = ("column", "max_cpus", "max_memory", "members", "row", "table")
 
-    def __init__(self, table: Table, row: int, column: int) -> None:
+    def __init__(self, table: BucketTable, row: int, column: int) -> None:
         self.table = table
         self.row = row
         self.column = column
         self.members: list[Worker] = []
-        # Upper bounds on the free amounts of the members, made exact by `scan`.
+        # Upper bounds on the free amounts of the members, tightened by `scan`.
         self.max_cpus = 0
         self.max_memory = 0
 
     def scan(
         self, demand: resources.Resources, excluded: frozenset[str]
     ) -> Worker | None:
-        """Return any member with room; looks at all of them if need be."""
+        """Return any member with room; in the worst case checks all of them."""
         if demand.cpus > self.max_cpus or demand.memory > self.max_memory:
             return None
         max_cpus = max_memory = 0
@@ -132,17 +132,17 @@
         return None
 
 
-class Table:
-    """Sort workers into buckets by free processors and free memory."""
+class BucketTable:
+    """Buckets by the size classes of free processors (row) and memory (column)."""
 
     __slots__ = ("column_masks", "row_mask", "rows")
 
     def __init__(self) -> None:
         self.rows: dict[int, dict[int, Bucket]] = {}
-        self.row_mask = 0  # bit per size class of processors that is not empty
-        self.column_masks = [0] * CLASSES  # the same for memory, per row
+        self.row_mask = 0  # one bit for each row that is not empty
+        self.column_masks = [0] * CLASS_COUNT  # for each row, its columns
 
-    def insert(self, worker: Worker, row: int, column: int, which: int) -> Bucket:
+    def insert(self, worker: Worker, row: int, column: int, level: int) -> Bucket:
         """Add a worker to a bucket and return the bucket."""
         columns = self.rows.get(row)
         if columns is None:
@@ -154,19 +154,19 @@
         if not members:
             self.column_masks[row] |= 1 << column
             self.row_mask |= 1 << row
-        worker.positions[which] = len(members)
+        worker.positions[level] = len(members)
         members.append(worker)
         return bucket
 
-    def remove(self, worker: Worker, which: int) -> None:
-        """Take a worker out of its bucket."""
-        bucket = worker.buckets[which]
+    def remove(self, worker: Worker, level: int) -> None:
+        """Remove a worker from its bucket."""
+        bucket = worker.buckets[level]
         members = bucket.members
         last = members.pop()
         if last is not worker:
-            position = worker.positions[which]
+            position = worker.positions[level]
             members[position] = last
-            last.positions[which] = position
+            last.positions[level] = position
         if not members:
             row = bucket.row
             bucket.max_cpus = bucket.max_memory = 0
@@ -184,16 +184,16 @@
     ) -> tuple[float, Worker] | None:
         """Return cost and worker of the best fit.
 
-        `first_row` and `first_column` are the size classes of the demand.
-
-        The cost is what is left over, in `units` of processors and memory, plus a
-        part of the difference of the two, since one without the other is stranded.
+        `first_row` and `first_column` are the size classes of the demand. The cost is
+        the sum of leftover processors and memory, scaled by `units`, plus
+        IMBALANCE_WEIGHT times their difference: processors without memory, or memory
+        without processors, would be stranded.
         """
         need_cpus, need_memory = demand.cpus, demand.memory
         cpu_unit, memory_unit = units
         best: Worker | None = None
         best_cost = math.inf
-        unsure = []
+        partly_probed = []
         masks = self.column_masks
         rows = self.row_mask >> first_row << first_row
         while rows:
@@ -203,7 +203,9 @@
             columns = masks[row] >> first_column << first_column
             if not columns:
                 continue
-            least_cost = (FLOORS[row] - need_cpus) * cpu_unit * (1 + IMBALANCE_WEIGHT)
+            least_cost = (
+                (CLASS_FLOORS[row] - need_cpus) * cpu_unit * (1 + IMBALANCE_WEIGHT)
+            )
             if least_cost >= best_cost:
                 break
             buckets = self.rows[row]
@@ -224,19 +226,19 @@
                     if cost < best_cost:
                         best, best_cost = entry, cost
                 if found:
-                    # The other buckets of this row leave more memory over.
+                    # The remaining buckets of this row leave more memory unused.
                     break
                 if len(bucket.members) > MAX_PROBES:
-                    unsure.append(bucket)
+                    partly_probed.append(bucket)
         if best is None:
-            best, best_cost = _scan(unsure, demand, excluded), 0.0
+            best, best_cost = _scan_all(partly_probed, demand, excluded), 0.0
         return None if best is None else (best_cost, best)
 
 
-def _scan(
+def _scan_all(
     buckets: list[Bucket], demand: resources.Resources, excluded: frozenset[str]
 ) -> Worker | None:
-    """Return a worker with room from buckets that were only looked at in part."""
+    """Return a worker with room from buckets that were only partly probed."""
     for bucket in buckets:
         entry = bucket.scan(demand, excluded)
         if entry is not None:
@@ -244,41 +246,41 @@
     return None
 
 
-class Shelf:
-    """Hold the tables of one set of workers.
+class WorkerPool:
+    """Bucket tables of the workers of the cell or of one availability zone.
 
-    Workers without accelerators are in `plain`; the others are in a table per
-    number of free accelerators.
+    Workers without accelerators are in `without_accelerators`. The others are in one
+    table for each number of free accelerators.
     """
 
     def __init__(self) -> None:
-        self.plain = Table()
-        self.accelerated: dict[int, Table] = {}
+        self.without_accelerators = BucketTable()
+        self.by_free_accelerators: dict[int, BucketTable] = {}
 
-    def table_of(self, worker: Worker) -> Table:
-        """Return the table that a worker belongs to."""
+    def table_of(self, worker: Worker) -> BucketTable:
+        """Return the table for a worker by its free accelerators."""
         if not worker.capacity.accelerators:
-            return self.plain
-        table = self.accelerated.get(worker.accelerators)
+            return self.without_accelerators
+        table = self.by_free_accelerators.get(worker.accelerators)
         if table is None:
-            table = self.accelerated[worker.accelerators] = Table()
+            table = self.by_free_accelerators[worker.accelerators] = BucketTable()
         return table
 
-    def tables_for(self, accelerators: int) -> list[Table]:
-        """Return the tables that may hold room, the preferred one first.
+    def tables_for(self, accelerators: int) -> list[BucketTable]:
+        """Return the tables that may have room, in order of preference.
 
-        Work without accelerators uses workers that have them last, and among
-        these first those whose accelerators are in use.
+        Tasks without accelerators use workers with accelerators last, starting with
+        those that have the fewest free.
         """
         tables = [
-            self.accelerated[count]
-            for count in sorted(self.accelerated)
+            self.by_free_accelerators[count]
+            for count in sorted(self.by_free_accelerators)
             if count >= accelerators
         ]
-        return tables if accelerators else [self.plain, *tables]
+        return tables if accelerators else [self.without_accelerators, *tables]
 
     def members_with(self, demand: resources.Resources) -> Iterator[list[Worker]]:
-        """Yield the buckets that may hold workers with room, the emptiest first."""
+        """Yield the members of buckets that may have room, the emptiest first."""
         row, column = size_class(demand.cpus), size_class(demand.memory)
         for table in self.tables_for(demand.accelerators):
             rows = table.row_mask >> row << row
--- a/toucanspring/scheduling/lifecycle.py
+++ b/toucanspring/scheduling/lifecycle.py
@@ -1,4 +1,4 @@
-"""Shared state of one partition and the transitions of its tasks."""
+"""State of one partition and the state transitions of its tasks."""
 
 from __future__ import annotations
 
@@ -29,9 +29,10 @@
 RETRY_FIRST_S = 1.0
 RETRY_GROWTH = 2.0
 RETRY_MAX_S = 60.0
-# Ends a task whose failures were all on workers that were quarantined later.
+# Failures on workers that were later quarantined do not count as retries. This limit
+# ends a task that has no other failures.
 MAX_UNCOUNTED_FAILURES = 10
-# A task that was lost with its worker so often is likely to be the cause.
+# A task that was lost with its worker more often probably caused the losses.
 MAX_LOSSES = 5
 CANCELLED = "cancelled"
 NOT_RUN_CANCELLED = job.Outcome(job.State.NOT_RUN, CANCELLED)
@@ -39,7 +40,7 @@
 
 
 class GangHandler(Protocol):
-    """What happens to a gang when one of its members ends or waits again."""
+    """Handling of a gang whose member ends or has to be requeued."""
 
     def member_ended(
         self,
@@ -48,7 +49,7 @@
         outcome: job.Outcome,
         now: float,
     ) -> None:
-        """Go on after one member became final and others did not."""
+        """Handle a member that became final before the other members."""
 
     def restart(
         self,
@@ -58,11 +59,11 @@
         now: float,
         delay: float,
     ) -> None:
-        """Stop all members, which start again together after `delay` seconds."""
+        """Stop all members and restart them together after `delay` seconds."""
 
 
 class Lifecycle:
-    """Start, end, queue and finish the tasks of one partition."""
+    """Queue, start and finish the tasks of one partition."""
 
     def __init__(self, rng: random.Random, gangs: GangHandler) -> None:
         self._gangs = gangs
@@ -78,37 +79,39 @@
         self.decisions = decisions.Decisions()
         self.workers: dict[str, worker_state.WorkerState] = {}
         self.tasks_on: dict[str, dict[str, task_table.LiveTask]] = {}
-        # Every worker that was ever attached, present or not.
+        # All workers that were ever attached, including those that are gone.
         self.known_workers: dict[str, effects.WorkerFacts] = {}
         self.new_worker_at = 0.0
-        self.too_large: set[str] = set()  # jobs to check again once all are known
+        # Jobs whose size is checked again once all workers are known.
+        self.too_large: set[str] = set()
         self.teams: dict[str, fairness.Team] = {}
         self.zones_out: frozenset[str] = frozenset()
-        # Tasks that were stopped to leave each zone, until it is in service again.
+        # Tasks stopped in each zone that is out of service, until it returns.
         self.evacuated_tasks: collections.Counter[str] = collections.Counter()
-        # Workers that may run tasks of the former owner, with their capacity.
+        # Capacity of workers that may still run tasks of the previous owner.
         self.expected_workers: dict[str, resources.Resources | None] = {}
-        self.unconfirmed_jobs: set[str] = set()  # jobs with tasks that may run there
+        self.unconfirmed_jobs: set[str] = set()  # may have tasks on expected workers
         self.reservations: dict[str, reservation.Reservation] = {}
         self.paused: set[str] = set()  # workers that refused a start
-        # Workers that get no new tasks: drained for a gang elsewhere, or being moved.
+        # Workers that get no new tasks because they are drained for a gang of another
+        # partition or are being moved there.
         self.cordoned_workers: set[str] = set()
-        # The gang that other partitions give workers to, and the workers it has.
+        # The gang that receives workers from other partitions, and those received.
         self.collecting_gang = ""
         self.collected_workers: frozenset[str] = frozenset()
-        # Workers of other partitions; `None` until they are known.
+        # Workers of other partitions, or None until they are known.
         self.other_partition_workers: (
             dict[str, capacity_report.ListedWorker] | None
         ) = {}
         self.leaving: set[str] = set()  # workers for which `leaving` is set
         self.retries: list[tuple[float, int, str, int]] = []  # heap by due time
         self._sequence = 0
-        self.placement_needed = True  # something may have made room for waiting work
+        self.placement_needed = True  # waiting tasks may have become placeable
 
     # Workers
 
     def update_schedulable(self, worker: str, now: float) -> None:
-        """Apply stream, leaving, zone, refusals and quarantine to the index."""
+        """Recompute whether new tasks may be placed on a worker."""
         state = self.workers.get(worker)
         if state is None:
             return
@@ -128,7 +131,7 @@
             self.placement_needed = True
 
     def end_pauses(self, now: float) -> None:
-        """Use workers again whose pause is over or whose probe is due."""
+        """Reactivate workers whose pause has ended or whose probe is due."""
         for worker in [*self.paused, *self.quarantine.quarantined()]:
             state = self.workers.get(worker)
             if state is None or now >= state.paused_until:
@@ -136,7 +139,7 @@
                 self.update_schedulable(worker, now)
 
     def running_teams(self) -> set[str]:
-        """Return the teams that have work on workers."""
+        """Return the teams that have tasks on workers."""
         return {
             team
             for team in self.allowances.teams()
@@ -148,7 +151,7 @@
     def dependency_finished(
         self, job_id: str, outcome: job.Outcome, now: float
     ) -> None:
-        """Release or end the jobs that wait for a finished job."""
+        """Queue or end the jobs that depend on a finished job."""
         finished = [(job_id, outcome)]
         while finished:
             job_id, outcome = finished.pop()
@@ -167,7 +170,7 @@
         now: float,
         indices: Iterable[int] | None = None,
     ) -> None:
-        """Queue tasks of a job, by default all that wait for nothing else."""
+        """Queue tasks of a job, by default all that are ready to start."""
         if indices is None:
             unconfirmed, delayed = record.unconfirmed, record.delayed
             indices = (
@@ -188,13 +191,13 @@
             self.dependency_finished(record.spec.id, job_outcome, now)
 
     def cancel(self, record: task_table.JobRecord, now: float) -> None:
-        """End waiting tasks as not run and stop the running ones."""
+        """End waiting tasks as not run and stop running tasks."""
         if record.outcome is not None or record.cancelled:
             return
         record.cancelled = True
         for task in list(record.live.values()):
             if task.state is job.State.INTENDED:
-                self.release_task(record, task, now)  # was not sent, so it cannot run
+                self.release_task(record, task, now)  # the start was not sent
             else:
                 self.stop(task, CANCELLED, "kill")
         self.end_waiting(record, NOT_RUN_CANCELLED, now)
@@ -202,7 +205,7 @@
     def _set_waiting_final(
         self, record: task_table.JobRecord, outcome: job.Outcome
     ) -> None:
-        """Make waiting tasks final, except those that may run on some worker."""
+        """Set the outcome of waiting tasks, except those that may run on a worker."""
         self.queue.remove(record.spec.id)
         record.delayed.clear()
         job_id, record_outcome = record.spec.id, self.effects.record_outcome
@@ -211,7 +214,7 @@
                 continue
             final = outcome
             if index in record.ran and outcome.state is job.State.NOT_RUN:
-                # An earlier attempt ran, so "not run" would be wrong.
+                # NOT_RUN would be wrong because an earlier attempt ran.
                 final = job.Outcome(job.State.FAILED, outcome.reason)
             record.set_final(index, final)
             record_outcome(job.task_id(job_id, index), final)
@@ -228,7 +231,10 @@
     # Tasks
 
     def demand(self, spec: job.JobSpec) -> resources.Resources:
-        """Return what a task holds: the learned size, if that has room at all."""
+        """Return the resources to allocate to a task.
+
+        The learned demand is used unless no worker or team ceiling could ever fit it.
+        """
         learned = self.estimator.demand(spec)
         if learned != spec.demand:
             together = spec.task_count if spec.kind is job.Kind.GANG else 1
@@ -247,7 +253,7 @@
         demand: resources.Resources,
         now: float,
     ) -> None:
-        """Start tasks of one job on one worker, or record the intent to do so."""
+        """Start tasks of a job on a worker, or record intents to start them."""
         spec = record.spec
         team, idempotent = spec.team, spec.idempotent
         incarnation = self.workers[worker].facts.incarnation
@@ -308,7 +314,7 @@
     def adopt(
         self, record: task_table.JobRecord, task: task_table.LiveTask, now: float
     ) -> None:
-        """Count a task that already runs or may run on its worker."""
+        """Account for a task that runs, or may run, on its worker already."""
         record.unconfirmed.discard(task.index)
         record.attempts[task.index] = max(
             record.attempts.get(task.index, 0), task.attempt
@@ -323,7 +329,7 @@
     def resize(
         self, task: task_table.LiveTask, demand: resources.Resources, now: float
     ) -> None:
-        """Correct what a task holds."""
+        """Change the resources that are allocated to a task."""
         self.index.release(task.worker, task.demand)
         self.index.allocate(task.worker, demand)
         self.allowances.free(task.team, task.demand)
@@ -333,9 +339,9 @@
         task.demand = demand
 
     def stop(self, task: task_table.LiveTask, reason: str, mode: str) -> None:
-        """Ask the worker to stop a task; its report ends the attempt.
+        """Ask the worker to stop a task; the worker's report ends the attempt.
 
-        A worker that is not attached is asked once it is.
+        A detached worker is asked once it attaches again.
         """
         task.stop_reason, task.stop_mode = reason, mode
         state = self.workers.get(task.worker)
@@ -345,7 +351,7 @@
     def release_task(
         self, record: task_table.JobRecord, task: task_table.LiveTask, now: float
     ) -> None:
-        """Give back what a task held; it is waiting afterwards."""
+        """Release the resources of a task, which is waiting afterwards."""
         self.table.close_task(record, task)
         on_worker = self.tasks_on.get(task.worker)
         if on_worker is not None:
@@ -362,7 +368,7 @@
         outcome: job.Outcome,
         now: float,
     ) -> None:
-        """Record the final outcome of a task that occupies no worker."""
+        """Record the final outcome of a task that is on no worker."""
         record.set_final(index, outcome)
         self.effects.record_outcome(f"{record.spec.id}/{index}", outcome)
         if record.complete():
@@ -380,7 +386,7 @@
         delay: float = 0.0,
         reason: str = "",
     ) -> None:
-        """Queue a task again that occupies no worker, after `delay` seconds."""
+        """Requeue a task that is on no worker, after `delay` seconds."""
         if record.cancelled:
             ran = index in record.ran
             outcome = FAILED_CANCELLED if ran else NOT_RUN_CANCELLED
@@ -399,12 +405,12 @@
     def schedule_retry(
         self, record: task_table.JobRecord, index: int, due: float
     ) -> None:
-        """Wake a task at `due`; index -1 wakes all tasks of a gang."""
+        """Requeue a task at `due`; index -1 stands for all tasks of a gang."""
         self._sequence += 1
         heapq.heappush(self.retries, (due, self._sequence, record.spec.id, index))
 
     def queue_due_retries(self, now: float) -> None:
-        """Queue the tasks whose retry time has come."""
+        """Requeue the tasks whose retry delay has ended."""
         while self.retries and self.retries[0][0] <= now:
             _, _, job_id, index = heapq.heappop(self.retries)
             record = self.table.jobs.get(job_id)
@@ -419,7 +425,7 @@
 
 
 def dependency_failed(job_id: str, outcome: job.Outcome) -> job.Outcome:
-    """Return the outcome of work that waited for a job that is not done."""
+    """Return the outcome of a job whose dependency did not succeed."""
     reason = f"dependency {job_id} ended {outcome.state.value}"
     if outcome.reason:
         reason = f"{reason}: {outcome.reason}"
--- a/toucanspring/scheduling/move_planner.py
+++ b/toucanspring/scheduling/move_planner.py
@@ -1,4 +1,4 @@
-"""Choice of the workers that leave a partition for others; performs no I/O."""
+"""Choice of the workers to move to other partitions; performs no I/O."""
 
 from __future__ import annotations
 
@@ -18,95 +18,103 @@
     task_table,
 )
 
-# Work that has waited less mostly gets room sooner from tasks that end than from a
-# worker that moves, which takes about 2 s.
+# Work that has waited for less time usually gets room sooner from tasks that end than
+# from moving a worker, which takes about 2 s.
 WAIT_BEFORE_MOVE_S = 1.0
-IDLE_S = 0.5  # a worker between two tasks is not idle
-REST_S = 10.0  # a moved worker stays so long unless a gang needs it
-# Until then a gang gets idle workers only, since draining leaves capacity unused.
+MIN_IDLE_S = 0.5  # a worker between two tasks is not idle
+MOVE_COOLDOWN_S = 10.0  # before the next move of a worker, unless for a gang
+# A gang that has waited less gets only idle workers, since draining leaves capacity
+# unused.
 DRAIN_AFTER_S = 5.0
-# Without any worker a partition would need a move to start its next task.
-KEPT_WORKERS = 1
-# A gang that has waited so long gets the last worker of a partition as well.
-LAST_AFTER_S = 10.0
-# Bounds what one need takes before the next statements are heard.
+# A partition without workers could not start its next task before a move.
+MIN_WORKERS = 1
+# A gang that has waited this long may take the last worker of a partition too.
+LAST_WORKER_AFTER_S = 10.0
+# Limits what one request takes before the next reports arrive.
 MAX_SPARE_BATCH = 8
 
 
 @dataclasses.dataclass(frozen=True)
-class Facts:
-    """Hold what the partition's own state does not tell.
-
-    `arriving` workers belong to the partition but have not attached yet; `bound`
-    workers are named by records that are not complete in the log; `counts` has the
-    workers of each partition.
+class CellView:
+    """State outside the partition that the planner needs.
+
+    `arriving` workers belong to the partition but have not attached yet. `bound`
+    workers are named in records that are not complete in the log. `changed_at` maps
+    partitions to the version of the row `workers` that last changed their workers,
+    `moved_at` maps workers to the monotonic time of their last move, and
+    `worker_counts` maps partitions to their numbers of workers.
     """
 
-    version: int = 0
+    workers_version: int = 0
     changed_at: Mapping[int, int] = dataclasses.field(default_factory=dict)
     moved_at: Mapping[str, float] = dataclasses.field(default_factory=dict)
     accepted_ms: Mapping[str, int] = dataclasses.field(default_factory=dict)
-    arriving: Mapping[str, capacity_report.Listed] = dataclasses.field(
+    arriving: Mapping[str, capacity_report.ListedWorker] = dataclasses.field(
         default_factory=dict
     )
-    elsewhere: Mapping[str, capacity_report.Listed] = dataclasses.field(
-        default_factory=dict
+    other_partition_workers: Mapping[str, capacity_report.ListedWorker] = (
+        dataclasses.field(default_factory=dict)
     )
     bound: frozenset[str] = frozenset()
-    current: int = 0  # number of partitions; 0 keeps `resizing` out
-    counts: Mapping[int, int] = dataclasses.field(default_factory=dict)
+    partition_count: int = 0  # 0 disables moves by `resizing`
+    worker_counts: Mapping[int, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """Name empty workers that are to move to one partition together."""
+    """Empty workers to move to one partition in one transaction."""
 
     receiver: int
     workers: tuple[str, ...]
 
 
-class Moves:
-    """State a partition's needs and choose which of its workers to give away."""
+class MovePlanner:
+    """Reports what capacity a partition lacks and plans moves of its workers."""
 
     def __init__(
         self, core: lifecycle.Lifecycle, dispatcher: dispatch.Dispatcher
     ) -> None:
         self._core = core
         self._dispatcher = dispatcher
-        self._room = partition_capacity.Room(core)
+        self._capacity = partition_capacity.PartitionCapacity(core)
         self._idle_since: dict[str, float] = {}
 
-    def state(self, facts: Facts, now: float) -> capacity_report.Statement:
-        """Return what the partition lacks and what it does not use."""
+    def report(self, view: CellView, now: float) -> capacity_report.CapacityReport:
+        """Return the capacity that the partition lacks and its idle workers."""
         core = self._core
-        new = facts.elsewhere.keys() - (core.other_partition_workers or {}).keys()
+        new = (
+            view.other_partition_workers.keys()
+            - (core.other_partition_workers or {}).keys()
+        )
         if new - core.known_workers.keys():
-            core.new_worker_at = now  # others may follow
-        core.other_partition_workers = dict(facts.elsewhere)
-        self._note_idle(now)
-        gangs: list[capacity_report.Need] = []
-        waiting: dict[tuple, capacity_report.Need] = {}
+            core.new_worker_at = now  # more may follow
+        core.other_partition_workers = dict(view.other_partition_workers)
+        self._update_idle_times(now)
+        gangs: list[capacity_report.CapacityRequest] = []
+        waiting: dict[tuple, capacity_report.CapacityRequest] = {}
         for record in self._blocked():
-            stated = self._need(record, facts, now)
+            request = self._request(record, view, now)
             if record.spec.kind is job.Kind.GANG:
-                if stated := self._gang_need(stated, facts):
-                    gangs.append(stated)
-            elif stated.waited_ms >= WAIT_BEFORE_MOVE_S * 1000:
-                shape = (stated.demand, stated.availability_zones)
-                waiting[shape] = capacity_report.join(waiting.get(shape), stated)
-        lacking: list[capacity_report.Need] = []
+                if request := self._gang_request(request, view):
+                    gangs.append(request)
+            elif request.waited_ms >= WAIT_BEFORE_MOVE_S * 1000:
+                shape = (request.demand, request.availability_zones)
+                waiting[shape] = capacity_report.merge(waiting.get(shape), request)
+        lacking: list[capacity_report.CapacityRequest] = []
         for entry in sorted(waiting.values(), key=lambda entry: entry.order):
             if len(lacking) == capacity_report.MAX_WAITING:
                 break
-            if short := self._still_lacking(entry, facts, now):
-                lacking.append(short)
-        return capacity_report.Statement(
-            facts.version,
+            if remaining := self._remaining_request(entry, view, now):
+                lacking.append(remaining)
+        return capacity_report.CapacityReport(
+            view.workers_version,
             min(gangs, key=lambda entry: entry.order, default=None),
             lacking,
             [
-                capacity_report.Idle(worker, state.availability_zone, state.capacity)
-                for worker in self._spare(facts, now)[: capacity_report.MAX_IDLE]
+                capacity_report.IdleWorker(
+                    worker, state.availability_zone, state.capacity
+                )
+                for worker in self._spare_workers(view, now)[: capacity_report.MAX_IDLE]
                 for state in (core.workers[worker].facts,)
             ],
         )
@@ -114,60 +122,62 @@
     def plan(
         self,
         own: int,
-        statements: dict[int, capacity_report.Statement],
-        facts: Facts,
+        reports: dict[int, capacity_report.CapacityReport],
+        view: CellView,
         now: float,
         moving: frozenset[str] = frozenset(),
     ) -> Batch | None:
-        """Choose workers to move now; withhold them and those to drain.
+        """Choose workers to move now; cordon them and those to drain first.
 
-        Workers that no need asks for any more are used again, except `moving` ones:
-        whose they are is not known until the row has been read again.
+        Workers that are no longer requested are uncordoned, except those in `moving`:
+        their owner is not known until the row `workers` has been read again.
         """
-        self._note_idle(now)
-        served = capacity_report.oldest_gang(statements)
-        self._collect(own, served)
+        self._update_idle_times(now)
+        served = capacity_report.oldest_gang(reports)
+        self._collect_for_gang(own, served)
         chosen: list[str] = []
         batch = None
-        first = served is not None and self._serves_first(served[1], facts, now)
+        first = served is not None and self._has_older_gang(served[1], view, now)
         if served is not None and served[0] != own and not first:
-            chosen = self._choose_for_gang(served[1], give=True)
+            chosen = self._choose_for_gang(served[1], donate=True)
             self._stop_services(chosen)
-            batch = self._empty_batch(served[0], chosen, facts)
+            batch = self._empty_batch(served[0], chosen, view)
         fresh = {
-            partition: stated
-            for partition, stated in statements.items()
-            # An older statement does not count the workers that have moved since.
-            if stated.workers_version >= facts.changed_at.get(partition, 0)
+            partition: report
+            for partition, report in reports.items()
+            # An older report does not include the workers that have moved since.
+            if report.workers_version >= view.changed_at.get(partition, 0)
         }
         if batch is not None and batch.receiver not in fresh:
             batch = None
         if batch is None:
-            batch = self._spare_batch(own, fresh, frozenset(chosen), facts, now)
-        if batch is None and facts.current:
-            resized = self._resize(own, fresh, frozenset(chosen), facts, now)
+            batch = self._spare_batch(own, fresh, frozenset(chosen), view, now)
+        if batch is None and view.partition_count:
+            resized = self._rebalance_after_resize(
+                own, fresh, frozenset(chosen), view, now
+            )
             if resized is not None:
                 receiver, freed = resized
                 chosen = [*chosen, *freed]
-                batch = self._empty_batch(receiver, freed, facts)
+                batch = self._empty_batch(receiver, freed, view)
         if moving:
             batch = None
-        self._withhold(moving.union(chosen, batch.workers if batch else ()), now)
+        self._cordon(moving.union(chosen, batch.workers if batch else ()), now)
         return batch
 
-    # Needs
+    # Requests
 
     def _blocked(self) -> Iterator[task_table.JobRecord]:
         for record in self._dispatcher.blocked.values():
             if record.spec.id in self._core.queue and record.outcome is None:
                 yield record
 
-    def _need(
-        self, record: task_table.JobRecord, facts: Facts, now: float
-    ) -> capacity_report.Need:
+    def _request(
+        self, record: task_table.JobRecord, view: CellView, now: float
+    ) -> capacity_report.CapacityRequest:
         spec = record.spec
-        return capacity_report.Need(
-            facts.accepted_ms.get(spec.id, 0),
+        return capacity_report.CapacityRequest(
+            view.accepted_ms.get(spec.id, 0),
             spec.id,
             self._core.demand(spec),
             len(self._core.queue.find(spec.id)),
@@ -175,32 +185,36 @@
             int((now - record.accepted_at) * 1000),
         )
 
-    def _gang_need(
-        self, wanted: capacity_report.Need, facts: Facts
-    ) -> capacity_report.Need | None:
-        """Return what a gang lacks beyond its own partition's workers when empty.
+    def _gang_request(
+        self, request: capacity_report.CapacityRequest, view: CellView
+    ) -> capacity_report.CapacityRequest | None:
+        """Return what a gang lacks even if its partition's own workers were empty.
 
-        A gang that gets workers is stated until it starts, so that no other gang is
-        served before.
+        A gang that is being given workers stays in the report until it starts, so that
+        no other gang is served before.
         """
-        own = self._room.own(wanted) + self._room.listed(wanted, facts.arriving)
-        lacking = max(0, wanted.tasks - own)
-        if not lacking and self._core.collecting_gang != wanted.job_id:
+        own = self._capacity.eventual_room(request) + self._capacity.listed_room(
+            request, view.arriving
+        )
+        lacking = max(0, request.tasks - own)
+        if not lacking and self._core.collecting_gang != request.job_id:
             return None
-        # A gang beyond the present workers would hold up all others.
-        if lacking > self._room.listed(wanted, facts.elsewhere):
+        # A gang too large for the present workers would block all others.
+        if lacking > self._capacity.listed_room(request, view.other_partition_workers):
             return None
-        return wanted.with_tasks(lacking)
-
-    def _still_lacking(
-        self, wanted: capacity_report.Need, facts: Facts, now: float
-    ) -> capacity_report.Need | None:
-        """Return a need without what is free or on its way, if others can meet it."""
-        left = wanted.tasks - self._room.listed(wanted, facts.arriving)
-        left -= self._room.free(wanted, now)
-        if left <= 0 or not self._room.listed(wanted, facts.elsewhere):
+        return request.with_tasks(lacking)
+
+    def _remaining_request(
+        self, request: capacity_report.CapacityRequest, view: CellView, now: float
+    ) -> capacity_report.CapacityRequest | None:
+        """Return a request less what is free or arriving, if other workers fit it."""
+        left = request.tasks - self._capacity.listed_room(request, view.arriving)
+        left -= self._capacity.free_room(request, now)
+        if left <= 0 or not self._capacity.listed_room(
+            request, view.other_partition_workers
+        ):
             return None
-        return wanted.with_tasks(left)
+        return request.with_tasks(left)
 
     # Workers
 
@@ -208,78 +222,88 @@
         core = self._core
         return not core.tasks_on.get(worker) and not core.workers[worker].orphans
 
-    def _emptied_at(self, worker: str) -> float:
-        """Return when the last task is expected to end, in monotonic seconds."""
+    def _expected_empty_at(self, worker: str) -> float:
+        """Return the monotonic time at which the last task is expected to end."""
         tasks = self._core.tasks_on.get(worker, {}).values()
         return max((task.expected_end for task in tasks), default=0.0)
 
-    def _note_idle(self, now: float) -> None:
+    def _update_idle_times(self, now: float) -> None:
         idle = {worker for worker in self._core.workers if self._is_empty(worker)}
         self._idle_since = {
             worker: self._idle_since.get(worker, now) for worker in idle
         }
 
-    def _spare(self, facts: Facts, now: float) -> list[str]:
-        """Return the idle workers that own waiting work does not need."""
+    def _spare_workers(self, view: CellView, now: float) -> list[str]:
+        """Return the idle workers that the own waiting work does not need."""
         core = self._core
-        held = core.collected_workers.union(
-            facts.bound, *(entry.workers for entry in core.reservations.values())
+        reserved = core.collected_workers.union(
+            view.bound, *(entry.workers for entry in core.reservations.values())
         )
-        usable = dict(self._room.usable())
+        usable = dict(self._capacity.usable_workers())
         spare = [
             worker
             for worker, state in usable.items()
             if (state.schedulable or worker in core.cordoned_workers)
-            and worker not in held
-            and now - self._idle_since.get(worker, now) >= IDLE_S
-            and now - facts.moved_at.get(worker, -math.inf) >= REST_S
+            and worker not in reserved
+            and now - self._idle_since.get(worker, now) >= MIN_IDLE_S
+            and now - view.moved_at.get(worker, -math.inf) >= MOVE_COOLDOWN_S
         ]
         for record in self._blocked():
-            wanted = self._need(record, facts, now)
-            left = wanted.tasks
+            request = self._request(record, view, now)
+            left = request.tasks
             for worker in list(spare):
                 if left <= 0:
                     break
-                known = usable[worker].facts
-                if room := wanted.room_in(known.availability_zone, known.capacity):
+                facts = usable[worker].facts
+                if room := request.room_in(facts.availability_zone, facts.capacity):
                     left -= room
                     spare.remove(worker)
-        return sorted(spare)[: max(0, len(usable) - KEPT_WORKERS)]
+        return sorted(spare)[: max(0, len(usable) - MIN_WORKERS)]
 
-    # Gifts
+    # Workers for other partitions
 
-    def _serves_first(
-        self, other: capacity_report.Need, facts: Facts, now: float
+    def _has_older_gang(
+        self, other: capacity_report.CapacityRequest, view: CellView, now: float
     ) -> bool:
-        """Return whether an older gang waits here that needs no other workers."""
+        """Return whether an older gang waits here that the own workers can run."""
         for record in self._blocked():
             if record.spec.kind is not job.Kind.GANG:
                 continue
-            wanted = self._need(record, facts, now)
-            if wanted.order < other.order and self._room.own(wanted) >= wanted.tasks:
+            request = self._request(record, view, now)
+            if (
+                request.order < other.order
+                and self._capacity.eventual_room(request) >= request.tasks
+            ):
                 return True
         return False
 
-    def _choose_for_gang(self, wanted: capacity_report.Need, give: bool) -> list[str]:
-        """Return workers whose room is what a gang lacks, those empty first.
+    def _choose_for_gang(
+        self, request: capacity_report.CapacityRequest, donate: bool
+    ) -> list[str]:
+        """Return workers with the room that a gang lacks, empty ones first.
 
-        With `give` they are to leave the partition without what runs there. Once the
-        gang has waited for long, busy workers are included: they are drained.
+        With `donate` they will leave the partition, so services on them do not count
+        as use. Once the gang has waited for DRAIN_AFTER_S, busy workers are included
+        and drained.
         """
         found = []
-        for worker, state in self._room.usable():
-            amount = state.facts.capacity if give else self._room.lasting(worker)
-            room = wanted.room_in(state.facts.availability_zone, amount)
+        for worker, state in self._capacity.usable_workers():
+            amount = (
+                state.facts.capacity
+                if donate
+                else self._capacity.capacity_without_services(worker)
+            )
+            room = request.room_in(state.facts.availability_zone, amount)
             empty = self._is_empty(worker)
-            if room and (empty or wanted.waited_ms >= DRAIN_AFTER_S * 1000):
-                serving = bool(self._room.services(worker))
-                ends_at = self._emptied_at(worker)
+            if room and (empty or request.waited_ms >= DRAIN_AFTER_S * 1000):
+                serving = bool(self._capacity.services_on(worker))
+                ends_at = self._expected_empty_at(worker)
                 found.append((not empty, serving, ends_at, worker, room))
         found.sort()
-        if give and wanted.waited_ms < LAST_AFTER_S * 1000:
-            usable = sum(1 for _ in self._room.usable())
-            found = found[: max(0, usable - KEPT_WORKERS)]
-        chosen, left = [], wanted.tasks
+        if donate and request.waited_ms < LAST_WORKER_AFTER_S * 1000:
+            usable = sum(1 for _ in self._capacity.usable_workers())
+            found = found[: max(0, usable - MIN_WORKERS)]
+        chosen, left = [], request.tasks
         for *_, worker, room in found:
             if left <= 0:
                 break
@@ -288,9 +312,9 @@
         return chosen
 
     def _stop_services(self, workers: list[str]) -> None:
-        """Let services on drained workers start again elsewhere; they never end."""
+        """Restart services on drained workers elsewhere, since they never end."""
         for worker in workers:
-            for task in self._room.services(worker):
+            for task in self._capacity.services_on(worker):
                 if not task.stop_reason and task.state is not job.State.INTENDED:
                     reason = "the worker moves to a gang's partition"
                     interruption.interrupt(
@@ -302,39 +326,39 @@
                     )
 
     def _empty_batch(
-        self, receiver: int, chosen: list[str], facts: Facts
+        self, receiver: int, chosen: list[str], view: CellView
     ) -> Batch | None:
         empty = tuple(
             worker
             for worker in chosen
-            if self._is_empty(worker) and worker not in facts.bound
+            if self._is_empty(worker) and worker not in view.bound
         )
         return Batch(receiver, empty) if empty else None
 
     def _spare_batch(
         self,
         own: int,
-        statements: Mapping[int, capacity_report.Statement],
+        reports: Mapping[int, capacity_report.CapacityReport],
         drained: frozenset[str],
-        facts: Facts,
+        view: CellView,
         now: float,
     ) -> Batch | None:
-        """Return idle workers for the oldest waiting work that they have room for."""
+        """Return idle workers for the oldest waiting work that they can run."""
         core = self._core
-        wanted = sorted(
+        requests = sorted(
             (entry.order, partition, entry)
-            for partition, stated in statements.items()
+            for partition, report in reports.items()
             if partition != own
-            for entry in stated.waiting
+            for entry in report.waiting
         )
-        if not wanted:
+        if not requests:
             return None
-        spare = [each for each in self._spare(facts, now) if each not in drained]
-        for _, partition, entry in wanted:
+        spare = [each for each in self._spare_workers(view, now) if each not in drained]
+        for _, partition, entry in requests:
             chosen, left = [], entry.tasks
             for worker in spare:
-                known = core.workers[worker].facts
-                room = entry.room_in(known.availability_zone, known.capacity)
+                facts = core.workers[worker].facts
+                room = entry.room_in(facts.availability_zone, facts.capacity)
                 if room and left > 0 and len(chosen) < MAX_SPARE_BATCH:
                     chosen.append(worker)
                     left -= room
@@ -342,60 +366,62 @@
                 return Batch(partition, tuple(chosen))
         return None
 
-    def _resize(
+    def _rebalance_after_resize(
         self,
         own: int,
-        statements: Mapping[int, capacity_report.Statement],
+        reports: Mapping[int, capacity_report.CapacityReport],
         drained: frozenset[str],
-        facts: Facts,
+        view: CellView,
         now: float,
     ) -> tuple[int, list[str]] | None:
-        """Return workers to free because the number of partitions has changed."""
+        """Return workers to move because the number of partitions has changed."""
         core = self._core
-        held = core.collected_workers.union(
-            drained, facts.bound, *(each.workers for each in core.reservations.values())
+        reserved = core.collected_workers.union(
+            drained, view.bound, *(each.workers for each in core.reservations.values())
         )
-        has_jobs = own >= facts.current and any(
+        has_jobs = own >= view.partition_count and any(
             each.outcome is None for each in core.table.jobs.values()
         )
         candidates = [
             resizing.Candidate(
-                not self._is_empty(worker), self._emptied_at(worker), worker
+                not self._is_empty(worker), self._expected_empty_at(worker), worker
             )
-            for worker, _ in self._room.usable()
-            if worker not in held
-            and not self._room.services(worker)
-            and now - facts.moved_at.get(worker, -math.inf) >= REST_S
+            for worker, _ in self._capacity.usable_workers()
+            if worker not in reserved
+            and not self._capacity.services_on(worker)
+            and now - view.moved_at.get(worker, -math.inf) >= MOVE_COOLDOWN_S
         ]
         starving = [
             partition
-            for partition, stated in statements.items()
-            if any(each.waited_ms >= DRAIN_AFTER_S * 1000 for each in stated.waiting)
+            for partition, report in reports.items()
+            if any(each.waited_ms >= DRAIN_AFTER_S * 1000 for each in report.waiting)
         ]
         donor = resizing.Donor(own, has_jobs, bool(len(core.queue)))
-        return resizing.choose(donor, candidates, facts.current, facts.counts, starving)
+        return resizing.choose(
+            donor, candidates, view.partition_count, view.worker_counts, starving
+        )
 
-    def _collect(
-        self, own: int, served: tuple[int, capacity_report.Need] | None
+    def _collect_for_gang(
+        self, own: int, served: tuple[int, capacity_report.CapacityRequest] | None
     ) -> None:
-        """Keep other work off the workers that the served gang of this partition needs.
+        """Reserve workers for the gang that is served now, if it is in this partition.
 
-        Work that backfills would take the workers that arrive one after the other.
+        Otherwise backfilled work would take the workers as they arrive one by one.
         """
         core = self._core
         job_id, workers = "", frozenset()
         if served is not None and served[0] == own:
-            wanted = served[1]
-            group = core.queue.find(wanted.job_id)
+            request = served[1]
+            group = core.queue.find(request.job_id)
             if group is not None:
-                job_id = wanted.job_id
-                whole = wanted.with_tasks(len(group))
-                workers = frozenset(self._choose_for_gang(whole, give=False))
+                job_id = request.job_id
+                whole = request.with_tasks(len(group))
+                workers = frozenset(self._choose_for_gang(whole, donate=False))
         if (job_id, workers) != (core.collecting_gang, core.collected_workers):
             core.collecting_gang, core.collected_workers = job_id, workers
             core.placement_needed = True
 
-    def _withhold(self, workers: frozenset[str], now: float) -> None:
+    def _cordon(self, workers: frozenset[str], now: float) -> None:
         core = self._core
         changed = core.cordoned_workers ^ workers
         core.cordoned_workers = set(workers)
--- a/toucanspring/scheduling/overuse.py
+++ b/toucanspring/scheduling/overuse.py
@@ -1,8 +1,8 @@
-"""Running tasks that use more than they hold, on workers that run out.
+"""Limits on tasks that use more than their demand, on overcommitted workers.
 
-Declared sizes are often far off, so tasks that fit by what they hold may together use
-more than their worker has. A worker over its processors slows everything on it, one
-over its memory kills tasks that did nothing wrong.
+Declared sizes are often far off, so tasks whose demands fit may together use more than
+their worker has. A worker short of processors slows down all of its tasks; one short of
+memory kills tasks that stayed within their demand.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
     task_table,
 )
 
-# Workers report every 4 s, with use of up to 1 s before: the effect of a change shows
-# only after this time.
+# Workers report every 4 s, and a report may be based on measurements up to 1 s old, so
+# the effect of a change is visible only after this time.
 SETTLE_S = 6.0
-MIN_FRACTION = 0.05
+MIN_FRACTION = 0.05  # of a task's processors
 REASON = "the worker ran out of memory"
 
 
-def report(
+def apply_usage(
     core: lifecycle.Lifecycle,
     worker: str,
     usage: Mapping[str, resources.Resources],
     now: float,
 ) -> None:
-    """Keep the reported use of a worker's tasks within its capacity."""
+    """Keep the reported usage of a worker's tasks within its capacity."""
     state = core.workers.get(worker)
     if state is None:
         return
@@ -40,7 +40,7 @@
     for task_id, amount in usage.items():
         if task_id in tasks:
             tasks[task_id].usage = amount
-            _hold_memory(core, tasks[task_id], now)
+            _raise_memory_demand(core, tasks[task_id], now)
     capacity = state.facts.capacity
     running = [task for task in tasks.values() if not task.stop_reason]
     used = sum((task.usage for task in tasks.values()), resources.ZERO)
@@ -51,19 +51,19 @@
     if used.cpus > capacity.cpus:
         _throttle(core, running, now)
     elif any(task.throttle < 1.0 for task in running):
-        _release(core, running, capacity.cpus - used.cpus, now)
+        _lift_throttles(core, running, capacity.cpus - used.cpus, now)
     excess = sum(task.usage.memory for task in running) - capacity.memory
     if excess > 0:
         _free_memory(core, running, excess)
 
 
-def _hold_memory(
+def _raise_memory_demand(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, now: float
 ) -> None:
-    """Let a task hold the memory that it uses, as far as its worker has it free.
+    """Raise the demand of a task to the memory it uses, up to what is free.
 
-    Otherwise the room that a stopped task leaves is given to the next one, although
-    the tasks that go on use it.
+    Otherwise the memory of a stopped task would be allocated to a new one while the
+    remaining tasks already use it.
     """
     more = task.usage.memory - task.demand.memory
     more = min(more, core.index.free(task.worker).memory)
@@ -76,32 +76,32 @@
 def _throttle(
     core: lifecycle.Lifecycle, running: Iterable[task_table.LiveTask], now: float
 ) -> None:
-    """Limit the tasks that use more processors than they hold to what they hold."""
+    """Throttle the tasks that use more processors than their demand to the demand."""
     for task in running:
         if task.usage.cpus <= task.demand.cpus or now < task.settled_at:
             continue
-        _learn(core, task)
+        _record_size(core, task)
         fraction = task.throttle * task.demand.cpus / task.usage.cpus
-        _set(core, task, max(MIN_FRACTION, fraction), now)
+        _set_throttle(core, task, max(MIN_FRACTION, fraction), now)
 
 
-def _release(
+def _lift_throttles(
     core: lifecycle.Lifecycle,
     running: Iterable[task_table.LiveTask],
     free: int,
     now: float,
 ) -> None:
-    """Lift the limits of the longest running tasks for whose full use there is room."""
+    """Lift throttles, longest running tasks first, while their full usage fits."""
     for task in sorted(running, key=lambda task: task.started_at):
         if task.throttle >= 1.0 or now < task.settled_at:
             continue
         more = task.usage.cpus / task.throttle - task.usage.cpus
         if more <= free:
             free -= more
-            _set(core, task, 1.0, now)
+            _set_throttle(core, task, 1.0, now)
 
 
-def _set(
+def _set_throttle(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, fraction: float, now: float
 ) -> None:
     task.throttle, task.settled_at = fraction, now + SETTLE_S
@@ -116,31 +116,31 @@
 def _free_memory(
     core: lifecycle.Lifecycle, running: Iterable[task_table.LiveTask], excess: int
 ) -> None:
-    """Checkpoint tasks until the rest fits: those beyond what they hold come first.
+    """Checkpoint tasks until the rest fits, first those that exceed their demand.
 
-    Non-idempotent tasks would not be started again, so they go on.
+    Non-idempotent tasks keep running, since they would not be restarted.
     """
     jobs = core.table.jobs
 
-    def order(task: task_table.LiveTask) -> tuple[bool, int, int]:
+    def preemption_order(task: task_table.LiveTask) -> tuple[bool, int, int]:
         granted = task.granted_memory or task.demand.memory
         beyond = task.usage.memory - granted
         job_class = jobs[task.job_id].spec.job_class
         return (beyond <= 0, -preemption.CLASS_ORDER[job_class], -beyond)
 
-    for task in sorted(running, key=order):
+    for task in sorted(running, key=preemption_order):
         if excess <= 0:
             return
         if not jobs[task.job_id].spec.idempotent or not task.usage.memory:
             continue
-        _learn(core, task)
+        _record_size(core, task)
         interruption.interrupt(
             core, task, REASON, "checkpoint", event_kinds.StopCause.MEMORY
         )
         excess -= task.usage.memory
 
 
-def _learn(core: lifecycle.Lifecycle, task: task_table.LiveTask) -> None:
-    """Let later starts of the same name hold what this task uses."""
+def _record_size(core: lifecycle.Lifecycle, task: task_table.LiveTask) -> None:
+    """Record the usage as the demand of later tasks with the same name."""
     spec = core.table.jobs[task.job_id].spec
     core.estimator.observe_size(spec.name, spec.team, spec.demand, task.usage)
--- a/toucanspring/scheduling/partition_capacity.py
+++ b/toucanspring/scheduling/partition_capacity.py
@@ -1,4 +1,4 @@
-"""Room on the workers of a partition for work that is stated to lack it."""
+"""Room for capacity requests on the workers of a partition."""
 
 from __future__ import annotations
 
@@ -14,23 +14,28 @@
 )
 
 
-class Room:
-    """Count the room of a partition's workers."""
+class PartitionCapacity:
+    """Counts how many tasks of a request fit on workers."""
 
     def __init__(self, core: lifecycle.Lifecycle) -> None:
         self._core = core
 
-    def usable(self) -> Iterator[tuple[str, worker_state.WorkerState]]:
-        """Return the workers that may get work of any partition."""
+    def usable_workers(self) -> Iterator[tuple[str, worker_state.WorkerState]]:
+        """Return the attached workers that are fit for new tasks in any partition."""
         core = self._core
-        bad = set(core.quarantine.quarantined())
+        quarantined = set(core.quarantine.quarantined())
         for worker, state in core.workers.items():
             out = state.facts.availability_zone in core.zones_out
-            if state.attached and not state.leaving and not out and worker not in bad:
+            if (
+                state.attached
+                and not state.leaving
+                and not out
+                and worker not in quarantined
+            ):
                 yield worker, state
 
-    def services(self, worker: str) -> list[task_table.LiveTask]:
-        """Return the tasks on a worker that never end by themselves."""
+    def services_on(self, worker: str) -> list[task_table.LiveTask]:
+        """Return the service tasks on a worker, which never end by themselves."""
         jobs = self._core.table.jobs
         return [
             task
@@ -38,33 +43,37 @@
             if jobs[task.job_id].spec.kind is job.Kind.SERVICE
         ]
 
-    def lasting(self, worker: str) -> resources.Resources:
-        """Return a worker's capacity without what services use."""
-        used = (task.demand for task in self.services(worker))
+    def capacity_without_services(self, worker: str) -> resources.Resources:
+        """Return the capacity of a worker less the demand of its services."""
+        used = (task.demand for task in self.services_on(worker))
         return self._core.workers[worker].facts.capacity - sum(used, resources.ZERO)
 
-    def own(self, wanted: capacity_report.Need) -> int:
-        """Return the room of all own workers once everything but services has ended."""
+    def eventual_room(self, request: capacity_report.CapacityRequest) -> int:
+        """Return the room on own workers once all tasks except services have ended."""
         return sum(
-            wanted.room_in(state.facts.availability_zone, self.lasting(worker))
-            for worker, state in self.usable()
+            request.room_in(
+                state.facts.availability_zone, self.capacity_without_services(worker)
+            )
+            for worker, state in self.usable_workers()
         )
 
-    def free(self, wanted: capacity_report.Need, now: float) -> int:
-        """Return the room of workers that came after placement last looked."""
+    def free_room(self, request: capacity_report.CapacityRequest, now: float) -> int:
+        """Return the room now free on own workers, as on newly added ones."""
         core = self._core
-        spec = core.table.jobs[wanted.job_id].spec
-        excluded = gang.excluded_for(core, spec, now)
+        spec = core.table.jobs[request.job_id].spec
+        excluded = gang.excluded_workers(core, spec, now)
         return sum(
-            wanted.room_in(state.facts.availability_zone, core.index.free(worker))
-            for worker, state in self.usable()
+            request.room_in(state.facts.availability_zone, core.index.free(worker))
+            for worker, state in self.usable_workers()
             if state.schedulable and worker not in excluded
         )
 
-    def listed(
-        self, wanted: capacity_report.Need, listed: Mapping[str, capacity_report.Listed]
+    def listed_room(
+        self,
+        request: capacity_report.CapacityRequest,
+        listed: Mapping[str, capacity_report.ListedWorker],
     ) -> int:
-        """Return the room of workers that are known from the VM list only."""
+        """Return the room on workers that are known only from the VM list."""
         room = 0
         for entry in listed.values():
             if entry.leaving or entry.availability_zone in self._core.zones_out:
@@ -72,5 +81,5 @@
             # A worker of unknown size may be large enough.
             amount = entry.capacity
             amount = resources.UNLIMITED if amount is None else amount
-            room += wanted.room_in(entry.availability_zone, amount)
+            room += request.room_in(entry.availability_zone, amount)
         return room
--- a/toucanspring/scheduling/placement.py
+++ b/toucanspring/scheduling/placement.py
@@ -13,23 +13,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Constraints:
-    """Limit and order the workers for one decision.
+    """Restrictions and preferences on workers for one placement decision.
 
-    `spread_counts` maps names of availability zones and racks to the number of
-    tasks of the same job there; places with few are preferred, or with `compact`
-    places with many.
+    `spread_counts` maps names of availability zones and racks to the number of tasks
+    of the same job there. Zones and racks with few tasks are preferred, or with
+    `compact` those with many.
     """
 
     availability_zones: frozenset[str] | None = None
     excluded: frozenset[str] = frozenset()
     spread_counts: Mapping[str, int] | None = None
     compact: bool = False
-    avoided: frozenset[str] = frozenset()  # the part of `excluded` that a job avoids
+    avoided: frozenset[str] = frozenset()  # subset of `excluded`: the job failed there
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoRoom:
-    """Say why no worker is suitable: reason -> number of workers."""
+    """No worker is suitable; `rejected` maps reasons to numbers of workers."""
 
     rejected: dict[str, int]
 
@@ -38,20 +38,20 @@
 
 
 class WorkerIndex:
-    """Know the free resources of all workers and choose among them."""
+    """Free resources of all workers of a partition, searchable by demand."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._workers: dict[str, inventory.Worker] = {}
-        self._numbered: list[inventory.Worker] = []
-        self._cell = inventory.Shelf()
-        self._zones: dict[str, inventory.Shelf] = {}
-        self._racks = racks.Racks()
+        self._worker_list: list[inventory.Worker] = []
+        self._cell_pool = inventory.WorkerPool()
+        self._zone_pools: dict[str, inventory.WorkerPool] = {}
+        self._racks = racks.RackIndex()
         self._capacities: collections.Counter[tuple[str, resources.Resources]] = (
             collections.Counter()
         )
         self._total = resources.ZERO
-        self._units = (0.0, 0.0)  # 1 / mean processors and memory of a worker
+        self._units = (0.0, 0.0)  # 1 / mean processors and memory per worker
 
     def __len__(self) -> int:
         return len(self._workers)
@@ -66,30 +66,30 @@
         availability_zone: str,
         rack: str,
     ) -> None:
-        """Add an empty worker; one of the same name is replaced."""
+        """Add an empty worker; replaces one with the same name."""
         self.remove(worker)
         entry = inventory.Worker(worker, capacity, availability_zone, rack)
         self._workers[worker] = entry
-        entry.number = len(self._numbered)
-        self._numbered.append(entry)
+        entry.list_index = len(self._worker_list)
+        self._worker_list.append(entry)
         self._racks.add(entry)
         self._capacities[availability_zone, capacity] += 1
         self._set_total(self._total + capacity)
-        self._insert(
+        self._insert_into_buckets(
             entry, inventory.size_class(entry.cpus), inventory.size_class(entry.memory)
         )
 
     def remove(self, worker: str) -> None:
-        """Forget a worker; unknown names are ignored."""
+        """Remove a worker; ignores unknown names."""
         entry = self._workers.pop(worker, None)
         if entry is None:
             return
         if entry.schedulable:
-            self._withdraw(entry)
-        last = self._numbered.pop()
+            self._remove_from_buckets(entry)
+        last = self._worker_list.pop()
         if last is not entry:
-            self._numbered[entry.number] = last
-            last.number = entry.number
+            self._worker_list[entry.list_index] = last
+            last.list_index = entry.list_index
         self._racks.remove(entry)
         key = (entry.availability_zone, entry.capacity)
         self._capacities[key] -= 1
@@ -98,31 +98,31 @@
         self._set_total(self._total - entry.capacity)
 
     def set_schedulable(self, worker: str, schedulable: bool) -> None:
-        """Allow or forbid new tasks on a worker; unknown names are ignored."""
+        """Allow or forbid new tasks on a worker; ignores unknown names."""
         entry = self._workers.get(worker)
         if entry is None or entry.schedulable == schedulable:
             return
         if schedulable:
             entry.schedulable = True
-            self._insert(
+            self._insert_into_buckets(
                 entry,
                 inventory.size_class(entry.cpus),
                 inventory.size_class(entry.memory),
             )
         else:
-            self._withdraw(entry)
+            self._remove_from_buckets(entry)
             entry.schedulable = False
-        entry.home.count(entry, 1 if schedulable else -1)
+        entry.rack_totals.adjust_totals(entry, 1 if schedulable else -1)
 
     def allocate(self, worker: str, demand: resources.Resources) -> None:
-        """Take `demand` from a worker; free amounts may become negative."""
-        self._change(self._workers[worker], demand, -1)
+        """Subtract `demand` from a worker; free amounts may become negative."""
+        self._change_free(self._workers[worker], demand, -1)
 
     def release(self, worker: str, demand: resources.Resources) -> None:
-        """Give `demand` back to a worker; unknown names are ignored."""
+        """Return `demand` to a worker; ignores unknown names."""
         entry = self._workers.get(worker)
         if entry is not None:
-            self._change(entry, demand, 1)
+            self._change_free(entry, demand, 1)
 
     def free(self, worker: str) -> resources.Resources:
         """Return what is not allocated on a worker."""
@@ -138,7 +138,7 @@
         count_together: int = 1,
         availability_zones: frozenset[str] | None = None,
     ) -> bool:
-        """Return whether empty workers have room for so many tasks at once."""
+        """Return whether so many tasks fit at once when all workers are empty."""
         room = 0
         for (zone, capacity), workers in self._capacities.items():
             if availability_zones is None or zone in availability_zones:
@@ -150,13 +150,15 @@
     def choose(
         self, demand: resources.Resources, constraints: Constraints = UNCONSTRAINED
     ) -> str | NoRoom:
-        """Return the worker for one task."""
+        """Return the best worker for one task."""
         if constraints.spread_counts is not None:
-            found = self._choose_by_place(demand, constraints)
+            found = self._choose_by_topology(demand, constraints)
         else:
-            found = self._best(self._shelves(constraints), demand, constraints.excluded)
+            found = self._best(
+                self._pools_for(constraints), demand, constraints.excluded
+            )
         if found is None:
-            return self._no_room(demand, constraints)
+            return self._explain_no_room(demand, constraints)
         return found.name
 
     def choose_many(
@@ -165,19 +167,19 @@
         count: int,
         constraints: Constraints = UNCONSTRAINED,
     ) -> list[tuple[str, int]]:
-        """Return workers for up to `count` equal tasks, and how many for each."""
+        """Return workers for up to `count` equal tasks, and the number for each."""
         placed: dict[str, int] = {}
         counts = constraints.spread_counts
         if counts is not None:
             counts = collections.Counter(counts)
             constraints = dataclasses.replace(constraints, spread_counts=counts)
-        shelves = self._shelves(constraints)
+        pools = self._pools_for(constraints)
         left = count
         while left > 0:
             if counts is None:
-                entry = self._best(shelves, demand, constraints.excluded)
+                entry = self._best(pools, demand, constraints.excluded)
             else:
-                entry = self._choose_by_place(demand, constraints)
+                entry = self._choose_by_topology(demand, constraints)
             if entry is None:
                 break
             share = min(left, demand.count_in(entry.free))
@@ -186,11 +188,11 @@
                     share = 1
                 counts[entry.availability_zone] += share
                 counts[entry.rack] += share
-            self._change(entry, demand.times(share), -1)
+            self._change_free(entry, demand.times(share), -1)
             placed[entry.name] = placed.get(entry.name, 0) + share
             left -= share
         for name, share in placed.items():
-            self._change(self._workers[name], demand.times(share), 1)
+            self._change_free(self._workers[name], demand.times(share), 1)
         return list(placed.items())
 
     def choose_gang(
@@ -200,53 +202,55 @@
         constraints: Constraints = UNCONSTRAINED,
         compact: bool = False,
     ) -> list[tuple[str, int]] | NoRoom:
-        """Return workers for all `count` tasks, or none.
+        """Return workers for all `count` tasks, or NoRoom.
 
-        With `compact` they are in one rack if one has room, else in one
+        With `compact` the tasks are in one rack if one has room, else in one
         availability zone, else anywhere.
         """
         if compact:
             allowed = constraints.availability_zones
             zones = {
-                name: shelf
-                for name, shelf in self._zones.items()
+                name: pool
+                for name, pool in self._zone_pools.items()
                 if allowed is None or name in allowed
             }
-            chosen = self._racks.compact_gang(
+            chosen = self._racks.place_compact_gang(
                 demand,
                 count,
                 constraints.excluded,
-                self._shelves(constraints),
+                self._pools_for(constraints),
                 zones,
             )
             if isinstance(chosen, list):
                 return chosen
             if chosen < count:
-                return self._no_room(demand, constraints)
+                return self._explain_no_room(demand, constraints)
         chosen = self.choose_many(demand, count, constraints)
         if sum(share for _, share in chosen) < count:
-            return self._no_room(demand, constraints)
+            return self._explain_no_room(demand, constraints)
         return chosen
 
     def explain(
         self, demand: resources.Resources, constraints: Constraints = UNCONSTRAINED
     ) -> dict[str, int]:
-        """Count workers that cannot take the demand now by the first reason.
+        """Count workers that cannot take the demand now, by their first reason.
 
-        Looks at every worker.
+        Checks every worker.
         """
         return rejection.count_reasons(
-            self._numbered,
+            self._worker_list,
             demand,
             constraints.availability_zones,
             constraints.excluded,
             constraints.avoided,
         )
 
-    def _no_room(self, demand: resources.Resources, constraints: Constraints) -> NoRoom:
+    def _explain_no_room(
+        self, demand: resources.Resources, constraints: Constraints
+    ) -> NoRoom:
         return NoRoom(
             rejection.estimate_reasons(
-                self._numbered,
+                self._worker_list,
                 demand,
                 constraints.availability_zones,
                 constraints.excluded,
@@ -260,18 +264,20 @@
         size = len(self._workers)
         self._units = (size / max(1, total.cpus), size / max(1, total.memory))
 
-    def _insert(self, entry: inventory.Worker, row: int, column: int) -> None:
-        zone = self._zones.get(entry.availability_zone)
+    def _insert_into_buckets(
+        self, entry: inventory.Worker, row: int, column: int
+    ) -> None:
+        zone = self._zone_pools.get(entry.availability_zone)
         if zone is None:
-            zone = self._zones[entry.availability_zone] = inventory.Shelf()
+            zone = self._zone_pools[entry.availability_zone] = inventory.WorkerPool()
         entry.buckets = (
-            self._cell.table_of(entry).insert(entry, row, column, 0),
+            self._cell_pool.table_of(entry).insert(entry, row, column, 0),
             zone.table_of(entry).insert(entry, row, column, 1),
         )
-        self._raise_bounds(entry)
+        self._raise_bucket_bounds(entry)
 
     @staticmethod
-    def _raise_bounds(entry: inventory.Worker) -> None:
+    def _raise_bucket_bounds(entry: inventory.Worker) -> None:
         for bucket in entry.buckets:
             if entry.cpus > bucket.max_cpus:
                 bucket.max_cpus = entry.cpus
@@ -279,12 +285,12 @@
                 bucket.max_memory = entry.memory
 
     @staticmethod
-    def _withdraw(entry: inventory.Worker) -> None:
-        for which, bucket in enumerate(entry.buckets):
-            bucket.table.remove(entry, which)
+    def _remove_from_buckets(entry: inventory.Worker) -> None:
+        for level, bucket in enumerate(entry.buckets):
+            bucket.table.remove(entry, level)
         entry.buckets = ()
 
-    def _change(
+    def _change_free(
         self, entry: inventory.Worker, amount: resources.Resources, sign: int
     ) -> None:
         cpus = entry.cpus + sign * amount.cpus
@@ -303,22 +309,24 @@
         ):
             entry.cpus, entry.memory = cpus, memory
             if sign > 0:
-                self._raise_bounds(entry)
+                self._raise_bucket_bounds(entry)
         else:
-            self._withdraw(entry)
+            self._remove_from_buckets(entry)
             entry.cpus, entry.memory, entry.accelerators = cpus, memory, accelerators
-            self._insert(entry, row, column)
-        entry.home.note_change(*before, entry)
+            self._insert_into_buckets(entry, row, column)
+        entry.rack_totals.update_totals(*before, entry)
 
-    def _shelves(self, constraints: Constraints) -> list[inventory.Shelf]:
+    def _pools_for(self, constraints: Constraints) -> list[inventory.WorkerPool]:
         zones = constraints.availability_zones
-        if zones is None or zones.issuperset(self._zones):
-            return [self._cell]
-        return [self._zones[zone] for zone in sorted(zones) if zone in self._zones]
+        if zones is None or zones.issuperset(self._zone_pools):
+            return [self._cell_pool]
+        return [
+            self._zone_pools[zone] for zone in sorted(zones) if zone in self._zone_pools
+        ]
 
     def _best(
         self,
-        shelves: list[inventory.Shelf],
+        pools: list[inventory.WorkerPool],
         demand: resources.Resources,
         excluded: frozenset[str],
     ) -> inventory.Worker | None:
@@ -328,8 +336,8 @@
             inventory.size_class(demand.cpus),
             inventory.size_class(demand.memory),
         )
-        for shelf in shelves:
-            for table in shelf.tables_for(demand.accelerators):
+        for pool in pools:
+            for table in pool.tables_for(demand.accelerators):
                 if not table.row_mask >> row:
                     continue
                 found = table.best(demand, row, column, excluded, units)
@@ -339,21 +347,23 @@
                     break
         return best[1] if best else None
 
-    def _choose_by_place(
+    def _choose_by_topology(
         self, demand: resources.Resources, constraints: Constraints
     ) -> inventory.Worker | None:
-        """Return the worker in the preferred zone and rack."""
+        """Return the best worker in the most preferred zone and rack with room."""
         counts = constraints.spread_counts or {}
         sign = -1 if constraints.compact else 1
         allowed = constraints.availability_zones
-        zones = [zone for zone in self._zones if allowed is None or zone in allowed]
+        zones = [
+            zone for zone in self._zone_pools if allowed is None or zone in allowed
+        ]
         zones.sort(key=lambda zone: (sign * counts.get(zone, 0), zone))
         for zone in zones:
-            shelf = self._zones[zone]
-            found = self._best([shelf], demand, constraints.excluded)
+            pool = self._zone_pools[zone]
+            found = self._best([pool], demand, constraints.excluded)
             if found is None:
                 continue
-            if not self._racks.have_any(counts):
+            if not self._racks.has_any(counts):
                 return found
             return self._racks.choose(
                 zone, demand, constraints.excluded, counts, constraints.compact
--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Stops of running work: ceilings, places taken out, urgent work and shares."""
+"""Preemption for ceilings, drained workers, urgent work and fair shares."""
 
 from __future__ import annotations
 
@@ -18,40 +18,39 @@
     task_table,
 )
 
-# A task that is expected to end so soon is left to end where it runs.
-FINISH_S = 5.0
-# Room that was made stays reserved for the work that needs it; covers the time
-# that workers take to checkpoint.
-ROOM_S = 5.0
-SHARE_WAIT_S = 5.0  # lent capacity is taken back for work that waited so long
-DEADLINE_MARGIN_S = 10.0  # deadline work may stop others so long before it is late
-TRIES_PER_STEP = 8  # each looks at all running tasks
-# Jobs tried in one turn; bounds the wait for the next try of a job although new jobs
-# keep arriving.
-TRIES_PER_TURN = 256
-TASKS_PER_JOB = 16  # for which room is made at a time
+# A task that is expected to end within this time is not preempted by a drain.
+FINISH_GRACE_S = 5.0
+# How long freed workers stay reserved for the preempting job; covers the time that
+# checkpoints take.
+RESERVATION_S = 5.0
+SHARE_WAIT_S = 5.0  # a job within its team's share preempts after this wait
+DEADLINE_MARGIN_S = 10.0  # a deadline job preempts from so long before its latest start
+ATTEMPTS_PER_STEP = 8  # each attempt scans all running tasks
+# Bounds the time until the next attempt for a job while new jobs keep arriving.
+ATTEMPTS_PER_ROUND = 256
+MAX_TASKS_PER_JOB = 16  # tasks of one job to make room for at a time
 CLASS_ORDER = {job_class: order for order, job_class in enumerate(job.JobClass)}
-NEVER_STOPPED = CLASS_ORDER[job.JobClass.URGENT]  # checks and urgent work go on
+LAST_PROTECTED = CLASS_ORDER[job.JobClass.URGENT]  # classes up to it keep running
 
 
 def enforce_ceilings(core: lifecycle.Lifecycle, now: float) -> None:
-    """Stop the latest work of teams that use more than they hold."""
-    if core.expected:
-        return  # what restored tasks use is an upper bound so far
+    """Stop the latest tasks of teams that use more than their allowance."""
+    if core.expected_workers:
+        return  # the use by restored tasks is only an upper bound yet
     for team in core.allowances.teams():
         excess = core.allowances.excess(team)
         if excess != resources.ZERO:
-            _stop_latest(core, team, excess, now)
+            _stop_latest_tasks(core, team, excess, now)
 
 
-def _stop_latest(
+def _stop_latest_tasks(
     core: lifecycle.Lifecycle, team: str, excess: resources.Resources, now: float
 ) -> None:
     tasks = [task for task in core.table.live.values() if task.team == team]
     for task in tasks:
         if task.stop_reason:
             excess -= task.demand
-    tasks.sort(key=lambda task: (not _idempotent(core, task), -task.started_at))
+    tasks.sort(key=lambda task: (not _is_idempotent(core, task), -task.started_at))
     for task in tasks:
         if excess.fits(resources.ZERO):
             return
@@ -61,7 +60,7 @@
         record = core.table.jobs[task.job_id]
         reason = "the team's ceiling was lowered"
         if task.state is job.State.INTENDED:
-            core.vacate(record, task, now)  # was not sent
+            core.release_task(record, task, now)  # the start was not sent
             core.requeue(record, task.index, now, reason=reason)
         else:
             mode = "checkpoint" if record.spec.idempotent else "kill"
@@ -70,10 +69,10 @@
             )
 
 
-def drain(core: lifecycle.Lifecycle, now: float) -> None:
-    """Checkpoint idempotent work on workers that are leaving or in closed zones.
+def drain_workers(core: lifecycle.Lifecycle, now: float) -> None:
+    """Checkpoint idempotent tasks on leaving workers and in zones out of service.
 
-    Non-idempotent work runs to its end, since it could not start again elsewhere.
+    Non-idempotent tasks run to their end, since they cannot be restarted.
     """
     for worker in core.workers if core.zones_out else sorted(core.leaving):
         state = core.workers.get(worker)
@@ -87,75 +86,78 @@
         for task in list(core.tasks_on[worker].values()):
             if task.stop_reason or task.state is job.State.INTENDED:
                 continue
-            overdue = now > task.expected_end + FINISH_S
-            ends_soon = task.expected_end <= now + FINISH_S
-            if (overdue or not ends_soon) and _idempotent(core, task):
+            overdue = now > task.expected_end + FINISH_GRACE_S
+            ends_soon = task.expected_end <= now + FINISH_GRACE_S
+            if (overdue or not ends_soon) and _is_idempotent(core, task):
                 interruption.interrupt(core, task, reason, "checkpoint", cause)
 
 
-def make_room(
+def preempt(
     core: lifecycle.Lifecycle,
     blocked: Iterable[task_table.JobRecord],
-    tried: set[str],
+    attempted: set[str],
     now: float,
 ) -> None:
-    """Stop lower classes for urgent work, and lent capacity for its owner.
+    """Preempt lower classes for urgent work, and teams over their fair share.
 
-    `tried` holds the jobs that had their try in this turn, between calls. Without it,
-    a few jobs for which no room can be made would use all tries of every step.
+    `attempted` holds the jobs attempted in this round and is kept between calls.
+    Without it, a few jobs for which no room can be made would use up all attempts of
+    every step.
     """
-    tries = 0
-    over: dict[str, float] | None = None
+    attempts = 0
+    over_share: dict[str, float] | None = None
     targets: dict[str, float] = {}
     for record in sorted(
-        blocked, key=lambda record: not is_pressing(core, record, now)
+        blocked, key=lambda record: not may_preempt(core, record, now)
     ):
         spec = record.spec
-        held = core.reservations.get(spec.id)
-        if spec.id in tried or spec.id not in core.queue:
+        reserved = core.reservations.get(spec.id)
+        if spec.id in attempted or spec.id not in core.queue:
             continue
-        if held and held.making_room:
+        if reserved and reserved.by_preemption:
             continue
         demand = core.demand(spec)
-        limit = math.inf
-        if is_pressing(core, record, now):
+        cost_limit = math.inf
+        if may_preempt(core, record, now):
             order = CLASS_ORDER[spec.job_class]
-            victims = _victims(core, record, max(order, NEVER_STOPPED), None)
-        elif held and draining.may_end(record, held):
-            core.reservations[spec.id] = dataclasses.replace(held, weighed=True)
-            victims = _victims(core, record, CLASS_ORDER[spec.job_class], None)
+            victims = _find_victims(core, record, max(order, LAST_PROTECTED), None)
+        elif reserved and draining.may_end(record, reserved):
+            core.reservations[spec.id] = dataclasses.replace(
+                reserved, cost_compared=True
+            )
+            victims = _find_victims(core, record, CLASS_ORDER[spec.job_class], None)
             victims = draining.select_victims(core, record, victims, demand)
-            limit = held.idle_cost
-        elif now - _served_at(core, record) >= SHARE_WAIT_S:
-            if over is None:
-                active = core.using_teams() | set(core.queue.teams())
-                over = core.shares.over_share(active, now)
+            cost_limit = reserved.idle_cost
+        elif now - _last_placed_at(core, record) >= SHARE_WAIT_S:
+            if over_share is None:
+                active = core.running_teams() | set(core.queue.teams())
+                over_share = core.shares.over_share(active, now)
                 targets = core.shares.targets(active)
             use = (core.shares.use(spec.team) + demand).dominant(core.index.total())
-            if not over or use > targets.get(spec.team, 0.0):
+            if not over_share or use > targets.get(spec.team, 0.0):
                 continue
-            victims = _victims(core, record, NEVER_STOPPED, over)
+            victims = _find_victims(core, record, LAST_PROTECTED, over_share)
         else:
             continue
-        _stop_victims(core, record, demand, victims, now, limit)
-        tried.add(spec.id)
-        tries += 1
-        if tries >= TRIES_PER_STEP:
+        _stop_victims(core, record, demand, victims, now, cost_limit)
+        attempted.add(spec.id)
+        attempts += 1
+        if attempts >= ATTEMPTS_PER_STEP:
             break
-    if tries < TRIES_PER_STEP or len(tried) >= TRIES_PER_TURN:
-        tried.clear()  # every blocked job had its try
+    if attempts < ATTEMPTS_PER_STEP or len(attempted) >= ATTEMPTS_PER_ROUND:
+        attempted.clear()  # every blocked job was attempted
 
 
-def _served_at(core: lifecycle.Lifecycle, record: task_table.JobRecord) -> float:
-    """Return when a job last got room, or when it was queued."""
+def _last_placed_at(core: lifecycle.Lifecycle, record: task_table.JobRecord) -> float:
+    """Return when a task of the job was last placed, or when the job was queued."""
     started = max((task.started_at for task in record.live.values()), default=0.0)
     return max(started, core.queue.find(record.spec.id).added_at)
 
 
-def is_pressing(
+def may_preempt(
     core: lifecycle.Lifecycle, record: task_table.JobRecord, now: float
 ) -> bool:
-    """Return whether a job may stop work of lower classes, whatever its share."""
+    """Return whether a job may preempt lower classes regardless of its team's share."""
     job_class = record.spec.job_class
     if job_class is job.JobClass.DEADLINE:
         start = core.estimator.latest_start(record.spec, record.accepted_at)
@@ -163,20 +165,20 @@
     return job_class in (job.JobClass.CHECK, job.JobClass.URGENT)
 
 
-def _victims(
+def _find_victims(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     above: int,
-    over: dict[str, float] | None,
+    over_share: dict[str, float] | None,
 ) -> dict[str, list[task_table.LiveTask]]:
-    """Return the tasks that may be stopped on each usable worker, best first.
+    """Return the tasks that may be preempted on each worker, best victim first.
 
-    Only classes after `above` are stopped; with `over`, only tasks of teams beyond
-    their target, and no more of a team than that.
+    Only classes after `above` are preempted. With `over_share`, only tasks of the teams
+    in it are, and of each team no more than it is over its share.
     """
     zones = record.spec.availability_zones
     total = core.index.total()
-    left = dict(over) if over is not None else {}
+    left = dict(over_share) if over_share is not None else {}
     found: dict[str, list[task_table.LiveTask]] = {}
     tasks = [
         (-order, spec.kind is job.Kind.GANG, -task.started_at, task.id, task)
@@ -186,7 +188,7 @@
         if (order := CLASS_ORDER[spec.job_class]) > above
         and spec.idempotent
         and spec.id != record.spec.id
-        and (over is None or task.team in left)
+        and (over_share is None or task.team in left)
     ]
     for *_, task in sorted(tasks, key=lambda entry: entry[:4]):
         state = core.workers.get(task.worker)
@@ -194,7 +196,7 @@
             continue
         if zones and state.facts.availability_zone not in zones:
             continue
-        if over is not None:
+        if over_share is not None:
             share = task.demand.dominant(total)
             if share > left[task.team]:
                 continue
@@ -209,46 +211,48 @@
     demand: resources.Resources,
     victims: dict[str, list[task_table.LiveTask]],
     now: float,
-    limit: float = math.inf,
+    cost_limit: float = math.inf,
 ) -> None:
-    """Stop the fewest tasks that make room, if there are enough.
+    """Stop the fewest tasks that make room, if enough room can be made.
 
-    Nothing is stopped if that costs `limit` or more, in seconds of the whole cell.
+    Stops nothing if the cost would reach `cost_limit`, in seconds of the whole cell.
     """
     spec = record.spec
     count = record.waiting_count()
     together = spec.kind is job.Kind.GANG
     if not together:
-        count = min(count, TASKS_PER_JOB)
-    taken = core.collected if core.collecting != spec.id else frozenset()
+        count = min(count, MAX_TASKS_PER_JOB)
+    taken = core.collected_workers if core.collecting_gang != spec.id else frozenset()
     taken = taken.union(
         *(
-            held.workers
-            for job_id, held in core.reservations.items()
-            if job_id != spec.id and held.exclusive
+            reserved.workers
+            for job_id, reserved in core.reservations.items()
+            if job_id != spec.id and reserved.exclusive
         ),
-        avoidance.avoided(core, record, demand, now),
+        avoidance.avoided_workers(core, record, demand, now),
     )
 
     def cost_of(task: task_table.LiveTask) -> float:
-        return 1.0 if limit == math.inf else draining.checkpoint_cost(core, task, now)
+        return (
+            1.0 if cost_limit == math.inf else draining.checkpoint_cost(core, task, now)
+        )
 
     steps = {
-        worker: _steps(tasks, core.index.free(worker), demand, cost_of)
+        worker: _preemption_steps(tasks, core.index.free(worker), demand, cost_of)
         for worker, tasks in victims.items()
         if worker not in taken
     }
     if together:
-        # Workers with room that need no stop belong to the place of the gang.
+        # Workers that have room already count for the gang at no cost.
         for worker, state in core.workers.items():
             room = demand.count_in(core.index.free(worker))
             if room and state.schedulable and worker not in taken:
-                steps[worker] = [Step((), room, 0.0), *steps.get(worker, [])]
-    chosen, room = _cheapest(steps, count)
+                steps[worker] = [PreemptionStep((), room, 0.0), *steps.get(worker, [])]
+    chosen, room = _cheapest_steps(steps, count)
     if not chosen or (together and room < count):
         return
     stopped = [task for _, step in chosen for task in step.tasks]
-    if sum(step.cost for _, step in chosen) >= limit:
+    if sum(step.cost for _, step in chosen) >= cost_limit:
         return
     reason = f"room for {spec.job_class.value} job {spec.id}"
     for task in stopped:
@@ -261,19 +265,19 @@
             spec.id,
         )
     workers = frozenset(worker for worker, _ in chosen)
-    # Room taken back for a share goes to its owner by rank. Keeping whole workers for
-    # it gave one job all of a worker for ROOM_S, far beyond its share.
-    exclusive = together or is_pressing(core, record, now)
+    # Room freed for a team's share is not exclusive: reserving whole workers gave one
+    # job all of a worker for RESERVATION_S, far beyond the share of its team.
+    exclusive = together or may_preempt(core, record, now)
     core.reservations[spec.id] = reservation.Reservation(
-        workers, now, now + ROOM_S, making_room=True, exclusive=exclusive
+        workers, now, now + RESERVATION_S, by_preemption=True, exclusive=exclusive
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
-    """Hold tasks of one worker to stop, and for how many tasks that makes room.
+class PreemptionStep:
+    """Tasks to stop on one worker, and the number of tasks that this makes room for.
 
-    The tasks of the steps before it on the worker have to be stopped too.
+    Requires that the previous steps on the worker are taken too.
     """
 
     tasks: tuple[task_table.LiveTask, ...]
@@ -281,13 +285,13 @@
     cost: float
 
 
-def _steps(
+def _preemption_steps(
     tasks: list[task_table.LiveTask],
     free: resources.Resources,
     demand: resources.Resources,
     cost_of: Callable[[task_table.LiveTask], float],
-) -> list[Step]:
-    """Return the steps on a worker, in the order of its tasks."""
+) -> list[PreemptionStep]:
+    """Group the tasks of a worker, in their order, into steps that each make room."""
     steps = []
     room = demand.count_in(free)
     pending: list[task_table.LiveTask] = []
@@ -296,19 +300,19 @@
             continue
         free += task.demand
         pending.append(task)
-        if (now_fits := demand.count_in(free)) > room:
-            cost = sum(cost_of(pended) for pended in pending)
-            steps.append(Step(tuple(pending), now_fits - room, cost))
-            room, pending = now_fits, []
+        if (fitting := demand.count_in(free)) > room:
+            cost = sum(cost_of(each) for each in pending)
+            steps.append(PreemptionStep(tuple(pending), fitting - room, cost))
+            room, pending = fitting, []
     return steps
 
 
-def _cheapest(
-    steps: dict[str, list[Step]], count: int
-) -> tuple[list[tuple[str, Step]], int]:
-    """Return steps with room for `count` tasks, if there is so much, and their room.
+def _cheapest_steps(
+    steps: dict[str, list[PreemptionStep]], count: int
+) -> tuple[list[tuple[str, PreemptionStep]], int]:
+    """Return steps that make room for up to `count` tasks, and their total room.
 
-    The next step is the one with the lowest cost for each task that gets room.
+    Picks the step with the lowest cost per task that it makes room for, one at a time.
     """
     heads = [
         (found[0].cost / found[0].room, worker, 0)
@@ -316,7 +320,7 @@
         if found
     ]
     heapq.heapify(heads)
-    chosen: list[tuple[str, Step]] = []
+    chosen: list[tuple[str, PreemptionStep]] = []
     room = 0
     while heads and room < count:
         _, worker, position = heapq.heappop(heads)
@@ -330,7 +334,7 @@
 
 
 def _overlaps(demand: resources.Resources, needed: resources.Resources) -> bool:
-    """Return whether `demand` has some of what is needed."""
+    """Return whether both amounts are positive in some dimension."""
     return (
         (demand.cpus > 0 and needed.cpus > 0)
         or (demand.memory > 0 and needed.memory > 0)
@@ -338,5 +342,5 @@
     )
 
 
-def _idempotent(core: lifecycle.Lifecycle, task: task_table.LiveTask) -> bool:
+def _is_idempotent(core: lifecycle.Lifecycle, task: task_table.LiveTask) -> bool:
     return core.table.jobs[task.job_id].spec.idempotent
--- a/toucanspring/scheduling/racks.py
+++ b/toucanspring/scheduling/racks.py
@@ -1,4 +1,4 @@
-"""Racks of workers, and the choice of workers by rack and availability zone."""
+"""Choice of workers by rack and availability zone."""
 
 from __future__ import annotations
 
@@ -12,67 +12,67 @@
 from toucanspring.scheduling import inventory
 
 NOBODY: frozenset[str] = frozenset()
-# MiB that are paired with a millicore for a lower bound on the room of a rack. Any
-# value is correct; the bound is tightest for demands of this proportion.
+# MiB counted with each millicore for a lower bound on the room of a rack. Any value
+# is correct; the bound is tightest for demands of this ratio.
 MEMORY_PER_CPU = 2
-# Racks whose workers are looked at to find the one with the least room for a gang.
-MAX_COUNTED = 256
-NUMBER_BITS = 32  # of a rack in the order of racks
+# At most this many racks have their workers counted to find the tightest fit.
+MAX_COUNTED_RACKS = 256
+POSITION_BITS = 32  # bits for the position of a rack in a packed heap entry
 
 
 class Zone:
-    """Hold the racks of one availability zone."""
+    """Racks of one availability zone."""
 
     __slots__ = ("names", "number", "racks")
 
     def __init__(self, number: int) -> None:
-        self.number = number  # in the order in which zones were added
+        self.number = number  # ascending in the order in which zones were added
         self.racks: dict[str, Rack] = {}
         self.names: list[str] = []  # of the racks, sorted
 
-    def upper_room(self, demand: resources.Resources) -> int:
-        """Return an upper bound on how many tasks fit, by the sums of the racks."""
-        return sum(_upper_rooms(self.racks.values(), demand))
+    def room_upper_bound(self, demand: resources.Resources) -> int:
+        """Return an upper bound on how many tasks fit, from the totals of the racks."""
+        return sum(_room_upper_bounds(self.racks.values(), demand))
 
 
 class Rack:
-    """Hold the workers of one rack in the order in which they were added.
+    """Workers of one rack in the order in which they were added, and their totals.
 
-    The sums of what may be used on them are kept up to date with each change, so that
-    a decision for a compact gang looks only at the workers of a few racks. Amounts
-    below 0 count as 0, as does everything on a worker that is not schedulable.
+    The totals of free resources are updated with each change, so that placing a
+    compact gang visits the workers of only a few racks. Negative amounts count as 0,
+    and so do the resources of a worker that is not schedulable.
     """
 
-    __slots__ = ("accelerators", "cpus", "members", "memory", "paired", "zone")
+    __slots__ = ("accelerators", "cpus", "members", "memory", "paired_cpus", "zone")
 
     def __init__(self, zone: Zone) -> None:
         self.zone = zone
         self.members: dict[str, inventory.Worker] = {}
         self.cpus = self.memory = self.accelerators = 0
-        # Sum of the processors for which a worker has MEMORY_PER_CPU each.
-        self.paired = 0
+        # Sum of the free processors for which a worker has MEMORY_PER_CPU each.
+        self.paired_cpus = 0
 
     @property
     def free(self) -> resources.Resources:
-        """Return the sums."""
+        """Return the totals."""
         return resources.Resources(self.cpus, self.memory, self.accelerators)
 
-    def count(self, entry: inventory.Worker, sign: int) -> None:
-        """Add what a worker has free to the sums, or take it out."""
+    def adjust_totals(self, entry: inventory.Worker, sign: int) -> None:
+        """Add (sign 1) or subtract (-1) the free resources of a worker."""
         cpus, memory = max(0, entry.cpus), max(0, entry.memory)
         self.cpus += sign * cpus
         self.memory += sign * memory
         self.accelerators += sign * max(0, entry.accelerators)
-        self.paired += sign * min(cpus, memory // MEMORY_PER_CPU)
+        self.paired_cpus += sign * min(cpus, memory // MEMORY_PER_CPU)
 
-    def note_change(
+    def update_totals(
         self,
         cpus_before: int,
         memory_before: int,
         accelerators_before: int,
         entry: inventory.Worker,
     ) -> None:
-        """Take in that other amounts are free on a worker."""
+        """Apply a change of the free resources of a schedulable worker."""
         cpus, memory, accelerators = entry.cpus, entry.memory, entry.accelerators
         if (
             cpus < 0
@@ -88,7 +88,7 @@
         self.memory += memory - memory_before
         paired = memory // MEMORY_PER_CPU
         paired_before = memory_before // MEMORY_PER_CPU
-        self.paired += (cpus if cpus < paired else paired) - (
+        self.paired_cpus += (cpus if cpus < paired else paired) - (
             cpus_before if cpus_before < paired_before else paired_before
         )
 
@@ -139,39 +139,39 @@
         ]
 
 
-class Racks:
-    """Know all racks and choose among them by what runs there."""
+class RackIndex:
+    """Index of all racks, for placement by zone and rack."""
 
     def __init__(self) -> None:
         self._zones: dict[str, Zone] = {}
         self._racks: dict[tuple[str, str], Rack] = {}
-        # Number of zones that have a rack of the name.
+        # Rack name -> number of zones that have a rack of this name.
         self._zones_with: collections.Counter[str] = collections.Counter()
-        self._number = 0  # of the zone that was added last
+        self._last_zone_number = 0
 
     def add(self, entry: inventory.Worker) -> None:
-        """Add a worker."""
+        """Add a worker to its rack; creates the rack and zone if necessary."""
         key = (entry.availability_zone, entry.rack)
         rack = self._racks.get(key)
         if rack is None:
             zone = self._zones.get(key[0])
             if zone is None:
-                self._number += 1
-                zone = self._zones[key[0]] = Zone(self._number)
+                self._last_zone_number += 1
+                zone = self._zones[key[0]] = Zone(self._last_zone_number)
             rack = self._racks[key] = zone.racks[key[1]] = Rack(zone)
             bisect.insort(zone.names, key[1])
             self._zones_with[key[1]] += 1
         rack.members[entry.name] = entry
-        rack.count(entry, 1)
-        entry.home = rack
+        rack.adjust_totals(entry, 1)
+        entry.rack_totals = rack
 
     def remove(self, entry: inventory.Worker) -> None:
-        """Forget a worker."""
+        """Remove a worker, and its rack and zone once they are empty."""
         zone_name, name = key = (entry.availability_zone, entry.rack)
         rack = self._racks[key]
         zone = rack.zone
         if entry.schedulable:
-            rack.count(entry, -1)
+            rack.adjust_totals(entry, -1)
         del rack.members[entry.name]
         if rack.members:
             return
@@ -184,8 +184,8 @@
         if not self._zones_with[name]:
             del self._zones_with[name]
 
-    def have_any(self, names: Iterable[str]) -> bool:
-        """Return whether one of the names is that of a rack."""
+    def has_any(self, names: Iterable[str]) -> bool:
+        """Return whether one of the names is the name of a rack."""
         return any(name in self._zones_with for name in names)
 
     def choose(
@@ -196,61 +196,65 @@
         counts: Mapping[str, int],
         compact: bool,
     ) -> inventory.Worker | None:
-        """Return the best worker of the preferred rack of a zone that has room.
+        """Return the best worker in the first rack of a zone that has room.
 
-        `counts` maps racks to the tasks of the job there; racks with few are
-        preferred, or with `compact` racks with many, and then the first by name.
+        `counts` maps racks to the number of the job's tasks there. Racks with few
+        tasks come first, or with `compact` racks with many; ties are ordered by name.
         """
         found = self._zones[zone]
-        for name in _in_order(found, counts, compact):
+        for name in _racks_in_order(found, counts, compact):
             entry = found.racks[name].best(demand, excluded, compact)
             if entry is not None:
                 return entry
         return None
 
-    def compact_gang(
+    def place_compact_gang(
         self,
         demand: resources.Resources,
         count: int,
         excluded: frozenset[str],
-        shelves: list[inventory.Shelf],
-        by_zone: Mapping[str, inventory.Shelf],
+        pools: list[inventory.WorkerPool],
+        zone_pools: Mapping[str, inventory.WorkerPool],
     ) -> list[tuple[str, int]] | int:
-        """Return workers in one rack, else in one zone.
+        """Return workers for a gang in one rack, or else in one zone.
 
-        `shelves` holds the workers that may be used, as does `by_zone`.
+        Only workers in `pools` may be used; `zone_pools` holds them by zone.
 
-        Both have the least room, but only `MAX_COUNTED` racks are counted, and zones
-        are compared by the sums of their racks: to count all workers took most of the
-        time of a decision. So the room of the chosen rack or zone is at most the upper
-        bound of any other that has enough room and was not counted. Without enough
-        room in one zone, return how many tasks fit in all zones, or `count` if it is
-        more.
+        The tightest rack or zone is preferred. At most MAX_COUNTED_RACKS racks are
+        counted, and zones are compared by the totals of their racks, since counting
+        all workers took most of the time of a decision. The room of the chosen rack
+        or zone is therefore at most the upper bound of any other one that has enough
+        room and was not counted.
+
+        If no zone has enough room, return the number of tasks that fit in all zones,
+        capped at `count`.
         """
-        total = _room_on(shelves, demand, excluded, count)
+        total = _room_in_pools(pools, demand, excluded, count)
         if total < count:
             return total
         racks = list(self._racks.values())
-        if not by_zone.keys() >= self._zones.keys():
-            racks = [rack for key, rack in self._racks.items() if key[0] in by_zone]
-        best = _tightest(racks, demand, count, excluded)
+        if not zone_pools.keys() >= self._zones.keys():
+            racks = [rack for key, rack in self._racks.items() if key[0] in zone_pools]
+        best = _tightest_rack(racks, demand, count, excluded)
         if best is not None:
-            return _fill(best.rooms(demand, excluded), count)
+            return _fill_in_order(best.rooms(demand, excluded), count)
         zones = [
             (upper, zone.number, name, zone)
             for name, zone in self._zones.items()
-            if name in by_zone and (upper := zone.upper_room(demand)) >= count
+            if name in zone_pools and (upper := zone.room_upper_bound(demand)) >= count
         ]
         for _, _, name, zone in sorted(zones):
-            if _room_on([by_zone[name]], demand, excluded, count) >= count:
+            if _room_in_pools([zone_pools[name]], demand, excluded, count) >= count:
                 parts = [rack.rooms(demand, excluded) for rack in zone.racks.values()]
                 parts.sort(key=lambda part: -sum(room for _, room in part))
-                return _fill([pair for part in parts for pair in part], count)
+                return _fill_in_order([pair for part in parts for pair in part], count)
         return count
 
 
-def _in_order(zone: Zone, counts: Mapping[str, int], compact: bool) -> Iterator[str]:
-    """Yield the racks of a zone; sorts only those with tasks of the job."""
+def _racks_in_order(
+    zone: Zone, counts: Mapping[str, int], compact: bool
+) -> Iterator[str]:
+    """Yield the racks of a zone by preference; sorts only those in `counts`."""
     sign = -1 if compact else 1
     counted = sorted(
         (sign * number, name)
@@ -265,7 +269,7 @@
         yield from (name for _, name in counted)
 
 
-def _tightest(
+def _tightest_rack(
     racks: list[Rack],
     demand: resources.Resources,
     count: int,
@@ -273,27 +277,28 @@
 ) -> Rack | None:
     """Return the first rack with the least room for at least `count` tasks.
 
-    Beyond `MAX_COUNTED` racks only the upper bounds are compared.
+    Beyond MAX_COUNTED_RACKS racks only the upper bounds are compared.
     """
-    # Plain numbers: tuples for thousands of racks made the garbage collector look at
-    # all objects of the process, which took up to 100 ms.
+    # Packed integers: allocating tuples for thousands of racks triggered full garbage
+    # collections, which took up to 100 ms.
     bounds = [
-        upper << NUMBER_BITS | number
-        for number, upper in enumerate(_upper_rooms(racks, demand))
+        upper << POSITION_BITS | number
+        for number, upper in enumerate(_room_upper_bounds(racks, demand))
         if upper >= count
     ]
     heapq.heapify(bounds)
-    # A task takes at most so much of `Rack.paired`, and what is left on each worker is
-    # less, so a rack with enough of it has more room than the best one so far.
-    paired = max(demand.cpus, demand.memory / MEMORY_PER_CPU)
-    is_bounded = paired > 0 and not demand.accelerators
+    # A task uses at most this much of `Rack.paired_cpus`, and less than this remains
+    # on a worker that has no more room. A rack that exceeds the bound below therefore
+    # has more room than the best one so far.
+    paired_per_task = max(demand.cpus, demand.memory / MEMORY_PER_CPU)
+    is_bounded = paired_per_task > 0 and not demand.accelerators
     best, least, counted = None, (math.inf, 0), 0
-    while bounds and (best is None or counted < MAX_COUNTED):
-        number = heapq.heappop(bounds) & (1 << NUMBER_BITS) - 1
+    while bounds and (best is None or counted < MAX_COUNTED_RACKS):
+        number = heapq.heappop(bounds) & (1 << POSITION_BITS) - 1
         rack = racks[number]
         if (
             is_bounded
-            and rack.paired > (least[0] + len(rack.members)) * paired
+            and rack.paired_cpus > (least[0] + len(rack.members)) * paired_per_task
             and (not excluded or excluded.isdisjoint(rack.members))
         ):
             continue
@@ -304,12 +309,12 @@
     return best
 
 
-def _upper_rooms(racks: Iterable[Rack], demand: resources.Resources) -> list[int]:
-    """Return for each rack an upper bound on how many tasks fit, by its sums."""
+def _room_upper_bounds(racks: Iterable[Rack], demand: resources.Resources) -> list[int]:
+    """Return for each rack an upper bound on how many tasks fit, from its totals."""
     cpus, memory, accelerators = demand.cpus, demand.memory, demand.accelerators
     if cpus <= 0 or memory <= 0:
         return [demand.count_in(rack.free) for rack in racks]
-    # Without a call for each rack, since a large cell has thousands of them.
+    # Inlined, since a large cell has thousands of racks.
     if accelerators:
         return [
             min(
@@ -327,16 +332,16 @@
     ]
 
 
-def _room_on(
-    shelves: list[inventory.Shelf],
+def _room_in_pools(
+    pools: list[inventory.WorkerPool],
     demand: resources.Resources,
     excluded: frozenset[str],
     limit: int,
 ) -> int:
-    """Return how many tasks fit, but at most `limit`."""
+    """Return how many tasks fit, capped at `limit`."""
     room = 0
-    for shelf in shelves:
-        for members in shelf.members_with(demand):
+    for pool in pools:
+        for members in pool.members_with(demand):
             room += _count_room(members, demand, excluded, limit - room)
             if room >= limit:
                 return limit
@@ -376,8 +381,8 @@
     return room
 
 
-def _fill(rooms: list[tuple[str, int]], count: int) -> list[tuple[str, int]]:
-    """Return how many of `count` tasks each worker takes, in the given order."""
+def _fill_in_order(rooms: list[tuple[str, int]], count: int) -> list[tuple[str, int]]:
+    """Assign `count` tasks to workers in the given order."""
     chosen = []
     for name, room in rooms:
         share = min(room, count)
--- a/toucanspring/scheduling/rejection.py
+++ b/toucanspring/scheduling/rejection.py
@@ -8,10 +8,10 @@
 from toucanspring import resources
 from toucanspring.scheduling import inventory
 
-# A refusal counts its reasons exactly in an index of up to EXACT_LIMIT workers, else
-# in a sample, so that it costs no more than a choice.
-EXACT_LIMIT = 64
-EXPLAIN_SAMPLE = 16
+# Reasons are counted exactly for up to EXACT_COUNT_LIMIT workers and otherwise
+# estimated from a sample, so that a rejection costs no more than a placement.
+EXACT_COUNT_LIMIT = 64
+SAMPLE_SIZE = 16
 
 
 def count_reasons(
@@ -21,7 +21,7 @@
     excluded: frozenset[str],
     avoided: frozenset[str] = frozenset(),
 ) -> dict[str, int]:
-    """Count workers that cannot take the demand by the first reason."""
+    """Count workers that cannot take the demand, by their first reason."""
     rejected: collections.Counter[str] = collections.Counter()
     for entry in entries:
         if zones is not None and entry.availability_zone not in zones:
@@ -49,14 +49,14 @@
     rng: random.Random,
     avoided: frozenset[str] = frozenset(),
 ) -> dict[str, int]:
-    """Return the same counts, scaled up from a sample if there are many workers."""
+    """Count reasons as above; with many workers, extrapolate from a sample."""
     size = len(entries)
-    if size <= EXACT_LIMIT:
+    if size <= EXACT_COUNT_LIMIT:
         return count_reasons(entries, demand, zones, excluded, avoided)
     start = int(rng.random() * size)
-    step = size / EXPLAIN_SAMPLE
+    step = size / SAMPLE_SIZE
     sample = [
-        entries[(start + int(number * step)) % size] for number in range(EXPLAIN_SAMPLE)
+        entries[(start + int(number * step)) % size] for number in range(SAMPLE_SIZE)
     ]
     reasons = count_reasons(sample, demand, zones, excluded, avoided)
     return {reason: round(count * step) for reason, count in reasons.items()}
--- a/toucanspring/scheduling/reservation.py
+++ b/toucanspring/scheduling/reservation.py
@@ -1,4 +1,4 @@
-"""Workers kept free for a job that waits."""
+"""Reservation of workers for a waiting job."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """Keep workers free for a job that is expected to start at `starts_at`."""
+    """Workers reserved for a job that should start at `starts_at` (monotonic time)."""
 
     workers: frozenset[str]
     starts_at: float
-    expires: float
-    making_room: bool = False  # running tasks were stopped for it
-    exclusive: bool = True  # tasks of other jobs stay off the workers
-    # What waiting for `starts_at` leaves idle, in seconds of the whole cell.
+    expires_at: float
+    by_preemption: bool = False  # running tasks were stopped for the job
+    exclusive: bool = True  # other jobs must not use the workers, except to backfill
+    # Capacity left idle until `starts_at`, in seconds of the whole cell.
     idle_cost: float = 0.0
-    weighed: bool = False  # the cost was compared with that of checkpoints
-    moving: bool = False  # the job waits only once its task has stopped
+    cost_compared: bool = False  # idle_cost was compared with the cost of checkpoints
+    for_move: bool = False  # made before the task to move has stopped and waits
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""State machine of one partition; `effects` describes its interface."""
+"""State machine of one partition; see `effects` for its interface."""
 
 from __future__ import annotations
 
@@ -24,13 +24,11 @@
     summary,
 )
 
-TIMED_CHECKS_INTERVAL_S = (
-    0.1  # period of checks for ended pauses, probes and allowances
-)
+TIMED_CHECKS_INTERVAL_S = 0.1  # for pauses, probes, ceilings and preemption
 
 
 class Scheduler:
-    """Decide for one partition; perform no I/O and read no clock."""
+    """Schedule the jobs of one partition without I/O or reading a clock."""
 
     def __init__(
         self,
@@ -44,9 +42,8 @@
         self._spreader = spreading.Spreader(self._core, spread_move_s)
         self.move_planner = move_planner.MovePlanner(self._core, self._dispatcher)
         self._next_checks = 0.0
-        self._preemption_attempts: set[str] = (
-            set()
-        )  # blocked jobs, in this turn of preemption
+        # Blocked jobs that were tried in the current pass of preemption.
+        self._preemption_attempts: set[str] = set()
 
     def submit(self, specs: list[job.JobSpec], now: float) -> list[effects.Effect]:
         """Queue durable jobs; known IDs are ignored."""
@@ -63,7 +60,10 @@
         expected_workers: Mapping[str, resources.Resources] | Iterable[str],
         now: float,
     ) -> list[effects.Effect]:
-        """Rebuild after takeover; a map of expected workers gives their capacity."""
+        """Restore the state after a takeover.
+
+        If `expected_workers` is a mapping, it gives the capacity of each worker.
+        """
         expected: dict[str, resources.Resources | None]
         if isinstance(expected_workers, Mapping):
             expected = dict(expected_workers)
@@ -73,7 +73,7 @@
         return self._core.effects.take()
 
     def cancel(self, job_ids: Iterable[str], now: float) -> list[effects.Effect]:
-        """Cancel jobs; unknown and finished ones are ignored."""
+        """Cancel jobs; unknown and finished jobs are ignored."""
         for job_id in job_ids:
             record = self._core.table.jobs.get(job_id)
             if record is not None:
@@ -87,7 +87,7 @@
         finished: list[wire.FinishedTask],
         now: float,
     ) -> list[effects.Effect]:
-        """Add a worker or compare its tasks after the stream was replaced."""
+        """Add a worker, or reconcile its tasks after it has reconnected."""
         recovery.attach(self._core, facts, running, finished, now)
         return self._core.effects.take()
 
@@ -98,7 +98,7 @@
         usage: Mapping[str, resources.Resources],
         now: float,
     ) -> list[effects.Effect]:
-        """Apply the ends of attempts and the usage; repeated ones change nothing."""
+        """Apply ended attempts and resource usage; repeated reports have no effect."""
         attempt.report(self._core, worker, finished, now)
         overuse.apply_usage(self._core, worker, usage, now)
         return self._core.effects.take()
@@ -110,7 +110,7 @@
         refused: list[tuple[str, str]],
         now: float,
     ) -> list[effects.Effect]:
-        """Note accepted starts and queue refused ones again."""
+        """Mark accepted starts as running and requeue refused ones."""
         attempt.starts_accepted(self._core, worker, accepted)
         attempt.starts_refused(self._core, worker, refused, now)
         return self._core.effects.take()
@@ -121,9 +121,9 @@
         task_ids: list[str],  # noqa: ARG002
         now: float,
     ) -> list[effects.Effect]:
-        """Start nothing on a worker whose stream broke until it is attached again.
+        """Stop placing tasks on a disconnected worker until it attaches again.
 
-        Its tasks stay attributed to it.
+        Its tasks stay assigned to it.
         """
         state = self._core.workers.get(worker)
         if state is not None:
@@ -140,20 +140,20 @@
         return self._core.effects.take()
 
     def expect_other_partitions(self, expected: bool = True) -> None:
-        """Refuse no job for its size until other partitions' workers are known.
+        """Reject no job for its size until other partitions' workers are known.
 
-        If none are `expected`, only the own workers count.
+        If `expected` is false, only the workers of this partition count.
         """
         self._core.other_partition_workers = None if expected else {}
 
     def adopt(self, ended: Iterable[log_records.EndedJob], now: float) -> None:
-        """Add jobs that ended in another partition; known ones are ignored."""
+        """Add jobs that ended in another partition; known jobs are ignored."""
         recovery.adopt(self._core, ended, now)
 
     def worker_leaving(
         self, worker: str, leaving: bool, now: float
     ) -> list[effects.Effect]:
-        """Start nothing on a worker while it is leaving."""
+        """Place no tasks on a worker while it is leaving."""
         state = self._core.workers.get(worker)
         if state is not None:
             state.leaving = leaving
@@ -164,7 +164,7 @@
     def set_availability_zones(
         self, out: frozenset[str], now: float
     ) -> list[effects.Effect]:
-        """Start nothing in zones that are out of service and stop work there."""
+        """Set the availability zones that are out of service and evacuate them."""
         previous, self._core.zones_out = self._core.zones_out, out
         self._publish_zone_events(previous, out)
         for worker in self._core.workers:
@@ -177,7 +177,7 @@
     ) -> None:
         core = self._core
         if not core.workers:
-            return  # nothing is known yet, as at a takeover
+            return  # no workers are known, as after a takeover
         for zone in sorted(out - previous):
             task_counts = [
                 len(core.tasks_on.get(worker, ()))
@@ -202,7 +202,7 @@
         teams: Mapping[str, fairness.Team],
         now: float,  # noqa: ARG002
     ) -> list[effects.Effect]:
-        """Set shares and ceilings."""
+        """Set the shares and ceilings of all teams."""
         core = self._core
         core.teams = dict(teams)
         core.shares.set_teams(teams.values())
@@ -220,7 +220,7 @@
     ) -> list[effects.Effect]:
         """Set the part of each team's ceiling that this partition holds.
 
-        `limits` says what it may hold of ceilings of which other partitions want more.
+        `limits` bounds the parts of ceilings that other partitions are contending for.
         """
         self._core.allowances.set_held(held, now)
         self._core.allowances.set_limits(limits)
@@ -231,26 +231,26 @@
     def intents_durable(
         self, intents: list[effects.Intent], now: float
     ) -> list[effects.Effect]:
-        """Send the starts whose intents are in the log."""
+        """Send the starts whose intents have been written to the log."""
         attempt.intents_durable(self._core, intents, now)
         return self._core.effects.take()
 
     def intents_failed(
         self, intents: list[effects.Intent], now: float
     ) -> list[effects.Effect]:
-        """Queue tasks again whose intents were not written."""
+        """Requeue tasks whose intents could not be written."""
         attempt.intents_failed(self._core, intents, now)
         return self._core.effects.take()
 
     def dependency_finished(
         self, job_id: str, outcome: job.Outcome, now: float
     ) -> list[effects.Effect]:
-        """Release or end the jobs that wait for a job of another partition."""
+        """Queue or end the jobs that depend on a job of another partition."""
         self._core.dependency_finished(job_id, outcome, now)
         return self._core.effects.take()
 
     def tick(self, now: float) -> list[effects.Effect]:
-        """Place waiting work and do what is due."""
+        """Place waiting tasks and run the timed checks that are due."""
         core = self._core
         core.queue_due_retries(now)
         if checks_due := now >= self._next_checks:
@@ -268,7 +268,7 @@
         return core.effects.take()
 
     def is_quiescent(self) -> bool:
-        """Return whether nothing becomes due by the passing of time alone."""
+        """Return whether no action becomes due through the passage of time alone."""
         core = self._core
         return not (
             len(core.queue)
@@ -284,11 +284,11 @@
         )
 
     def lookup(self, job_id: str) -> effects.JobStatus | errors.NotFound:
-        """Return the counts of tasks by state and the outcome of a job."""
+        """Return the number of tasks by state and the outcome of a job."""
         return self._core.table.lookup(job_id)
 
     def free_by_worker(self) -> dict[str, resources.Resources]:
-        """Return the free amount of each attached worker."""
+        """Return the free resources of each attached worker."""
         core = self._core
         return {
             worker: core.index.free(worker)
@@ -297,11 +297,11 @@
         }
 
     def summary(self, now: float) -> summary.Summary:
-        """Return capacity, use by team and waiting work, for reports."""
+        """Return capacity, usage by team and waiting tasks, for reports."""
         return summary.summarise(self._core, now)
 
     def explain(self, job_id: str) -> effects.Explanation | errors.NotFound:
-        """Return what a job waits for, or where its tasks ran."""
+        """Explain what a job waits for, or where its tasks were placed."""
         status = self.lookup(job_id)
         if isinstance(status, errors.NotFound):
             return status
