--- a/toucanspring/scheduling/spreading.py
+++ b/toucanspring/scheduling/spreading.py
@@ -1,4 +1,4 @@
-"""Spread of services over availability zones that are in service again."""
+"""Rebalancing of spread services after an availability zone returns to service."""
 
 from __future__ import annotations
 
@@ -17,83 +17,90 @@
     task_table,
 )
 
-# One task of the services of a partition is moved in this time, so that a zone that
-# returns is not filled by a burst of checkpoints.
-MOVE_S = 10.0
-LOOK_S = 1.0  # until the next look for room, if nothing could be moved
-# The room is kept for so long; covers the time that a worker takes to checkpoint.
-ROOM_S = 5.0
-MIN_DIFFERENCE = 2  # between two zones; a move at a smaller one would only swap them
-# A service whose spread a move did not improve waits twice as long for the next one.
+# A partition moves one service task per interval, so that a returning zone does not
+# cause a burst of checkpoints.
+MOVE_INTERVAL_S = 10.0
+RETRY_S = 1.0  # delay before the next attempt if nothing could be moved
+# How long the target worker stays reserved; covers the time of a checkpoint.
+RESERVATION_S = 5.0
+MIN_SKEW = 2  # with a skew of 1, a move would only swap two zones
+# Limit of the delay between moves of one service; it doubles after each move that
+# did not reduce the skew.
 MAX_DELAY_S = 600.0
 
 
 @dataclasses.dataclass(slots=True)
-class Trial:
-    """Remember the last move of a service."""
+class LastMove:
+    """Last move of a service, and when its next move is due."""
 
-    difference: int  # between its zones before the move
+    skew: int  # most minus fewest tasks in a zone, before the move
     delay_s: float
     due_at: float
 
 
 class Spreader:
-    """Move tasks of spread services to zones that have fewer of them."""
+    """Moves tasks of spread services to the zones that have the fewest of them."""
 
-    def __init__(self, core: lifecycle.Lifecycle, move_s: float = MOVE_S) -> None:
+    def __init__(
+        self, core: lifecycle.Lifecycle, move_interval_s: float = MOVE_INTERVAL_S
+    ) -> None:
         self._core = core
-        self._move_s = move_s  # 0 moves nothing
-        self._next_move = 0.0
-        self._trials: dict[str, Trial] = {}
-        self._stopped: task_table.LiveTask | None = None  # the task that moves
+        self._move_interval_s = move_interval_s  # 0 disables moves
+        self._next_move_at = 0.0
+        self._last_moves: dict[str, LastMove] = {}
+        self._moving_task: task_table.LiveTask | None = None  # the task being moved
 
     def step(self, now: float) -> None:
-        """Move one task when a move is due; the queue starts it again."""
+        """Stop one task if a move is due; the queue restarts it in another zone."""
         core = self._core
-        self._end_move()
-        if not self._move_s or now < self._next_move or core.expected:
+        self._finish_move()
+        if (
+            not self._move_interval_s
+            or now < self._next_move_at
+            or core.expected_workers
+        ):
             return
-        self._next_move = now + min(LOOK_S, self._move_s)
-        services = self._services()
-        self._trials = {
-            job_id: trial
-            for job_id, trial in self._trials.items()
+        self._next_move_at = now + min(RETRY_S, self._move_interval_s)
+        services = self._fully_running_services()
+        self._last_moves = {
+            job_id: last
+            for job_id, last in self._last_moves.items()
             if job_id in services
         }
-        differences = []
+        skews = []
         for job_id, tasks in services.items():
-            counts = self._by_zone(core.table.jobs[job_id], tasks)
+            counts = self._count_by_zone(core.table.jobs[job_id], tasks)
             if counts:
-                difference = max(counts.values()) - min(counts.values())
-                differences.append((-difference, job_id, counts))
-        for difference, job_id, counts in sorted(differences, key=lambda one: one[:2]):
-            if -difference < MIN_DIFFERENCE:
+                skew = max(counts.values()) - min(counts.values())
+                skews.append((-skew, job_id, counts))
+        for skew, job_id, counts in sorted(skews, key=lambda entry: entry[:2]):
+            if -skew < MIN_SKEW:
                 return
-            if self._is_due(job_id, -difference, now) and self._move(
+            if self._is_due(job_id, -skew, now) and self._move(
                 core.table.jobs[job_id], services[job_id], counts, now
             ):
-                self._note(job_id, -difference, now)
-                self._next_move = now + self._move_s
+                self._record_move(job_id, -skew, now)
+                self._next_move_at = now + self._move_interval_s
                 return
 
-    def _end_move(self) -> None:
-        """Give back the room that was kept once the task has started again."""
-        task, core = self._stopped, self._core
+    def _finish_move(self) -> None:
+        """Drop the reservation once the moved task has restarted."""
+        task, core = self._moving_task, self._core
         if task is None:
             return
-        held = core.reservations.get(task.job_id)
-        if held is None or not held.moving:
-            self._stopped = None
+        reserved = core.reservations.get(task.job_id)
+        if reserved is None or not reserved.for_move:
+            self._moving_task = None
             return
         record = core.table.jobs.get(task.job_id)
-        again = record and record.live.get(task.index)
-        if record is None or (again and again is not task):
+        restarted = record and record.live.get(task.index)
+        if record is None or (restarted and restarted is not task):
             del core.reservations[task.job_id]
-            core.changed = True
-            self._stopped = None
+            core.placement_needed = True
+            self._moving_task = None
 
-    def _services(self) -> dict[str, list[task_table.LiveTask]]:
-        """Return the tasks of the spread services that run completely."""
+    def _fully_running_services(self) -> dict[str, list[task_table.LiveTask]]:
+        """Return the tasks of each spread service whose tasks are all running."""
         core = self._core
         found: dict[str, list[task_table.LiveTask]] = collections.defaultdict(list)
         moving = set()
@@ -109,7 +116,7 @@
             if job_id not in moving and job_id not in core.queue
         }
 
-    def _by_zone(
+    def _count_by_zone(
         self, record: task_table.JobRecord, tasks: list[task_table.LiveTask]
     ) -> dict[str, int]:
         """Return the number of tasks in each zone that the service may use."""
@@ -127,20 +134,20 @@
         return counts
 
     def _zone_of(self, task: task_table.LiveTask) -> str:
-        """Return the zone of a task; empty on a worker that has not attached."""
+        """Return the zone of a task; empty if its worker is not known."""
         state = self._core.workers.get(task.worker)
         return state.facts.availability_zone if state else ""
 
-    def _is_due(self, job_id: str, difference: int, now: float) -> bool:
-        trial = self._trials.get(job_id)
-        return trial is None or difference < trial.difference or now >= trial.due_at
+    def _is_due(self, job_id: str, skew: int, now: float) -> bool:
+        last = self._last_moves.get(job_id)
+        return last is None or skew < last.skew or now >= last.due_at
 
-    def _note(self, job_id: str, difference: int, now: float) -> None:
-        delay_s = self._move_s
-        trial = self._trials.get(job_id)
-        if trial is not None and difference >= trial.difference:
-            delay_s = min(MAX_DELAY_S, 2 * trial.delay_s)
-        self._trials[job_id] = Trial(difference, delay_s, now + delay_s)
+    def _record_move(self, job_id: str, skew: int, now: float) -> None:
+        delay_s = self._move_interval_s
+        last = self._last_moves.get(job_id)
+        if last is not None and skew >= last.skew:
+            delay_s = min(MAX_DELAY_S, 2 * last.delay_s)
+        self._last_moves[job_id] = LastMove(skew, delay_s, now + delay_s)
 
     def _move(
         self,
@@ -149,14 +156,14 @@
         counts: dict[str, int],
         now: float,
     ) -> bool:
-        """Stop a task in the fullest zone if an emptiest one has room for it."""
+        """Stop a task in a zone with the most tasks if one with the fewest has room."""
         core = self._core
         least, most = min(counts.values()), max(counts.values())
         targets = frozenset(zone for zone, count in counts.items() if count == least)
         demand = core.demand(record.spec)
-        excluded = gang.excluded_for(core, record.spec, now) | avoidance.avoided(
-            core, record, demand, now
-        )
+        excluded = gang.excluded_workers(
+            core, record.spec, now
+        ) | avoidance.avoided_workers(core, record, demand, now)
         constraints = placement.Constraints(targets, excluded)
         target = core.index.choose(demand, constraints)
         if isinstance(target, placement.NoRoom):
@@ -170,9 +177,9 @@
             "checkpoint",
             event_kinds.StopCause.SPREAD,
         )
-        # Without it, waiting work would take the room before the task has stopped.
+        # Without a reservation, waiting work would take the room before the task stops.
         core.reservations[record.spec.id] = reservation.Reservation(
-            frozenset([target]), now, now + ROOM_S, moving=True
+            frozenset([target]), now, now + RESERVATION_S, for_move=True
         )
-        self._stopped = task
+        self._moving_task = task
         return True
--- a/toucanspring/scheduling/task_table.py
+++ b/toucanspring/scheduling/task_table.py
@@ -1,4 +1,4 @@
-"""Jobs, their tasks, dependencies and outcomes in one partition."""
+"""Jobs of one partition with their tasks, dependencies and outcomes."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 from toucanspring import errors, job, resources
 from toucanspring.scheduling import effects, failure_tracking
 
-# Bounds the memory of an owner; older jobs are answered from the log or not at all.
+# Bounds the memory of an owner. Older jobs are looked up in the log, if it still has
+# them.
 FINISHED_JOBS_KEPT = 50_000
 DONE = job.Outcome(job.State.DONE)
 
 
 class LiveTask(job.Task):
-    """Track a task that occupies a worker."""
+    """Task that is assigned to a worker."""
 
     demand: resources.Resources = resources.ZERO
     team: str = ""
     incarnation: int = 0
     expected_end: float = 0.0  # monotonic seconds
-    stop_reason: str = ""  # set once a stop was sent
+    stop_reason: str = ""  # set once a stop was requested
     stop_mode: str = ""
     usage: resources.Resources = resources.ZERO  # as last reported
-    granted_memory: int = 0  # before what it holds was raised to its use, if it was
-    throttle: float = 1.0  # the fraction of its processors that it may use
-    settled_at: float = 0.0  # when reports show the effect of the last throttling
+    # Memory allocated before it was raised to the actual usage; 0 if it was not.
+    granted_memory: int = 0
+    throttle: float = 1.0  # fraction of its processors that it may use
+    settled_at: float = 0.0  # when reports reflect the last throttling
 
 
 class JobRecord:
-    """Hold the state of one job; waiting tasks have no object of their own."""
+    """State of one job; waiting tasks are represented by their index only."""
 
     __slots__ = (
         "accepted_at",
@@ -61,21 +63,20 @@
         self.finals: dict[int, job.Outcome] = {}
         self.outcome_counts: dict[job.State, int] = {}
         self.answers: dict[str, bytes] = {}
-        self.attempts: dict[int, int] = {}  # last attempt, if not the first
-        self.failures: dict[int, list[str]] = {}  # the workers of failed attempts
-        self.failure_tracker: failure_tracking.FailureTracker | None = (
-            None  # after a failure
-        )
+        self.attempts: dict[int, int] = {}  # number of the last attempt
+        self.failures: dict[int, list[str]] = {}  # workers of failed attempts
+        # Created by the first failure.
+        self.failure_tracker: failure_tracking.FailureTracker | None = None
         self.losses: dict[int, int] = {}  # attempts lost with their worker
-        self.ran: set[int] = set()  # waiting tasks of which an attempt ran
+        self.ran: set[int] = set()  # waiting tasks that ran before
         self.progress: dict[int, bytes] = {}
         self.delayed: set[int] = set()  # wait for their retry time
-        self.unconfirmed: set[int] = set()  # may run on a worker not yet attached
+        self.unconfirmed: set[int] = set()  # may run on a detached worker
         self.blocked_on: set[str] = set()
         self.cancelled = False
-        self.gang_stop_reason = ""  # reason while the other members are being stopped
-        self.gang_aborted = False  # one member ended for good
-        self.gang_delay = 0.0  # before the members start again, in seconds
+        self.gang_stop_reason = ""  # set while members are being stopped
+        self.gang_aborted = False  # a member became final
+        self.gang_delay = 0.0  # seconds before the members restart
         self.outcome: job.Outcome | None = None
 
     def waiting_count(self) -> int:
@@ -92,7 +93,7 @@
         )
 
     def next_attempt(self, index: int) -> int:
-        """Return the number of a new attempt of a task and remember it."""
+        """Allocate and return the number of a task's next attempt."""
         attempt = self.attempts.get(index, 0) + 1
         self.attempts[index] = attempt
         return attempt
@@ -116,7 +117,7 @@
         return len(self.finals) >= self.spec.task_count
 
     def combined_outcome(self) -> job.Outcome:
-        """Return the outcome of the job from the final outcomes of its tasks.
+        """Return the job outcome derived from the final outcomes of its tasks.
 
         One unknown task makes the job unknown; `not_run` means that no task ran.
         """
@@ -132,7 +133,7 @@
                 continue
             reason = next(o.reason for o in self.finals.values() if o.state is state)
             if state is job.State.NOT_RUN and counts[state] < count:
-                state = job.State.FAILED  # some tasks ran to their end
+                state = job.State.FAILED  # other tasks were completed
             return job.Outcome(state, reason)
         return job.Outcome(job.State.FAILED, "no task has an outcome")
 
@@ -156,7 +157,7 @@
 
 
 class TaskTable:
-    """Find jobs and live tasks by ID and follow dependencies between jobs."""
+    """Index of jobs and live tasks by ID, and of dependencies between jobs."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobRecord] = {}
@@ -172,17 +173,17 @@
         return record
 
     def open_task(self, record: JobRecord, task: LiveTask) -> None:
-        """Register a task that occupies a worker."""
+        """Add a task that is assigned to a worker."""
         record.live[task.index] = task
         self.live[task.id] = task
 
     def close_task(self, record: JobRecord, task: LiveTask) -> None:
-        """Forget a task that no longer occupies a worker."""
+        """Remove a task that is no longer on a worker."""
         del record.live[task.index]
         del self.live[task.id]
 
     def finish_job(self, record: JobRecord) -> job.Outcome:
-        """Set the outcome of a complete job and bound the number kept."""
+        """Set the outcome of a complete job and evict the oldest finished jobs."""
         record.outcome = record.combined_outcome()
         self._finished.append(record.spec.id)
         while len(self._finished) > FINISHED_JOBS_KEPT:
@@ -190,12 +191,12 @@
         return record.outcome
 
     def block(self, record: JobRecord, dependency: str) -> None:
-        """Make a job wait for another one, of this or another partition."""
+        """Make a job depend on a job of this or another partition."""
         record.blocked_on.add(dependency)
         self._dependents[dependency].add(record.spec.id)
 
     def unblock(self, dependency: str) -> list[JobRecord]:
-        """Return the unfinished jobs that waited for a job which is now final."""
+        """Remove a finished dependency and return the jobs that depended on it."""
         records = []
         for job_id in sorted(self._dependents.pop(dependency, ())):
             record = self.jobs.get(job_id)
@@ -206,7 +207,7 @@
         return records
 
     def depends_on_itself(self, spec: job.JobSpec) -> bool:
-        """Return whether the known jobs close a cycle of dependencies."""
+        """Return whether a job is part of a dependency cycle of known jobs."""
         seen: set[str] = set()
         stack = list(spec.after)
         while stack:
@@ -229,6 +230,6 @@
 
 
 def task_index(task_id: str) -> int:
-    """Return the index part of a task ID; -1 if it has none."""
+    """Return the index part of a task ID, or -1 if it has none."""
     index = task_id.rpartition("/")[2]
     return int(index) if index.isdecimal() else -1
