--- a/test/test_allowance.py
+++ b/test/test_allowance.py
@@ -26,7 +26,7 @@
         )
     )
     def test_the_sum_stays_within_the_ceiling(self, changes):
-        # Guards against teams above their ceiling after any order of changes.
+        # Guards against parts that exceed the ceiling after any sequence of changes.
         row = allowance.Row()
         for partition, target, ceiling, ownerless in changes:
             before = row
@@ -42,11 +42,11 @@
             part = row.parts.get(partition, resources.ZERO)
             self.assertTrue(part.fits(target))
             again = allowance.resize(row, partition, target, ceiling, ownerless)
-            self.assertEqual(row, again)  # a lost answer may be repeated
+            self.assertEqual(row, again)  # a request can be repeated safely
 
     def test_a_lowered_ceiling_shrinks_holders_in_proportion(self):
-        # Guards against one partition that bears the whole cut, and against a cut of
-        # a partition whose work nobody could stop.
+        # Guards against shrinking one partition only, and against shrinking a partition
+        # without an owner, whose tasks nobody could stop.
         parts = {0: 6, 1: 3, 2: 3, 3: 4}
         row = allowance.Row({p: resources.Resources(n, 0, n) for p, n in parts.items()})
         ceiling = resources.Resources(10, 0, 10)
@@ -68,7 +68,7 @@
         self.tracker.set_held({"zimna": resources.Resources(cpus, 0, 0)}, now)
 
     def test_unused_allowance_is_returned_after_5_s_and_not_used_meanwhile(self):
-        # Guards against idle parts, and against use of a part given away.
+        # Guards against unused parts, and against use of a part that was returned.
         self.tracker.use("zimna", self.one.times(10))
         self.tracker.free("zimna", self.one.times(4))
         self.assertEqual([], self.tracker.step(4.9))
@@ -84,7 +84,7 @@
         self.assertEqual(34, self.tracker.max_starts("zimna", self.one))
 
     def test_a_request_asks_for_a_chunk_and_is_repeated(self):
-        # Guards against a store write for each start, and against a lost request.
+        # Guards against a store write per start, and against a lost request.
         self.tracker.use("zimna", self.one.times(40))
         want = self.one.times(500)
         self.tracker.report_shortage("zimna", want, self.one)
@@ -95,8 +95,8 @@
         self.tracker.report_shortage("zimna", want, self.one)
         self.assertEqual([asked], self.tracker.step(2.1))
 
-    def test_only_teams_that_hold_or_use_something_are_looked_at(self):
-        # Guards against rounds that look at 700 teams of which few are in use.
+    def test_only_teams_that_hold_or_use_something_are_checked(self):
+        # Guards against ticks that check 700 teams of which few are active.
         self.tracker.set_ceilings({f"t{n}": self.one.times(10) for n in range(700)})
         self.tracker.set_held({f"t{n}": resources.ZERO for n in range(700)}, 0.0)
         self.assertEqual(["zimna"], self.tracker.teams())
@@ -112,7 +112,7 @@
         self.assertIn("zimna", self.tracker.teams())
 
     def test_nothing_counts_as_excess_before_the_row_was_read(self):
-        # Guards against a successor that stops all work because it holds nothing yet.
+        # Guards against a new owner that stops all tasks because it holds nothing yet.
         tracker = allowance.AllowanceTracker()
         tracker.set_ceilings({"zimna": self.one.times(100)})
         tracker.use("zimna", self.one.times(50))
--- a/test/test_allowance_contention.py
+++ b/test/test_allowance_contention.py
@@ -1,4 +1,4 @@
-"""Several partitions share one ceiling, in controlled time."""
+"""Several partitions that share one ceiling, in simulated time."""
 
 import heapq
 
@@ -90,15 +90,15 @@
         return started_at
 
     def test_short_tasks_of_three_partitions_keep_the_ceiling_busy(self):
-        # Before wants were recorded, a partition kept the whole ceiling for 5 s after
-        # its work had ended, and 1,280 tasks of 60 ms took more than 28 s.
+        # Guards against a partition that keeps the whole ceiling for 5 s after its last
+        # task. Before wants were recorded, 1,280 tasks of 60 ms took more than 28 s.
         counts = (448, 512, 320)
         partitions = [Partition(i, count, 0.06) for i, count in enumerate(counts)]
         started_at = self.run_until_done(partitions, 5.0)
         self.assertEqual({0, 1, 2}, set(started_at))
 
     def test_a_gang_larger_than_an_even_part_is_not_starved(self):
-        # The other partitions always have more short tasks waiting.
+        # The other partitions always have short tasks waiting.
         partitions = [
             Partition(0, 1_000_000, 0.1),
             Partition(1, 1_000_000, 0.1),
@@ -108,7 +108,7 @@
         self.assertIn(2, started_at)
 
     def test_two_large_gangs_run_one_after_the_other(self):
-        # Guards against each holding half of the ceiling and waiting for the rest.
+        # Guards against a deadlock in which each gang holds half of the ceiling.
         partitions = [
             Partition(0, 50, 1.0, together=True),
             Partition(1, 50, 1.0, together=True),
--- a/test/test_dispatch.py
+++ b/test/test_dispatch.py
@@ -19,7 +19,7 @@
 
 class ShareTest(testtools.TestCase):
     def use(self, shares, cpus):
-        """Return the mean processors of each team after the first ten seconds."""
+        """Return the mean CPU usage of each team after the first ten seconds."""
         owner = scheduler.Scheduler(0, random.Random(3))
         teams = {
             name: fairness.Team(name, "o", share) for name, share in shares.items()
@@ -58,7 +58,8 @@
         return used
 
     def test_large_tasks_get_their_share_beside_many_small_ones(self):
-        # Guards against small tasks taking each gap before it is large enough.
+        # Guards against small tasks that occupy freed capacity before there is enough
+        # for a large one.
         used = self.use({"small": 1.0, "large": 1.0}, {"small": 1000, "large": 8000})
         self.assertGreater(used["large"], 0.4 * CAPACITY.cpus)
 
@@ -68,23 +69,23 @@
 
 
 class OrderTest(testtools.TestCase):
-    def test_a_job_behind_many_without_room_starts(self):
-        # Guards against free processors that work behind many jobs never gets.
+    def test_a_job_behind_many_unplaceable_ones_starts(self):
+        # Guards against a job that is never examined although it would fit.
         owner = scheduler.Scheduler(0, random.Random(3))
         owner.set_teams({"a": fairness.Team("a", "o", 1.0)}, 0.0)
         facts = effects.WorkerFacts("w1", 1, CAPACITY, "zone-a", "rack-1")
         owner.worker_attached(facts, [], [], 0.0)
         owner.submit([spec("held", "a", 12_000)], 0.0)
-        owner.tick(0.0)  # two tasks, which do not end
+        owner.tick(0.0)  # starts two tasks, which do not end
         large = [spec(f"large-{number}", "a", 12_000) for number in range(300)]
         owner.submit([*large, spec("last", "a", 1_000)], 0.0)
         for step in range(1, 30):
             owner.tick(float(step))
         self.assertEqual("running", owner.explain("last").state)
 
-    def test_a_job_for_which_work_was_stopped_is_looked_at_first(self):
-        # Guards against room that is made again and again for a job far back in the
-        # queue, which is not looked at before its reservation ends.
+    def test_a_job_for_which_tasks_were_preempted_is_examined_first(self):
+        # Guards against repeated preemption for a job far back in the queue that is not
+        # examined before its reservation expires.
         c = cell.Cell(workers=1)
         c.submit(cell.spec("fill", task_count=32, run_seconds=9000))
         large = resources.Resources(32_000, 1024)
--- a/test/test_fairness.py
+++ b/test/test_fairness.py
@@ -30,7 +30,7 @@
         tracker = make_tracker({"a": 3, "b": 1, "c": 6})
         self.assertEqual({"a": 0.75, "b": 0.25}, tracker.targets(["a", "b"]))
 
-    def test_what_a_ceiling_cuts_off_goes_to_the_other_teams(self):
+    def test_a_share_above_the_ceiling_goes_to_the_other_teams(self):
         tracker = make_tracker(
             {"a": 3, "b": 1}, {"a": resources.Resources(20_000, 20_000, 0)}
         )
@@ -46,7 +46,7 @@
         self.assertEqual({}, tracker.over_share(["x"], 1.0))
 
     def test_equal_tasks_end_in_proportion_to_the_shares(self):
-        # Guards against drift between what teams use and what they may use.
+        # Guards against a drift of the usage away from the shares.
         shares = {"a": 5, "b": 3, "c": 2}
         tracker = make_tracker(shares)
         rng = random.Random(3)
@@ -67,7 +67,7 @@
             part = used[team] / sum(used.values())
             self.assertAlmostEqual(share / 10, part, delta=0.01)
 
-    def test_what_a_team_missed_is_repaid(self):
+    def test_a_deficit_is_recovered(self):
         tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(50):
             tracker.started("a", TASK, 0.0)
@@ -78,7 +78,7 @@
         self.assertGreater(tracker.shortfalls(["a", "b"], 10.0)["b"], 0)
 
     def test_idle_time_earns_no_credit(self):
-        # Guards against a team saving up its share and then filling the cell.
+        # Guards against an idle team that saves up its share and then fills the cell.
         tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(50):
             tracker.started("a", TASK, 0.0)
@@ -88,8 +88,8 @@
             tracker.started("b", TASK, 10.0)
         self.assertAlmostEqual(0.0, tracker.shortfalls(["a", "b"], 10.0)["b"])
 
-    def test_over_share_names_only_teams_above_their_part_of_a_full_cell(self):
-        # Guards against stopping lent work while the cell has room.
+    def test_over_share_lists_only_teams_above_their_share_of_a_full_cell(self):
+        # Guards against preemption while the cell has free capacity.
         tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(80):
             tracker.started("a", TASK, 0.0)
@@ -101,8 +101,8 @@
         self.assertEqual({}, tracker.over_share(["a", "b"], 2.0))
 
     def test_teams_far_above_their_target_yield_only_in_a_full_cell(self):
-        # Guards against small tasks that take each gap before a large task fits, and
-        # against idle capacity when a blocked team lacks something else.
+        # Guards against small tasks that occupy freed capacity before a large one fits,
+        # and against idle capacity while a team is blocked for another reason.
         tracker = make_tracker({"a": 1, "b": 1})
         for _ in range(80):
             tracker.started("a", TASK, 0.0)
@@ -111,7 +111,7 @@
             tracker.started("b", TASK, 0.0)
         self.assertEqual({"a"}, tracker.yielding(["a", "b"], 0.0))
 
-    def test_actual_is_a_decayed_mean(self):
+    def test_average_use_is_a_moving_average(self):
         tracker = make_tracker({"a": 1}, window_s=10.0)
         for _ in range(50):
             tracker.started("a", TASK, 0.0)
--- a/test/test_scheduler_faults.py
+++ b/test/test_scheduler_faults.py
@@ -1,4 +1,4 @@
-"""Random faults in random order; `cell.Cell` checks the invariants throughout."""
+"""Random faults in random order; `cell.Cell` checks the invariants."""
 
 import random
 
@@ -124,7 +124,7 @@
         self.cell.call("set_availability_zones", out)
 
     def use_elsewhere(self):
-        """Let another partition ask for a part of the ceiling."""
+        """Request a part of the ceiling for another partition."""
         target = cell.resources.Resources(self.rng.randrange(0, 120_000), 1 << 30, 0)
         ceiling = self.cell.teams["kern"].ceiling
         row = self.cell.rows["kern"]
@@ -150,9 +150,9 @@
 
 
 class FaultsTest(testtools.TestCase):
-    def test_all_work_becomes_final_and_no_invariant_breaks(self):
-        # Guards against second starts, double placement, overcommitted workers and
-        # tasks that are forgotten after combinations of faults.
+    def test_all_tasks_become_final_and_no_invariant_is_violated(self):
+        # Guards against repeated starts, double placement, overcommitted workers and
+        # lost tasks after combinations of faults.
         for seed in SEEDS:
             faults = Faults(seed)
             try:
--- a/test/test_tick_interval.py
+++ b/test/test_tick_interval.py
@@ -3,10 +3,10 @@
 from toucanspring.scheduling import tick_interval
 
 
-class RoundsTest(testtools.TestCase):
-    def test_rounds_are_rare_only_after_two_idle_ones_at_rest(self):
+class NextIntervalTest(testtools.TestCase):
+    def test_the_interval_is_long_only_after_two_idle_ticks_while_quiescent(self):
         # Guards against timed checks that miss the last change, and against waiting
-        # work that is looked at once a second.
+        # tasks that are examined only once a second.
         for idle_ticks, is_quiescent, expected in (
             (0, True, tick_interval.TICK_INTERVAL_S),
             (1, True, tick_interval.IDLE_TICK_INTERVAL_S),
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -32,7 +32,7 @@
         self.assertEqual([str(job_class) for job_class in job.JobClass], self.order())
 
     def test_deadline_jobs_are_ordered_by_latest_start(self):
-        # Guards against a job that arrived first but has time making another late.
+        # Guards against an earlier job with slack that makes another miss its deadline.
         self.queue.add(make_spec("late", "deadline", deadline=900.0), [0], 0.0)
         self.queue.add(make_spec("long", "deadline", deadline=800.0, run=700), [0], 1.0)
         self.queue.add(make_spec("soon", "deadline", deadline=300.0), [0], 2.0)
@@ -40,7 +40,7 @@
         self.assertEqual(["soon", "late", "long"], self.order(now=150.0))
 
     def test_no_class_starves(self):
-        # Guards against a steady flow of a higher class holding a lower one for ever.
+        # Guards against a steady flow of a higher class that starves a lower one.
         self.queue.add(make_spec("old", "deferrable"), [0], 0.0)
         self.queue.add(make_spec("young", "normal"), [0], 3000.0)
         self.assertEqual(["young", "old"], self.order())
@@ -49,15 +49,15 @@
             self.queue.add(make_spec(job_class, job_class, deadline=60.0), [0], 5000.0)
         self.assertEqual("old", self.order()[0])
 
-    def test_a_job_of_many_tasks_is_one_entry(self):
+    def test_a_job_with_many_tasks_is_one_entry(self):
         self.queue.add(make_spec("wide"), range(10_000), 0.0)
         self.assertEqual(1, len(self.queue))
         self.assertEqual([0, 1, 2], self.queue.take("wide", 3))
         self.assertEqual(9997, len(self.queue.take("wide", 20_000)))
         self.assertEqual([], self.queue.teams())
 
-    def test_a_requeued_task_keeps_the_place_of_its_job(self):
-        # Guards against work on lost workers going to the end of the queue.
+    def test_a_requeued_task_keeps_the_position_of_its_job(self):
+        # Guards against tasks of lost workers that go to the end of the queue.
         first, second = make_spec("first"), make_spec("second")
         self.queue.add(first, [0, 1], 0.0)
         self.queue.add(second, [0], 1.0)
@@ -75,7 +75,7 @@
         self.assertEqual(4.0, self.queue.oldest_wait(5.0))
 
     def test_taking_during_iteration_and_random_use_lose_no_task(self):
-        # Guards against tasks that are lost or handed out twice.
+        # Guards against tasks that are lost or taken twice.
         rng = random.Random(5)
         added, taken = set(), []
         for number in range(2000):
--- a/toucanspring/scheduling/__init__.py
+++ b/toucanspring/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of one partition's scheduler and what they look at; no I/O."""
+"""Scheduler of one partition: placement, fairness and task lifecycle, without I/O."""
--- a/toucanspring/scheduling/allowance.py
+++ b/toucanspring/scheduling/allowance.py
@@ -1,8 +1,8 @@
 """Division of a team's ceiling among partitions.
 
-The row `allowances/<team>` holds one part per partition. `resize` computes the
-next row; its result depends on absolute targets, so repeating a request whose
-answer was lost changes nothing. `AllowanceTracker` tracks what one partition holds and uses.
+The row `allowances/<team>` contains one part per partition. `resize` computes the next
+row from absolute targets, so repeating a request whose response was lost is
+idempotent. `AllowanceTracker` tracks what one partition holds and uses.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from toucanspring import resources
 from toucanspring.scheduling import effects, team_allowance
 
-RETURN_AFTER_S = 5.0  # unused for so long before it is given back
-CONTENDED_RETURN_AFTER_S = 0.5  # the same while other partitions want more
-REQUEST_RETRY_S = 1.0  # a request without answer is repeated
-CHUNKS_PER_CEILING = 16  # requests ask for up to this fraction of the ceiling
+RETURN_AFTER_S = 5.0  # time after which an unused amount is returned
+CONTENDED_RETURN_AFTER_S = 0.5  # the same under contention
+REQUEST_RETRY_S = 1.0  # repeats a request without a response
+CHUNKS_PER_CEILING = 16  # limits one request to this fraction of the ceiling
 
 Amount = team_allowance.Amount
 ZERO = team_allowance.ZERO
@@ -25,10 +25,10 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """Hold the part of one team's ceiling that each partition may use.
+    """Parts of one team's ceiling, by partition.
 
-    `wants` names the partitions that were granted less than they asked for, with the
-    least amount that is of use to each.
+    `wants` lists the partitions that were granted less than they requested, with the
+    least amount that is useful to each.
     """
 
     parts: dict[int, resources.Resources] = {}
@@ -38,11 +38,12 @@
 def contended_limit(
     row: Row, partition: int, ceiling: resources.Resources
 ) -> resources.Resources | None:
-    """Return what a partition may hold while others want more; None if none does.
+    """Return the limit of a partition under contention, or None without contention.
 
-    All that hold or want get the same. A want above that, such as a gang's, is met
-    first, the one of the lowest partition if there are several, since partitions
-    that each hold half of what they need would wait for each other.
+    All partitions that hold or request an amount get equal limits. A request for
+    more than that, such as a gang's, is satisfied first. Of several, the lowest
+    partition comes first, because partitions that each hold half of what they need
+    would deadlock.
     """
     if not row.wants.keys() - {partition}:
         return None
@@ -70,7 +71,7 @@
 
 
 def _shrink(values: list[int], limit: int) -> list[int]:
-    """Scale values down to a sum of `limit`; largest remainders get the rest."""
+    """Scale values down to a sum of `limit` by the largest remainder method."""
     total = sum(values)
     if total <= limit:
         return values
@@ -91,13 +92,12 @@
     ownerless: frozenset[int] = frozenset(),
     least: resources.Resources = resources.ZERO,
 ) -> Row:
-    """Return the row after `partition` asks to hold `target`.
+    """Return the row after `partition` requests to hold `target`.
 
-    If it gets less, the row names it among the partitions that want more.
-    A target below the present part returns the difference; one above is granted
-    from the unallocated remainder as far as that goes. If the sum exceeds the
-    ceiling because it was lowered, all parts shrink in proportion, except those of
-    `ownerless` partitions, since nobody could stop their work.
+    A target below the current part returns the difference. One above it is granted
+    as far as the unallocated remainder permits; if that is not enough, `wants` lists
+    the partition. If the sum exceeds a lowered ceiling, all parts shrink in
+    proportion, except those of `ownerless` partitions, whose tasks cannot be stopped.
     """
     keys = sorted(set(row.parts) | {partition})
     columns = []
@@ -132,60 +132,60 @@
 
 
 class AllowanceTracker:
-    """Track what one partition holds and uses of each team's ceiling."""
+    """Allowances and usage of all teams in one partition."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, team_allowance.TeamAllowance] = {}
-        self._active: set[str] = set()  # all others hold, use and ask for nothing
-        # Amounts that waiting work needs: all of it, and the least that helps.
+        self._allowances: dict[str, team_allowance.TeamAllowance] = {}
+        self._active: set[str] = set()  # all other teams are idle
+        # Amounts that waiting tasks need: for all of them, and the least useful one.
         self._shortages: dict[str, tuple[Amount, Amount]] = {}
 
-    def _account(self, team: str) -> team_allowance.TeamAllowance:
-        account = self._accounts.get(team)
-        if account is None:
-            account = self._accounts[team] = team_allowance.TeamAllowance()
-        return account
+    def _allowance(self, team: str) -> team_allowance.TeamAllowance:
+        allowance = self._allowances.get(team)
+        if allowance is None:
+            allowance = self._allowances[team] = team_allowance.TeamAllowance()
+        return allowance
 
     def set_ceilings(self, ceilings: Mapping[str, resources.Resources]) -> None:
-        """Set the ceilings in force; a team not named keeps its last one."""
+        """Set ceilings; a team that is not listed keeps its ceiling."""
         for team, ceiling in ceilings.items():
             limits = _as_tuple(ceiling)
-            account = self._account(team)
-            account.ceiling = None if limits == UNLIMITED else limits
+            allowance = self._allowance(team)
+            allowance.ceiling = None if limits == UNLIMITED else limits
 
     def set_held(self, held: Mapping[str, resources.Resources], now: float) -> None:
-        """Set what the rows give to this partition."""
+        """Set the parts that the rows assign to this partition."""
         for team, amount in held.items():
-            account = self._account(team)
+            allowance = self._allowance(team)
             value = _as_tuple(amount)
-            changed, account.held = value != account.held, value
+            changed, allowance.held = value != allowance.held, value
             if value != ZERO:
                 self._active.add(team)
-            if not account.row_read:
-                account.row_read = True
-                account.peak, account.peak_since = account.used, now
-            if account.target is None:
+            if not allowance.row_read:
+                allowance.row_read = True
+                allowance.peak, allowance.peak_since = allowance.used, now
+            if allowance.target is None:
                 continue
-            if account.returning:
-                # Until the row confirms the return, the amount may be elsewhere.
-                answered = all(map(int.__le__, value, account.target))
+            if allowance.returning:
+                # Until the row confirms the return, another partition may hold it.
+                answered = all(map(int.__le__, value, allowance.target))
             else:
                 answered = changed
             if answered:
-                account.target = None
-                account.returning = False
-                account.peak, account.peak_since = account.used, now
+                allowance.target = None
+                allowance.returning = False
+                allowance.peak, allowance.peak_since = allowance.used, now
 
     def set_limits(self, limits: Mapping[str, resources.Resources]) -> None:
-        """Set what may be held of ceilings of which other partitions want more."""
-        for team, account in self._accounts.items():
+        """Set the limits of teams whose ceilings are contended."""
+        for team, allowance in self._allowances.items():
             limit = limits.get(team)
-            account.limit = None if limit is None else _as_tuple(limit)
+            allowance.limit = None if limit is None else _as_tuple(limit)
 
     def max_starts(self, team: str, demand: resources.Resources) -> int:
-        """Return how many times `demand` may start within the allowance."""
-        account = self._account(team)
-        ceiling = account.ceiling
+        """Return how many tasks of size `demand` may start within the allowance."""
+        allowance = self._allowance(team)
+        ceiling = allowance.ceiling
         if ceiling is None:
             return resources.UNBOUNDED_COUNT
         count = resources.UNBOUNDED_COUNT
@@ -193,8 +193,8 @@
         for need, limit, usable, used, unlimited in zip(
             needs,
             ceiling,
-            account.usable(),
-            map(int.__add__, account.used, account.unconfirmed),
+            allowance.usable(),
+            map(int.__add__, allowance.used, allowance.unconfirmed),
             UNLIMITED,
             strict=True,
         ):
@@ -203,63 +203,71 @@
         return max(0, count)
 
     def use(self, team: str, amount: resources.Resources) -> None:
-        """Count work that starts."""
-        account = self._account(team)
-        cpus, memory, accelerators = account.used
-        used = account.used = (
+        """Add the demand of started tasks to the usage."""
+        allowance = self._allowance(team)
+        cpus, memory, accelerators = allowance.used
+        used = allowance.used = (
             cpus + amount.cpus,
             memory + amount.memory,
             accelerators + amount.accelerators,
         )
-        account.peak = tuple(map(max, account.peak, used))
+        allowance.peak = tuple(map(max, allowance.peak, used))
         self._active.add(team)
 
     def free(self, team: str, amount: resources.Resources) -> None:
-        """Count work that has ended."""
-        account = self._account(team)
-        cpus, memory, accelerators = account.used
-        account.used = (
+        """Subtract the demand of ended tasks from the usage."""
+        allowance = self._allowance(team)
+        cpus, memory, accelerators = allowance.used
+        allowance.used = (
             cpus - amount.cpus,
             memory - amount.memory,
             accelerators - amount.accelerators,
         )
 
     def used(self, team: str) -> resources.Resources:
-        """Return what the team uses in this partition."""
-        return resources.Resources(*self._account(team).used)
+        """Return the usage of a team in this partition."""
+        return resources.Resources(*self._allowance(team).used)
 
     def excess(self, team: str) -> resources.Resources:
-        """Return what is used beyond the part held, after a ceiling was lowered."""
-        account = self._account(team)
-        # Most teams run nothing in most partitions, and this is asked often.
-        if account.used == ZERO or account.ceiling is None or not account.row_read:
+        """Return the usage above the held part, as after a lowered ceiling."""
+        allowance = self._allowance(team)
+        # Fast path: most teams run nothing in most partitions.
+        if (
+            allowance.used == ZERO
+            or allowance.ceiling is None
+            or not allowance.row_read
+        ):
             return resources.ZERO
         return resources.Resources(
             *(
                 max(0, used - held) if limit < unlimited else 0
                 for used, held, limit, unlimited in zip(
-                    account.used, account.held, account.ceiling, UNLIMITED, strict=True
+                    allowance.used,
+                    allowance.held,
+                    allowance.ceiling,
+                    UNLIMITED,
+                    strict=True,
                 )
             )
         )
 
     def teams(self) -> list[str]:
-        """Return the teams that may hold, use or ask for something."""
+        """Return the teams that may hold, use or request an amount."""
         return sorted(self._active)
 
     def set_unconfirmed(self, amounts: Mapping[str, resources.Resources]) -> None:
-        """Set what teams may be using on workers that cannot be asked yet."""
-        for team, account in self._accounts.items():
+        """Set what teams may be using on workers that have not attached yet."""
+        for team, allowance in self._allowances.items():
             if team not in amounts:
-                account.unconfirmed = ZERO
+                allowance.unconfirmed = ZERO
         for team, amount in amounts.items():
-            self._account(team).unconfirmed = _as_tuple(amount)
+            self._allowance(team).unconfirmed = _as_tuple(amount)
             self._active.add(team)
 
     def report_shortage(
         self, team: str, amount: resources.Resources, least: resources.Resources
     ) -> None:
-        """Note that work of size `amount` waits only for allowance."""
+        """Record that tasks of size `amount` in total wait only for allowance."""
         present, floor = self._shortages.get(team, (ZERO, ZERO))
         self._shortages[team] = (
             tuple(map(max, present, _as_tuple(amount))),
@@ -271,80 +279,80 @@
     ) -> list[effects.RequestAllowance | effects.ReturnAllowance]:
         """Return the requests and returns that are due.
 
-        With `all_teams` false, only teams whose work waits are looked at.
+        Unless `all_teams` is set, only teams with a reported shortage are checked.
         """
         due = []
         self._active.update(self._shortages)
         for team in self.teams() if all_teams else list(self._shortages):
-            account = self._accounts[team]
-            effect = self._next_effect(team, account, self._shortages.get(team), now)
+            allowance = self._allowances[team]
+            effect = self._next_effect(team, allowance, self._shortages.get(team), now)
             if effect is not None:
                 due.append(effect)
-            elif account.is_idle():
+            elif allowance.is_idle():
                 self._active.discard(team)
         self._shortages.clear()
         return due
 
     def has_timer(self) -> bool:
-        """Return whether a request or a return may become due with time."""
-        return any(self._accounts[team].has_timer() for team in self._active)
+        """Return whether a request or return may become due at a later time."""
+        return any(self._allowances[team].has_timer() for team in self._active)
 
     def _next_effect(
         self,
         team: str,
-        account: team_allowance.TeamAllowance,
+        allowance: team_allowance.TeamAllowance,
         shortage: tuple[Amount, Amount] | None,
         now: float,
     ) -> effects.RequestAllowance | effects.ReturnAllowance | None:
-        if account.ceiling is None or not account.row_read:
-            # A target chosen before the row is read could be below the present part
-            # and give away what running work uses.
+        if allowance.ceiling is None or not allowance.row_read:
+            # Before the row is read, a target could be below the current part and
+            # return an amount that running tasks use.
             return None
-        if account.target is not None:
-            if now - account.requested_at < REQUEST_RETRY_S:
+        if allowance.target is not None:
+            if now - allowance.requested_at < REQUEST_RETRY_S:
                 return None
-            if account.returning:
-                # Repeating is harmless, because the target is absolute.
-                return self._request(team, account, account.target, now)
-            account.target = None
-        if account.limit is not None:
-            excess = self._contended_target(account, shortage is not None, now)
-            if excess != account.held:
-                return self._request(team, account, excess, now)
+            if allowance.returning:
+                # Repeating is idempotent because the target is absolute.
+                return self._request(team, allowance, allowance.target, now)
+            allowance.target = None
+        if allowance.limit is not None:
+            kept = self._contended_target(allowance, shortage is not None, now)
+            if kept != allowance.held:
+                return self._request(team, allowance, kept, now)
         if shortage is not None:
-            target = self._requested_target(account, shortage)
-            return self._request(team, account, target, now, least=shortage[1])
-        if now - account.peak_since < RETURN_AFTER_S:
+            target = self._requested_target(allowance, shortage)
+            return self._request(team, allowance, target, now, least=shortage[1])
+        if now - allowance.peak_since < RETURN_AFTER_S:
             return None
-        peak, account.peak, account.peak_since = account.peak, account.used, now
-        needed = map(int.__add__, map(max, peak, account.used), account.unconfirmed)
-        target = tuple(map(min, account.held, needed))
-        if target != account.held:
-            return self._request(team, account, target, now)
+        peak, allowance.peak, allowance.peak_since = allowance.peak, allowance.used, now
+        needed = map(int.__add__, map(max, peak, allowance.used), allowance.unconfirmed)
+        target = tuple(map(min, allowance.held, needed))
+        if target != allowance.held:
+            return self._request(team, allowance, target, now)
         return None
 
     @staticmethod
     def _contended_target(
-        account: team_allowance.TeamAllowance, has_shortage: bool, now: float
+        allowance: team_allowance.TeamAllowance, has_shortage: bool, now: float
     ) -> Amount:
-        """Return what to keep while others want more.
+        """Return the amount to keep under contention.
 
-        What is above the limit goes at once. Within the limit a short pause keeps
-        teams with short tasks from returning and asking again for each of them.
+        An amount above the limit is returned at once. Below the limit a short delay
+        avoids a return and a new request for every short task.
         """
-        used = tuple(map(int.__add__, account.used, account.unconfirmed))
-        keep = tuple(map(max, used, account.limit))
-        if not has_shortage and now - account.peak_since >= CONTENDED_RETURN_AFTER_S:
-            keep = tuple(map(max, used, account.peak))
-            account.peak, account.peak_since = account.used, now
-        return tuple(map(min, account.held, keep))
+        used = tuple(map(int.__add__, allowance.used, allowance.unconfirmed))
+        keep = tuple(map(max, used, allowance.limit))
+        if not has_shortage and now - allowance.peak_since >= CONTENDED_RETURN_AFTER_S:
+            keep = tuple(map(max, used, allowance.peak))
+            allowance.peak, allowance.peak_since = allowance.used, now
+        return tuple(map(min, allowance.held, keep))
 
     @staticmethod
     def _requested_target(
-        account: team_allowance.TeamAllowance, shortage: tuple[Amount, Amount]
+        allowance: team_allowance.TeamAllowance, shortage: tuple[Amount, Amount]
     ) -> Amount:
-        """Return what to hold: the amount that waits, but one chunk at a time."""
-        limits = account.ceiling if account.limit is None else account.limit
+        """Return the amount to request for waiting tasks, in steps of one chunk."""
+        limits = allowance.ceiling if allowance.limit is None else allowance.limit
         return tuple(
             held
             if ceiling >= unlimited
@@ -355,11 +363,11 @@
                 ),
             )
             for used, amount, least, held, limit, ceiling, unlimited in zip(
-                account.used,
+                allowance.used,
                 *shortage,
-                account.held,
+                allowance.held,
                 limits,
-                account.ceiling,
+                allowance.ceiling,
                 UNLIMITED,
                 strict=True,
             )
@@ -368,18 +376,18 @@
     @staticmethod
     def _request(
         team: str,
-        account: team_allowance.TeamAllowance,
+        allowance: team_allowance.TeamAllowance,
         target: Amount,
         now: float,
         least: Amount = ZERO,
     ) -> effects.RequestAllowance | effects.ReturnAllowance | None:
-        if target == account.held:
+        if target == allowance.held:
             return None
-        account.target, account.requested_at = target, now
+        allowance.target, allowance.requested_at = target, now
         goal = resources.Resources(*target)
-        held = resources.Resources(*account.held)
-        account.returning = any(map(int.__lt__, target, account.held))
-        if not account.returning:
+        held = resources.Resources(*allowance.held)
+        allowance.returning = any(map(int.__lt__, target, allowance.held))
+        if not allowance.returning:
             needed = resources.Resources(*least)
             return effects.RequestAllowance(team, goal - held, goal, needed)
         return effects.ReturnAllowance(team, held - goal, goal)
--- a/toucanspring/scheduling/collector.py
+++ b/toucanspring/scheduling/collector.py
@@ -1,4 +1,4 @@
-"""Collection of effects, merged into few large ones."""
+"""Batch the effects of one call into few large ones."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Collector:
-    """Collect effects until the caller takes them."""
+    """Collect effects until they are taken."""
 
     def __init__(self) -> None:
         self._starts: dict[str, list[wire.TaskStart]] = {}
@@ -20,31 +20,31 @@
         self._others: list[effects.Effect] = []
 
     def start(self, worker: str, starts: list[wire.TaskStart]) -> None:
-        """Add starts on a worker."""
+        """Start tasks on a worker."""
         self._starts.setdefault(worker, []).extend(starts)
 
     def stop(self, worker: str, task_id: str, mode: str) -> None:
-        """Add a stop on a worker."""
+        """Stop a task on a worker; `mode` is `kill` or `checkpoint`."""
         self._stops.setdefault((worker, mode), []).append(task_id)
 
     def record_intent(self, intent: effects.Intent) -> None:
-        """Add an intent to the log."""
+        """Write an intent to the log."""
         self._intents.append(intent)
 
     def record_outcome(self, task_id: str, outcome: job.Outcome) -> None:
-        """Add a task outcome to the log."""
+        """Write a task outcome to the log."""
         self._outcomes[task_id] = outcome
 
     def finish_job(self, job_id: str, outcome: job.Outcome) -> None:
-        """Add the end of a job."""
+        """Report that a job has ended."""
         self._finished.append(effects.JobFinished(job_id, outcome))
 
     def acknowledge(self, worker: str, task_id: str) -> None:
-        """Let a worker forget a task."""
+        """Allow a worker to discard a finished task."""
         self._acknowledged.setdefault(worker, []).append(task_id)
 
     def publish(self, event: event_kinds.Event) -> None:
-        """Add an event for operators."""
+        """Publish an event for operators."""
         self._others.append(effects.Publish(event))
 
     def add(self, effect: effects.Effect) -> None:
@@ -52,10 +52,10 @@
         self._others.append(effect)
 
     def take(self) -> list[effects.Effect]:
-        """Return all effects and forget them.
+        """Return and clear the collected effects.
 
-        Outcomes come before the acknowledgements that depend on them, and stops
-        before the starts that use the room they give.
+        Outcomes precede the acknowledgements that depend on them, and stops precede
+        the starts that use the capacity they free.
         """
         taken: list[effects.Effect] = []
         if self._intents:
--- a/toucanspring/scheduling/decisions.py
+++ b/toucanspring/scheduling/decisions.py
@@ -1,27 +1,27 @@
-"""Bounded record of scheduling decisions, shown by `explain`."""
+"""Bounded record of recent scheduling decisions, for `explain`."""
 
 from __future__ import annotations
 
 import collections
 
 MAX_JOBS = 10_000
-MAX_PLACEMENTS = 32  # latest placements kept for each job
+MAX_PLACEMENTS = 32  # latest placements kept per job
 
 
 class JobDecisions:
-    """Hold the last decisions about one job."""
+    """Last decisions about one job."""
 
     __slots__ = ("placements", "rank", "rejected", "waits_for")
 
     def __init__(self) -> None:
-        self.rank = 0  # place of its team when it was last considered, from 1
+        self.rank = 0  # of its team when last considered, from 1
         self.rejected: dict[str, int] = {}  # reason -> number of workers
         self.waits_for: list[str] = []
         self.placements: dict[str, str] = {}  # task ID -> worker and reason
 
 
 class Decisions:
-    """Keep the last decisions about the jobs considered most recently."""
+    """Decisions about the most recently considered jobs."""
 
     def __init__(self, limit: int = MAX_JOBS) -> None:
         self._records: collections.OrderedDict[str, JobDecisions] = (
@@ -49,7 +49,7 @@
         waits_for: str,
         rejected: dict[str, int] | None = None,
     ) -> None:
-        """Record why a job was considered and not started."""
+        """Record why a job could not be started."""
         record = self._record(job_id)
         record.rank = rank
         record.waits_for = [waits_for]
@@ -58,7 +58,7 @@
     def record_placement(
         self, job_id: str, rank: int, task_ids: list[str], worker: str, reason: str
     ) -> None:
-        """Record where tasks of a job were started, and why there."""
+        """Record the worker on which tasks were started and why it was chosen."""
         record = self._record(job_id)
         record.rank = rank
         record.waits_for = []
@@ -71,5 +71,5 @@
             del placements[next(iter(placements))]
 
     def find(self, job_id: str) -> JobDecisions:
-        """Return what is known of a job; an empty record if nothing is."""
+        """Return the decisions about a job, or an empty record if there are none."""
         return self._records.get(job_id) or JobDecisions()
--- a/toucanspring/scheduling/effects.py
+++ b/toucanspring/scheduling/effects.py
@@ -1,29 +1,32 @@
 """Effects that a partition's scheduler asks its owner to carry out.
 
-`scheduler.Scheduler(partition, rng, spread_move_s)` has these methods. Times are
-monotonic seconds; each returns the list of effects, in the order to carry them out.
+`scheduler.Scheduler(partition, rng, spread_move_s)` has the methods below. Times are
+monotonic seconds. Except for the last two, each method returns a list of effects,
+which the owner carries out in that order.
 
 - `submit(specs: list[JobSpec], now)`: queue durable jobs; a job that can never
   run yields `RecordOutcomes` with `not_run` and the reason
 - `restore(specs, finished: dict[task ID, Outcome], intents: dict[task ID, Intent],
-  cancelled: set[job ID], expected_workers: set[str], now)`: rebuild after takeover;
-  tasks that may still run on a worker of `expected_workers` wait until that worker
-  is attached or lost
+  cancelled: set[job ID], expected_workers: set[str], now)`: restore after a
+  takeover; tasks that may still run on a worker of `expected_workers` wait until that
+  worker is attached or lost
 - `cancel(job_ids, now)`
 - `worker_attached(facts: WorkerFacts, running: list[wire.RunningTask],
   finished: list[wire.FinishedTask], now)`
 - `worker_report(worker, finished: list[wire.FinishedTask], usage, now)`
 - `starts_answered(worker, accepted: list[task ID],
-  refused: list[(task ID, reason)], now)`: a refused start certainly did not run
-- `starts_unanswered(worker, task_ids, now)`: the stream broke after sending
-- `worker_lost(worker, now)`: its lease and stop grace must have expired
-- `worker_leaving(worker, leaving: bool, now)`: no new starts while leaving
+  refused: list[(task ID, reason)], now)`: a refused task has not run
+- `starts_unanswered(worker, task_ids, now)`: the stream broke after the starts
+  were sent
+- `worker_lost(worker, now)`: its lease and grace period must have expired
+- `worker_leaving(worker, leaving: bool, now)`: no starts while leaving
 - `set_availability_zones(out: frozenset[str], now)`
 - `set_teams(teams: dict[str, fairness.Team], now)`
 - `set_allowances(held: dict[str, Resources], now)`
 - `intents_durable(intents: list[Intent], now)` and `intents_failed(intents, now)`
-- `dependency_finished(job_id, outcome, now)`: answers `WatchJobs`
-- `tick(now)`: place waiting work; called every 20 ms and after each event
+- `dependency_finished(job_id, outcome, now)`: response to `WatchJobs`
+- `tick(now)`: place waiting tasks; called at least every 20 ms while busy (see
+  `tick_interval`) and after each event
 - `lookup(job_id) -> JobStatus | errors.NotFound`, `explain(job_id) -> Explanation`
 """
 
@@ -35,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerFacts:
-    """Describe a worker as it reported itself when attached."""
+    """Properties that a worker reports when it attaches."""
 
     worker: str
     incarnation: int
@@ -46,18 +49,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Intent:
-    """Record that a non-idempotent attempt may start on one worker."""
+    """Log entry: a non-idempotent attempt may be started on a worker."""
 
     task_id: str
     attempt: int
     worker: str
     incarnation: int
-    demand: resources.Resources | None = None  # what the attempt holds there
+    demand: resources.Resources | None = None  # resources allocated to it
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartTasks:
-    """Send starts to a worker."""
+    """Start tasks on a worker."""
 
     worker: str
     tasks: list[wire.TaskStart]
@@ -74,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ThrottleTask:
-    """Limit a task to a fraction (0 to 1) of the processors that it would use."""
+    """Limit a task to a fraction (0 to 1) of the CPU time it would use."""
 
     worker: str
     task_id: str
@@ -97,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobFinished:
-    """Tell waiters that all tasks of a job are final."""
+    """Notify waiting callers that all tasks of a job are final."""
 
     job_id: str
     outcome: job.Outcome
@@ -105,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Let a worker forget finished tasks, once their outcomes are durable."""
+    """Allow a worker to discard finished tasks once their outcomes are durable."""
 
     worker: str
     task_ids: list[str]
@@ -113,10 +116,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestAllowance:
-    """Ask for `amount` more of a team's ceiling, up to `target` in all.
+    """Request `amount` more of a team's ceiling, `target` in total.
 
-    The caller writes `allowance.resize(row, partition, target, ceiling, least)`.
-    Room for less than `least` is of no use.
+    The owner writes `allowance.resize(row, partition, target, ceiling, least)`.
+    Less than `least` is not enough to start any waiting task.
     """
 
     team: str
@@ -127,10 +130,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReturnAllowance:
-    """Give back `amount` of a team's ceiling that is not in use, and keep `target`.
+    """Return an unused `amount` of a team's ceiling and keep `target`.
 
-    The scheduler does not use the amount again before `set_allowances` shows that
-    the row was written.
+    The scheduler does not use the amount again until `set_allowances` shows that the
+    row was written.
     """
 
     team: str
@@ -140,10 +143,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchJobs:
-    """Call `dependency_finished` for each of `job_ids`, once it is final.
+    """Request a `dependency_finished` call for each of `job_ids` once it is final.
 
-    The jobs are not known in this partition. An ID that no partition knows counts
-    as `not_run`.
+    The jobs are unknown in this partition. An ID that is unknown in all partitions
+    counts as `not_run`.
     """
 
     job_id: str
@@ -152,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publish:
-    """Tell listeners of this process what was decided."""
+    """Publish an event to the subscribers in this process."""
 
     event: event_kinds.Event
 
@@ -174,7 +177,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobStatus:
-    """Summarise a job: counts of tasks by state and the outcome once final."""
+    """Number of tasks by state, and the outcome of the job once it is final."""
 
     job_id: str
     name: str
@@ -186,7 +189,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explanation:
-    """Say why a job waits, or why it ran where it did."""
+    """Reason why a job is waiting, or why its tasks were placed where they are."""
 
     job_id: str
     state: str
--- a/toucanspring/scheduling/estimate.py
+++ b/toucanspring/scheduling/estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of size and run time, learned from finished tasks."""
+"""Estimate the demand and run time of tasks from finished ones."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 from toucanspring import job, resources
 
-MAX_NAMES = 20_000  # names kept; the least recently observed is dropped first
-MAX_SAMPLES = 32  # latest tasks kept for each name
-MIN_SAMPLES = 5  # below this, observations can only raise an estimate
+MAX_NAMES = 20_000  # names kept; evicts the least recently observed
+MAX_SAMPLES = 32  # latest tasks kept per name
+MIN_SAMPLES = 5  # with fewer, observations can only raise an estimate
 SIZE_QUANTILE = 0.95
 RUN_QUANTILE = 0.9
-HEADROOM = 1.15  # of the observed size quantile
-# Declared sizes are often far off; without enough observations an estimate stays
-# below this multiple of the declared size.
+HEADROOM = 1.15  # factor applied to the observed quantile
+# Limits an estimate with fewer than MIN_SAMPLES observations, as a multiple of the
+# declared size, which is often inaccurate.
 MAX_OF_DECLARED = 2.0
-# Bounds a learned size. A task that fills what it was given reports that as its usage,
-# and the headroom on top would raise the next size without end.
+# Limits all learned sizes, as a multiple of the declared size. A task that uses all of
+# its allocation reports that as its usage, so the headroom would otherwise raise each
+# following estimate without bound.
 MAX_LEARNED_OF_DECLARED = 4.0
 
 
 class Samples:
-    """Hold the latest observations for one name of a team."""
+    """Latest observations of one job name of a team."""
 
     __slots__ = ("cached_quantiles", "cpus", "memory", "run_seconds")
 
@@ -35,7 +36,7 @@
         self.cached_quantiles: tuple[int, int, float] | None = None
 
     def quantiles(self) -> tuple[int, int, float]:
-        """Return high quantiles of processors, memory and run time."""
+        """Return the high quantiles of CPU, memory and run time."""
         if self.cached_quantiles is None:
             self.cached_quantiles = (
                 quantile(self.cpus, SIZE_QUANTILE),
@@ -46,9 +47,9 @@
 
 
 def quantile(values: collections.deque, fraction: float) -> float:
-    """Return the smallest value that at least `fraction` of the values reach.
+    """Return the smallest value that at least `fraction` of values do not exceed.
 
-    Without values it is 0.
+    Without values the result is 0.
     """
     if not values:
         return 0
@@ -57,7 +58,7 @@
 
 
 class Estimator:
-    """Learn sizes and run times by team and job name."""
+    """Learn demands and run times by team and job name."""
 
     def __init__(self) -> None:
         self._samples: collections.OrderedDict[tuple[str, str], Samples] = (
@@ -95,15 +96,15 @@
         declared: resources.Resources,
         usage: resources.Resources,
     ) -> None:
-        """Record the usage of a task that still runs."""
+        """Record the usage of a running task."""
         samples = self._samples_of(name, team)
         _add_size(samples, declared, usage)
         samples.cached_quantiles = None
 
     def demand(self, spec: job.JobSpec) -> resources.Resources:
-        """Return the amount to hold for one task.
+        """Return the resources to allocate to one task.
 
-        Accelerators are held whole, so their declared count is kept.
+        Accelerators are allocated whole, so their declared number is kept.
         """
         declared = spec.demand
         samples = self._samples.get((spec.team, spec.name))
@@ -118,7 +119,7 @@
         return resources.Resources(cpus, memory, declared.accelerators)
 
     def run_seconds(self, spec: job.JobSpec) -> float:
-        """Return the run time that most tasks of this name stay below."""
+        """Return a high quantile of the run times of tasks with this name."""
         samples = self._samples.get((spec.team, spec.name))
         if samples is None:
             return spec.run_seconds
@@ -128,7 +129,7 @@
         return seconds
 
     def latest_start(self, spec: job.JobSpec, accepted_at: float) -> float:
-        """Return when the tasks must start to meet the deadline; inf without one."""
+        """Return the latest start that meets the deadline, or inf without one."""
         if spec.deadline_seconds is None:
             return math.inf
         return accepted_at + spec.deadline_seconds - self.run_seconds(spec)
@@ -137,17 +138,17 @@
 def _add_size(
     samples: Samples, declared: resources.Resources, usage: resources.Resources
 ) -> None:
-    # A worker that reports no usage says nothing about the size.
+    # Workers that do not measure usage report zero.
     if usage.cpus or usage.memory:
         samples.cpus.append(usage.cpus or declared.cpus)
         samples.memory.append(usage.memory or declared.memory)
 
 
 def _raise_declared(declared: int, observed: int) -> int:
-    """Raise a declared size to the observed one, within the bound."""
+    """Raise a declared size to the observed one, up to the limit."""
     return max(declared, min(observed, int(declared * MAX_OF_DECLARED)))
 
 
 def _cap_learned(declared: int, learned: int) -> int:
-    """Bound a learned size by a multiple of the declared one."""
+    """Limit a learned size to a multiple of the declared one."""
     return min(learned, int(declared * MAX_LEARNED_OF_DECLARED))
--- a/toucanspring/scheduling/fairness.py
+++ b/toucanspring/scheduling/fairness.py
@@ -1,8 +1,8 @@
-"""Shares of teams: use, targets and the order in which teams are served.
+"""Fair shares: usage and targets of teams, and the order in which they are served.
 
-Targets among active teams only and a history of use in a window follow the
-documentation of FairShare Groups in Altair Accelerator; bench.share compares them with
-ranking by present use.
+As in the FairShare groups of Altair Accelerator, targets count active teams only and
+usage is averaged over a window. `bench.share` compares this with ranking by current
+usage.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from toucanspring import resources
 
-ROUNDING_ERROR = 1e-9  # of sums of shares
-# Time in which a team should get back what it missed. Measured with bench.share:
-# shorter times overshoot, longer ones and none at all leave large tasks behind.
+ROUNDING_ERROR = 1e-9  # tolerance for sums of shares
+# Time in which a team should recover its deficit. In bench.share, shorter times
+# overshoot; with longer ones, or without recovery, large tasks fall behind.
 DEFICIT_RECOVERY_S = 1.5
-# Bound on what is repaid at once, as a multiple of the target, so that a team that
-# missed much does not fill the cell with long tasks.
+# Limits the correction for a deficit, as a multiple of the target, so that a team with
+# a large deficit does not fill the cell with long tasks.
 MAX_CORRECTION = 1.0
 # A team this far above its target, as a fraction of it, yields to blocked teams.
 YIELD_ABOVE = 0.25
-# With a larger part of the cell idle, no team yields: what keeps a blocked team from
-# starting is then not the use by others.
+# No team yields if a larger fraction of the cell is idle, because then it is not the
+# usage of other teams that blocks a team.
 MAX_IDLE_FRACTION = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Team:
-    """Describe a team; `share` is relative to the shares of other active teams."""
+    """Settings of a team; `share` is relative to those of other active teams."""
 
     name: str
     organisation: str = ""
@@ -38,7 +38,7 @@
 
 
 class TeamUsage:
-    """Hold the use of one team, now and averaged over the recent past."""
+    """Usage of one team, current and averaged over the window."""
 
     __slots__ = (
         "average",
@@ -51,52 +51,54 @@
 
     def __init__(self, now: float) -> None:
         self.use = resources.ZERO
-        self.average = 0.0  # decayed mean of the dominant share
+        self.average = 0.0  # exponential moving average of the dominant share
         self.integral = 0.0  # of the dominant share since the start, in seconds
         self.ranked_integral = 0.0  # `integral` when the deficit was last updated
-        # Decayed sum of what the team was entitled to and did not use, in share
-        # seconds; negative if it used more.
+        # Decayed sum of entitlement less usage, in share seconds; negative if the team
+        # used more than it was entitled to.
         self.deficit = 0.0
         self.updated_at = now
 
 
 class ShareTracker:
-    """Record the use of teams and compare it with their targets.
+    """Track the usage of teams and compare it with their targets.
 
-    Shares and targets are fractions of the cell: the use of a team is its
-    dominant share, the largest fraction of the total in any resource.
+    Shares and targets are fractions of the cell. The usage of a team is its dominant
+    share, which is the largest fraction of the total in any resource.
     """
 
     def __init__(self, teams: Iterable[Team], window_s: float = 60.0) -> None:
         self._teams = {team.name: team for team in teams}
-        self._accounts: dict[str, TeamUsage] = {}
+        self._usage_by_team: dict[str, TeamUsage] = {}
         self._window_s = window_s
         self._total = resources.ZERO
         self._deficits_updated_at = 0.0
-        self._last_active: frozenset[str] = frozenset()  # active when last ranked
+        self._last_active: frozenset[str] = (
+            frozenset()
+        )  # teams active at the last update
 
     def set_teams(self, teams: Iterable[Team]) -> None:
-        """Replace the teams; use by teams that are gone stays recorded."""
+        """Replace the teams, but keep the usage of removed ones."""
         self._teams = {team.name: team for team in teams}
 
     def set_total(self, total: resources.Resources) -> None:
-        """Set the capacity that shares are fractions of."""
+        """Set the total capacity, of which shares are fractions."""
         self._total = total
 
     def started(self, team: str, demand: resources.Resources, now: float) -> None:
-        """Record that a task of a team holds `demand` from now on."""
-        account = self._advance(team, now)
-        account.use += demand
+        """Add the demand of a started task to the usage of its team."""
+        usage = self._update_usage(team, now)
+        usage.use += demand
 
     def ended(self, team: str, demand: resources.Resources, now: float) -> None:
-        """Record that a task of a team gave `demand` back."""
-        account = self._advance(team, now)
-        account.use -= demand
+        """Subtract the demand of an ended task from the usage of its team."""
+        usage = self._update_usage(team, now)
+        usage.use -= demand
 
     def use(self, team: str) -> resources.Resources:
-        """Return what a team holds now."""
-        account = self._accounts.get(team)
-        return account.use if account else resources.ZERO
+        """Return the current usage of a team."""
+        usage = self._usage_by_team.get(team)
+        return usage.use if usage else resources.ZERO
 
     def targets(self, active: Iterable[str]) -> dict[str, float]:
         """Divide the cell among the active teams by share, within their ceilings."""
@@ -135,10 +137,10 @@
         return sorted(found, key=key)
 
     def shortfalls(self, active: Iterable[str], now: float) -> dict[str, float]:
-        """Return what each active team lacks, in dominant share; negative if over.
+        """Return the shortfall of each active team in dominant share.
 
-        That is its target part of all use, less its own use, plus what it missed in
-        the window.
+        This is the team's target part of all usage, less its own usage, plus a
+        correction for its deficit. It is negative for teams above their target.
         """
         return {
             name: shortfall
@@ -148,15 +150,15 @@
         }
 
     def yielding(self, active: Iterable[str], now: float) -> set[str]:
-        """Return the teams that are to start nothing while a lower one is blocked.
+        """Return the teams that start no tasks while one below its target is blocked.
 
-        Blocked means that a team under its target finds no room for lack of
-        processors or memory. Otherwise small tasks of teams over their target take
-        each gap before it is large enough.
+        A team is blocked if no worker has enough free CPU or memory for its tasks.
+        Without this rule, small tasks of teams above their target occupy all freed
+        capacity before there is enough of it for a larger task.
         """
         held = resources.ZERO
-        for account in self._accounts.values():
-            held += account.use
+        for usage in self._usage_by_team.values():
+            held += usage.use
         if held.dominant(self._total) < 1 - MAX_IDLE_FRACTION:
             return set()
         return {
@@ -170,36 +172,40 @@
     def _shortfalls_and_targets(
         self, active: Iterable[str], now: float
     ) -> dict[str, tuple[float, float]]:
-        """Return shortfall and target of the active teams."""
+        """Return the shortfall and target of each active team."""
         names = list(active)
         targets = self.targets(self._with_running_teams(names))
         self._update_deficits(frozenset(names), targets, now)
         total_use = sum(
-            account.use.dominant(self._total) for account in self._accounts.values()
+            usage.use.dominant(self._total) for usage in self._usage_by_team.values()
         )
         found = {}
         for name in names:
-            account = self._accounts[name]
+            usage = self._usage_by_team[name]
             entitled = targets[name] * total_use
             bound = MAX_CORRECTION * entitled
-            correction = max(-bound, min(bound, account.deficit / DEFICIT_RECOVERY_S))
-            shortfall = entitled - account.use.dominant(self._total) + correction
+            correction = max(-bound, min(bound, usage.deficit / DEFICIT_RECOVERY_S))
+            shortfall = entitled - usage.use.dominant(self._total) + correction
             found[name] = (shortfall, targets[name])
         return found
 
     def average_use(self, now: float) -> dict[str, float]:
-        """Return the decayed mean of the dominant share of every team."""
-        return {name: self._advance(name, now).average for name in list(self._accounts)}
+        """Return the moving average of the dominant share of each team."""
+        return {
+            name: self._update_usage(name, now).average
+            for name in list(self._usage_by_team)
+        }
 
     def over_share(self, active: Iterable[str], now: float) -> dict[str, float]:
-        """Return by how much teams exceed their share now, the largest first.
+        """Return by how much teams exceed their share, the largest excess first.
 
-        Teams that only run work count as active: they keep their share. A team is
-        not over its share while the teams together use less than the cell.
+        Teams that only have running tasks count as active and keep their share. No
+        team is over its share while the teams together use less than the cell.
         """
         targets = self.targets(self._with_running_teams(active))
         uses = {
-            name: self._advance(name, now).use.dominant(self._total) for name in targets
+            name: self._update_usage(name, now).use.dominant(self._total)
+            for name in targets
         }
         total_use = max(1.0, sum(uses.values()))
         excess = {name: uses[name] - targets[name] * total_use for name in targets}
@@ -214,49 +220,50 @@
         return min(1.0, team.ceiling.dominant(self._total)) if team else 0.0
 
     def _with_running_teams(self, names: Iterable[str]) -> dict[str, None]:
-        """Return the given teams and those that run work."""
+        """Return the given teams and those with running tasks."""
         running = (
             name
-            for name, account in self._accounts.items()
-            if account.use != resources.ZERO
+            for name, usage in self._usage_by_team.items()
+            if usage.use != resources.ZERO
         )
         return dict.fromkeys((*names, *running))
 
     def _update_deficits(
         self, active: frozenset[str], targets: dict[str, float], now: float
     ) -> None:
-        """Add what teams were entitled to since the last update, less their use.
+        """Add each team's entitlement since the last update, less its usage.
 
-        A team is entitled to its target part of what all teams used. A team that was
-        not active at the last update gains nothing, so idle time earns no credit.
+        A team is entitled to its target part of what all teams used. The deficit of a
+        team that was not active at the last update does not grow, so idle time earns
+        no credit.
         """
         for name in targets:
-            self._advance(name, now)
+            self._update_usage(name, now)
         used = {}
-        for name, account in self._accounts.items():
-            self._advance(name, now)
-            used[name] = account.integral - account.ranked_integral
-            account.ranked_integral = account.integral
+        for name, usage in self._usage_by_team.items():
+            self._update_usage(name, now)
+            used[name] = usage.integral - usage.ranked_integral
+            usage.ranked_integral = usage.integral
         total_use = sum(used.values())
         decay = math.exp(-max(0.0, now - self._deficits_updated_at) / self._window_s)
         self._deficits_updated_at = now
-        for name, account in self._accounts.items():
+        for name, usage in self._usage_by_team.items():
             gain = targets.get(name, 0.0) * total_use - used[name]
             if name not in self._last_active:
                 gain = min(0.0, gain)
-            account.deficit = account.deficit * decay + gain
+            usage.deficit = usage.deficit * decay + gain
         self._last_active = active
 
-    def _advance(self, name: str, now: float) -> TeamUsage:
-        account = self._accounts.get(name)
-        if account is None:
-            account = self._accounts[name] = TeamUsage(now)
-            return account
-        elapsed = now - account.updated_at
+    def _update_usage(self, name: str, now: float) -> TeamUsage:
+        usage = self._usage_by_team.get(name)
+        if usage is None:
+            usage = self._usage_by_team[name] = TeamUsage(now)
+            return usage
+        elapsed = now - usage.updated_at
         if elapsed > 0:
             decay = math.exp(-elapsed / self._window_s)
-            use = account.use.dominant(self._total)
-            account.average = account.average * decay + use * (1 - decay)
-            account.integral += use * elapsed
-            account.updated_at = now
-        return account
+            use = usage.use.dominant(self._total)
+            usage.average = usage.average * decay + use * (1 - decay)
+            usage.integral += use * elapsed
+            usage.updated_at = now
+        return usage
--- a/toucanspring/scheduling/resizing.py
+++ b/toucanspring/scheduling/resizing.py
@@ -1,7 +1,8 @@
-"""Choice of the workers that move because the number of partitions has changed.
+"""Choose the workers to move after the number of partitions has changed.
 
-Performs no I/O. Other moves follow needs and take idle workers only; in a full cell a
-new partition would get none, and a surplus one would keep its own.
+All other moves respond to requests for capacity and take idle workers only. In a full
+cell, those alone would leave a new partition without workers and would not empty a
+surplus one. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Candidate:
-    """Describe a usable worker of the donor; the first in order moves first."""
+    """Usable worker of the donor; workers move in sort order."""
 
     busy: bool
     ends_at: float  # expected end of its last task, in monotonic seconds
@@ -23,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Donor:
-    """Describe the partition that may give workers away."""
+    """Partition that may give up workers."""
 
     number: int
-    has_jobs: bool  # that have not ended
-    has_queue: bool  # of tasks that wait for room
+    has_jobs: bool  # unfinished jobs
+    has_queue: bool  # tasks waiting for capacity
 
 
 def choose(
@@ -37,17 +38,17 @@
     counts: Mapping[int, int],
     starving: Iterable[int],
 ) -> tuple[int, list[str]] | None:
-    """Return a receiver and the workers to free for it, or None.
+    """Return the receiving partition and the workers to move there, or None.
 
-    `current` is the number of partitions, `counts` the workers of each partition and
-    `starving` the partitions whose work has waited for long.
+    `current` is the number of partitions, `counts` the number of workers of each, and
+    `starving` lists the partitions whose tasks have been waiting for long.
     """
     ordered = sorted(candidates)
     if donor.number >= current:
         if donor.has_queue:
             return None
         empty = [each.worker for each in ordered if not each.busy]
-        # With a last worker, a job that waits for another one can start here.
+        # One worker stays for jobs that still wait for another job.
         chosen = empty[donor.has_jobs :][:MAX_BATCH]
         receiver = min(range(current), key=lambda each: (counts.get(each, 0), each))
         return (receiver, chosen) if chosen else None
--- a/toucanspring/scheduling/summary.py
+++ b/toucanspring/scheduling/summary.py
@@ -1,4 +1,4 @@
-"""Sums over one partition, for reports on the whole cell."""
+"""Totals of one partition, for reports on the whole cell."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class Waiting(msgspec.Struct, array_like=True):
-    """Count the waiting tasks of one team and class; `oldest_s` is in seconds."""
+    """Number of waiting tasks of a team and class, and the longest wait so far."""
 
     tasks: int = 0
     oldest_s: float = 0.0
 
 
 class Summary(msgspec.Struct):
-    """Hold the capacity, the use by team, and the waiting work by team and class."""
+    """Capacity, usage by team, and waiting tasks by team and job class."""
 
     capacity: resources.Resources = resources.ZERO
     use: dict[str, resources.Resources] = {}
     waiting: dict[str, dict[str, Waiting]] = {}
 
     def add(self, other: Summary) -> None:
-        """Include the sums of another partition."""
+        """Add the totals of another partition."""
         self.capacity += other.capacity
         for team, amount in other.use.items():
             self.use[team] = self.use.get(team, resources.ZERO) + amount
@@ -36,7 +36,7 @@
 
 
 def summarise(core: lifecycle.Lifecycle, now: float) -> Summary:
-    """Return the sums of one partition; visits each waiting job once."""
+    """Return the totals of a partition in time linear in its waiting jobs."""
     found = Summary(capacity=core.index.total())
     for team in core.teams:
         use = core.shares.use(team)
--- a/toucanspring/scheduling/team_allowance.py
+++ b/toucanspring/scheduling/team_allowance.py
@@ -1,4 +1,4 @@
-"""Account of one team in the allowance ledger of a partition."""
+"""Allowance of one team in one partition."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class TeamAllowance:
-    """Track the use and the part of one team; amounts are tuples for speed."""
+    """Usage and allowance of one team in one partition.
+
+    Amounts are plain tuples for speed.
+    """
 
     __slots__ = (
         "requested_at",
@@ -24,26 +27,26 @@
     )
 
     def __init__(self) -> None:
-        self.ceiling: Amount | None = None  # None: the team has no ceiling
-        self.held = ZERO  # as in the row
-        self.limit: Amount | None = None  # while other partitions want more
-        self.row_read = False  # whether the row was read
-        self.target: Amount | None = None  # of the request that is under way
+        self.ceiling: Amount | None = None  # None for a team without a ceiling
+        self.held = ZERO  # this partition's part in the row
+        self.limit: Amount | None = None  # set while other partitions contend
+        self.row_read = False  # the row has been read at least once
+        self.target: Amount | None = None  # of the pending request
         self.returning = False
         self.requested_at = 0.0
         self.used = ZERO
-        self.unconfirmed = ZERO  # of the former owner, on workers not yet attached
-        self.peak = ZERO  # most used since `peak_since`
+        self.unconfirmed = ZERO  # may be in use on workers that are not attached yet
+        self.peak = ZERO  # highest usage since `peak_since`
         self.peak_since = 0.0
 
     def is_idle(self) -> bool:
-        """Return whether the account holds, uses and asks for nothing."""
+        """Return whether the team holds, uses and requests nothing here."""
         return (
             self.target is None and self.held == self.used == self.unconfirmed == ZERO
         )
 
     def has_timer(self) -> bool:
-        """Return whether a request or a return of a part may become due with time."""
+        """Return whether a request or return may become due at a later time."""
         if self.ceiling is None:
             return False
         return (
@@ -54,7 +57,10 @@
         )
 
     def usable(self) -> Amount:
-        """Return what may be used while a return may or may not have been written."""
+        """Return the amount that is safe to use.
+
+        A pending return may have been written already, so its amount is excluded.
+        """
         usable = self.held
         if self.returning:
             usable = tuple(map(min, usable, self.target))
--- a/toucanspring/scheduling/tick_interval.py
+++ b/toucanspring/scheduling/tick_interval.py
@@ -1,24 +1,24 @@
-"""Pace of the rounds in which a partition places work and does what is due."""
+"""Interval between the scheduler ticks of a partition."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 TICK_INTERVAL_S = 0.02
-# At rest, fifty rounds a second were half of an owner's processor time. Messages
-# still wake the task at once; only decisions that wait for time alone come later.
+# On an idle owner, fifty ticks a second took half of its CPU time. Messages still
+# trigger a tick at once, so only timed decisions are delayed.
 IDLE_TICK_INTERVAL_S = 0.1
-# With nothing that time alone makes due, ten rounds a second were still the largest
-# part of what an idle partition costs. Two idle rounds come first, which are at least
-# 0.1 s apart, so that the timed checks have seen the last change.
+# Without pending timers, ten ticks a second were still the largest part of the cost of
+# an idle partition. Two idle ticks come first. They are at least 0.1 s apart, so the
+# timed checks have seen the last change.
 QUIESCENT_TICK_INTERVAL_S = 1.0
 IDLE_TICKS_BEFORE_QUIESCENCE = 2
 
 
 def next_interval(idle_ticks: int, is_quiescent: Callable[[], bool]) -> float:
-    """Return the seconds until the next round, unless a message comes first.
+    """Return the seconds until the next tick, unless a message arrives first.
 
-    `idle_ticks` counts the last rounds without a message and without an effect.
+    `idle_ticks` is the number of last ticks without messages and effects.
     """
     if not idle_ticks:
         return TICK_INTERVAL_S
--- a/toucanspring/scheduling/waiting.py
+++ b/toucanspring/scheduling/waiting.py
@@ -1,4 +1,4 @@
-"""Queue of waiting work: one group per job, ordered by class and age."""
+"""Queue of waiting tasks, grouped by job and ordered by class and age."""
 
 from __future__ import annotations
 
@@ -9,9 +9,8 @@
 
 from toucanspring import job
 
-# A group is served as if it had arrived so many seconds later, which orders the
-# classes and bounds how long a class can be passed over: a deferrable job is
-# ahead of normal jobs that arrive more than 55 minutes after it.
+# Added to the arrival time of a group to order classes without starving any: a
+# deferrable job is served before normal jobs that arrive more than 55 minutes later.
 CLASS_DELAYS_S = {
     job.JobClass.CHECK: -600.0,
     job.JobClass.URGENT: 0.0,
@@ -22,7 +21,7 @@
 
 
 class Group:
-    """Hold the waiting tasks of one job."""
+    """Waiting tasks of one job."""
 
     __slots__ = ("added_at", "indices", "key", "latest_start", "spec")
 
@@ -41,7 +40,7 @@
 
     @property
     def order_time(self) -> float:
-        """Return the time by which groups of different classes are ordered."""
+        """Return the key that orders groups of different classes, in seconds."""
         job_class = self.spec.job_class
         order_time = self.added_at + CLASS_DELAYS_S[job_class]
         if job_class == job.JobClass.DEADLINE:
@@ -51,7 +50,7 @@
 
 
 class WaitingQueue:
-    """Order the groups of each team."""
+    """Waiting groups of all teams, in the order of service within each team."""
 
     def __init__(self) -> None:
         self._groups: dict[str, Group] = {}
@@ -71,7 +70,10 @@
         now: float,
         latest_start: float | None = None,
     ) -> None:
-        """Add tasks of a job; `latest_start` replaces the one by declared sizes."""
+        """Add tasks of a job.
+
+        By default `latest_start` is computed from the declared run time.
+        """
         group = self._groups.get(spec.id)
         if group is None:
             indices = list(indices)
@@ -88,7 +90,7 @@
         accepted_at: float | None = None,
         latest_start: float | None = None,
     ) -> None:
-        """Put a task back in front of its job, which keeps its place by age."""
+        """Put a task back at the front of its group, which keeps its age."""
         group = self._groups.get(spec.id)
         if group is None:
             since = now if accepted_at is None else accepted_at
@@ -96,7 +98,7 @@
         group.indices.appendleft(index)
 
     def remove(self, job_id: str) -> list[int]:
-        """Take a job out; return the indices that waited."""
+        """Remove a job and return the indices of its waiting tasks."""
         group = self._groups.get(job_id)
         if group is None:
             return []
@@ -104,7 +106,7 @@
         return list(group.indices)
 
     def take(self, job_id: str, count: int) -> list[int]:
-        """Take up to `count` tasks of a job out and return their indices."""
+        """Remove up to `count` tasks of a job and return their indices."""
         group = self._groups.get(job_id)
         if group is None:
             return []
@@ -114,14 +116,14 @@
         return taken
 
     def find(self, job_id: str) -> Group | None:
-        """Return the group of a job, if it waits."""
+        """Return the group of a job, or None if it is not queued."""
         return self._groups.get(job_id)
 
     def next_groups(self, team: str, now: float | None = None) -> Iterator[Group]:
-        """Iterate over the groups of a team, the next to serve first.
+        """Iterate over the groups of a team in the order of service.
 
-        The queue may change during the iteration. With `now`, groups that can no
-        longer meet their deadline come after the other deadline groups.
+        The queue may change during the iteration. If `now` is given, groups that can
+        no longer meet their deadline come after the other deadline groups.
         """
         lists = [
             self._in_order(job_class, entries, now)
@@ -146,7 +148,7 @@
                 yield group
 
     def teams(self) -> list[str]:
-        """Return the teams that have waiting work."""
+        """Return the teams that have waiting tasks."""
         return list(self._teams)
 
     def oldest_wait(self, now: float) -> float:
--- a/toucanspring/scheduling/worker_state.py
+++ b/toucanspring/scheduling/worker_state.py
@@ -1,4 +1,4 @@
-"""What a partition knows of one of its workers."""
+"""State of a worker as seen by its partition."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class WorkerState:
-    """Hold what is known of one attached worker."""
+    """State of one worker that has attached."""
 
     __slots__ = (
         "attached",
@@ -22,11 +22,12 @@
 
     def __init__(self, facts: effects.WorkerFacts) -> None:
         self.facts = facts
-        self.attached = True  # its stream works
+        self.attached = True  # its stream is connected
         self.leaving = False
         self.schedulable = False
         self.paused_until = 0.0
-        self.refusals = 0  # in a row
-        self.overused = False  # its tasks use more than it has
-        # Tasks that run there but belong to no job or run elsewhere.
+        self.refusals = 0  # consecutive
+        self.overused = False  # its tasks use more than its capacity
+        # Tasks running there that belong to no known job or are assigned to another
+        # worker.
         self.orphans: dict[str, wire.RunningTask] = {}
