--- a/test/test_avoidance.py
+++ b/test/test_avoidance.py
@@ -17,9 +17,9 @@
         self.tracker.record(worker, rack, False, 0.1, now)
 
     def test_a_worker_is_avoided_for_longer_after_each_failed_trial(self):
-        # Guards against a bad worker that takes many tasks of a job at every trial.
+        # Guards against a bad worker that gets many tasks of a job after each delay.
         self.fail("a", 0.0)
-        self.fail("a", 1.0)  # of the same round
+        self.fail("a", 1.0)  # started before the first failure, so not counted again
         self.assertEqual({"a"}, self.tracker.avoided_workers(9.9))
         self.assertEqual(set(), self.tracker.avoided_workers(10.0))
         self.fail("a", 10.0)
@@ -43,7 +43,7 @@
 
 
 class CellTest(testtools.TestCase):
-    """Run one job in a cell of which some workers fail everything at once."""
+    """One job in a cell where some workers fail all tasks immediately."""
 
     def run_job(self, spec, bad, run_s=5.0, limit_s=120.0):
         self.cell = cell.Cell(workers=24)
@@ -67,8 +67,8 @@
         return self.cell.finished[spec.id]
 
     def test_one_job_survives_a_bad_rack(self):
-        # Guards against a third of the workers using up the retries of most tasks:
-        # quarantine needs failures of two jobs, and 344 of 600 tasks failed.
+        # Guards against a third of the workers using up the retries of most tasks.
+        # Quarantine needs failures of two jobs, and 344 of 600 tasks failed.
         bad = {f"w{number}" for number in range(0, 24, 3)}
         outcome = self.run_job(cell.spec(task_count=300, demand=HALF), bad)
         self.assertEqual(job.State.DONE, outcome.state, outcome)
@@ -81,14 +81,14 @@
         self.assertEqual(job.State.DONE, outcome.state, outcome)
 
     def test_a_job_that_fails_everywhere_still_ends(self):
-        # Guards against a broken job that waits for ever for a worker that it does
-        # not avoid.
+        # Guards against a broken job that waits forever for a worker that it does not
+        # avoid.
         bad = {f"w{number}" for number in range(24)}
         outcome = self.run_job(cell.spec(task_count=3, demand=HALF), bad)
         self.assertEqual(job.State.FAILED, outcome.state)
 
     def test_room_is_not_made_on_workers_that_the_job_avoids(self):
-        # Guards against urgent work that stops tasks where it will not start.
+        # Guards against urgent work that preempts tasks on workers that it avoids.
         c = self.cell = cell.Cell(workers=2)
         c.submit(
             cell.spec(
--- a/test/test_gang.py
+++ b/test/test_gang.py
@@ -9,7 +9,7 @@
 
 class GangTest(testtools.TestCase):
     def test_all_members_start_or_none(self):
-        # Guards against members that hold room while others wait.
+        # Guards against members that occupy workers while others wait.
         c = cell.Cell(workers=2)
         c.submit(cell.spec("one", task_count=10))
         c.tick()
@@ -21,7 +21,7 @@
         self.assertEqual(60, len(c.running("gang")))
 
     def test_a_lost_member_stops_the_others_and_all_start_again(self):
-        # Guards against a gang that goes on with a part of its members.
+        # Guards against a gang that keeps running with only some members.
         c = cell.Cell(workers=3)
         c.submit(cell.spec("gang", kind=GANG, task_count=50))
         c.tick()
@@ -38,7 +38,7 @@
         self.assertIs(State.DONE, c.finished["gang"].state)
 
     def test_a_refused_member_of_a_non_idempotent_gang_ends_it(self):
-        # Guards against starting members of such a gang a second time.
+        # Guards against starting non-idempotent members twice.
         c = cell.Cell(workers=2)
         c.submit(cell.spec("gang", kind=GANG, task_count=40, idempotent=False))
         start = c.start
@@ -60,7 +60,7 @@
 
     def test_a_waiting_gang_holds_a_reservation_that_short_work_may_use(self):
         # Guards against gangs that starve behind a stream of small tasks, and against
-        # capacity that idles until the gang starts.
+        # capacity left idle until the gang starts.
         c = cell.Cell(workers=1)
         c.submit(cell.spec("long", task_count=16, run_seconds=100))
         c.tick()
@@ -77,7 +77,7 @@
         self.assertEqual(32, len(c.running("gang")))
 
     def test_a_member_out_of_retries_ends_the_gang(self):
-        # Guards against members that run on without the failed one.
+        # Guards against members that keep running without the failed one.
         c = cell.Cell(workers=2)
         c.submit(cell.spec("gang", kind=GANG, task_count=40, retries=1))
         for _ in range(2):
@@ -93,7 +93,7 @@
 
 class DrainTest(testtools.TestCase):
     def cell_with_gang(self, fill_seconds, **fields):
-        """Return a full cell in which a gang and more work wait."""
+        """Return a full cell in which a gang and other work wait."""
         c = cell.Cell(workers=2)
         low = job.JobClass.DEFERRABLE
         fill = cell.spec("fill", task_count=64, run_seconds=fill_seconds, job_class=low)
@@ -107,36 +107,36 @@
         c.submit(gang, more)
         return c
 
-    def let_pass(self, c, ticks=20):
+    def advance(self, c, ticks=20):
         for _ in range(ticks):
             c.tick(0.2)
             for name in c.workers:
                 c.report(name)
 
     def test_checkpoints_replace_a_long_drain_for_a_deadline_gang(self):
-        # Guards against workers that stand idle until the last long task has ended.
+        # Guards against workers left idle until the last long task has ended.
         c = self.cell_with_gang(fill_seconds=1000)
         c.end("w0", "fill/0")
-        self.let_pass(c)
+        self.advance(c)
         self.assertEqual(40, len(c.running("gang")))
         self.assertEqual(39, len(c.stopped("checkpoint")))
 
     def test_tasks_that_end_soon_are_left_to_end(self):
         # Guards against checkpoints that cost more than the idle time they save.
         c = self.cell_with_gang(fill_seconds=6)
-        self.let_pass(c)
+        self.advance(c)
         self.assertEqual([], c.stopped())
         self.assertEqual({}, c.running("gang"))
 
     def test_a_gang_beyond_the_share_of_its_team_stops_no_work_of_others(self):
-        # Guards against deadlines far away that override the shares.
+        # Guards against distant deadlines that override fair shares.
         c = self.cell_with_gang(fill_seconds=1000, team="kern")
-        self.let_pass(c)
+        self.advance(c)
         self.assertEqual({}, c.running("gang"))
         self.assertEqual([], c.stopped())
 
     def test_gangs_of_other_classes_stop_nothing(self):
-        # Guards against stops for gangs that may wait, whatever else waits.
+        # Guards against preemption for gangs of classes that can wait.
         c = self.cell_with_gang(fill_seconds=1000, job_class=job.JobClass.NORMAL)
-        self.let_pass(c)
+        self.advance(c)
         self.assertEqual([], c.stopped())
--- a/test/test_interruption.py
+++ b/test/test_interruption.py
@@ -1,4 +1,4 @@
-"""Which decisions of a scheduler are published, and with what."""
+"""Events that the scheduler publishes for its decisions, and their contents."""
 
 import testtools
 
@@ -23,7 +23,7 @@
             if self.cell.running()[task_id] == worker:
                 self.cell.end(worker, task_id, "failed")
 
-    def test_a_zone_out_and_in_tells_the_tasks_that_left(self):
+    def test_zone_events_count_the_tasks_that_were_stopped(self):
         self.cell = c = cell.Cell(workers=2)
         c.submit(cell.spec(task_count=40, run_seconds=1000))
         c.tick()
@@ -42,7 +42,7 @@
         returned = self.published(event_kinds.ZoneReturned)
         self.assertEqual([event_kinds.ZoneReturned("z1", 0, there)], returned)
 
-    def test_a_successor_does_not_tell_again_of_a_zone_that_is_out(self):
+    def test_a_successor_does_not_publish_again_that_a_zone_is_out(self):
         self.cell = c = cell.Cell(workers=2)
         c.zones_out = frozenset({"z1"})
         c.call("set_availability_zones", c.zones_out)
@@ -50,7 +50,7 @@
         c.attach("w1")
         self.assertEqual(1, len(self.published(event_kinds.ZoneTakenOut)))
 
-    def test_a_preempted_job_is_told_for_which_job(self):
+    def test_a_preemption_event_names_the_preempting_job(self):
         self.cell = c = cell.Cell(workers=1)
         low = job.JobClass.DEFERRABLE
         c.submit(cell.spec("low", task_count=32, job_class=low, run_seconds=1000))
@@ -84,7 +84,7 @@
         causes = {each.cause for each in self.published(event_kinds.TasksStopped)}
         self.assertEqual({Cause.GANG}, causes)
 
-    def test_quarantine_probe_and_release_are_told(self):
+    def test_quarantine_probe_and_release_are_published(self):
         self.cell = c = cell.Cell(workers=1)
         for name in ("a", "b"):
             c.submit(cell.spec(name, task_count=8, retries=100))
@@ -99,7 +99,7 @@
         c.end_all("done")
         self.assertEqual(1, len(self.published(event_kinds.WorkerReleased)))
 
-    def test_avoided_workers_are_told_and_named_by_explain(self):
+    def test_avoided_workers_are_published_and_named_by_explain(self):
         # Guards against `explain` that says only that workers are excluded.
         self.cell = c = cell.Cell(workers=4)
         c.submit(cell.spec(task_count=128, retries=100, run_seconds=1000))
@@ -117,7 +117,7 @@
         self.assertEqual(2, rejected.get("avoided"))
         self.assertNotIn("excluded", rejected)
 
-    def test_limits_on_processors_are_told(self):
+    def test_throttles_on_processors_are_published(self):
         self.cell = c = cell.Cell()
         demand = resources.Resources(8_000, 8_192, 0)
         c.submit(cell.spec(task_count=4, demand=demand))
--- a/test/test_move_planner.py
+++ b/test/test_move_planner.py
@@ -10,7 +10,7 @@
 
 
 class GangTest(testtools.TestCase):
-    def end(self, p, number, name):
+    def end_tasks(self, p, number, name):
         for worker in list(p[number].cell.workers.values()):
             for task in list(worker.running):
                 if task.startswith(f"{name}/"):
@@ -30,19 +30,19 @@
         self.assertEqual(6, p.running("gang"))
 
     def test_two_gangs_are_served_one_after_the_other(self):
-        # Guards against gangs that hold a part of the workers each, for ever.
+        # Guards against a deadlock of gangs that each hold a part of the workers.
         p = partitioned.Partitions(2, 2, 2)
         p.gang(1, "first", 5)
         p.clock.now += 0.1
         p.gang(0, "second", 5)
         p.run(move_planner.LAST_WORKER_AFTER_S + 5)
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
-        self.end(p, 1, "first")
+        self.end_tasks(p, 1, "first")
         p.run(move_planner.LAST_WORKER_AFTER_S + 10)
         self.assertEqual(5, p.running("second"))
 
     def test_the_order_survives_a_takeover(self):
-        # Guards against an older gang that falls behind when its owner dies.
+        # Guards against an older gang that loses its place when its owner dies.
         p = partitioned.Partitions(2, 2, 2)
         p.gang(1, "first", 5)
         p.clock.now += 0.1
@@ -53,8 +53,8 @@
         self.assertEqual((5, 0), (p.running("first"), p.running("second")))
 
     def test_a_gang_keeps_its_workers_until_it_starts(self):
-        # Guards against a second gang that is served while the first one waits for
-        # the last tasks that were here before.
+        # Guards against a second gang that is served while the first one still waits
+        # for earlier tasks of its partition to end.
         p = partitioned.Partitions(2, 2, 3)
         p.submit(0, "own", demand=WHOLE, task_count=2)
         p.run(1)
@@ -63,14 +63,14 @@
         p.gang(1, "second", 2)
         p.run(5)
         self.assertEqual([4, 1, 2], [len(p.row()[number]) for number in range(3)])
-        self.end(p, 0, "own")
+        self.end_tasks(p, 0, "own")
         p.run(2)
         self.assertEqual(4, p.running("first"))
         p.run(3)
         self.assertEqual(2, p.running("second"))
 
     def test_a_donor_serves_its_own_older_gang_first(self):
-        # Guards against two gangs that take the same workers in turn.
+        # Guards against two gangs that take the same workers from each other.
         p = partitioned.Partitions(2, 2)
         p.submit(0, "own", demand=WHOLE, task_count=2)
         p.run(1)
@@ -79,7 +79,7 @@
         p.gang(1, "second", 3)
         p.run(move_planner.LAST_WORKER_AFTER_S + 3)
         self.assertEqual(set(), p[0].cordoned_workers)
-        self.end(p, 0, "own")
+        self.end_tasks(p, 0, "own")
         p.run(1)
         self.assertEqual((2, 0), (p.running("first"), p.running("second")))
 
@@ -94,14 +94,14 @@
         self.assertEqual((0, 3), (p.running("first"), p.running("second")))
 
     def test_gangs_of_equal_age_are_ordered_by_job_id(self):
-        wanted = [
+        requests = [
             capacity_report.CapacityRequest(5, name, WHOLE, 1) for name in ("b", "a")
         ]
-        stated = {
+        reports = {
             number: capacity_report.CapacityReport(0, each)
-            for number, each in enumerate(wanted)
+            for number, each in enumerate(requests)
         }
-        self.assertEqual((1, wanted[1]), capacity_report.oldest_gang(stated))
+        self.assertEqual((1, requests[1]), capacity_report.oldest_gang(reports))
 
     def test_busy_workers_are_drained_after_the_limit_only(self):
         p = partitioned.Partitions(2, 2)
@@ -147,7 +147,7 @@
         self.assertEqual(3, p.running("feed"))
 
     def test_other_work_does_not_take_the_workers_that_arrive_for_a_gang(self):
-        # Guards against a gang that never has all its workers at one time.
+        # Guards against a gang that never has all its workers at the same time.
         p = partitioned.Partitions(1, 2, 2)
         p.submit(2, "busy", demand=WHOLE, task_count=2)
         p.run(1)
@@ -157,12 +157,12 @@
         p.run(2)
         self.assertEqual(0, p.running("small"))
         p.run(move_planner.DRAIN_AFTER_S)
-        self.end(p, 2, "busy")
+        self.end_tasks(p, 2, "busy")
         p.run(move_planner.LAST_WORKER_AFTER_S + 3)
         self.assertEqual(4, p.running("gang"))
 
 
-class ImpossibleTest(testtools.TestCase):
+class TooLargeTest(testtools.TestCase):
     def outcome(self, name, settle_s=8, **fields):
         p = partitioned.Partitions(1, 2)
         p.submit(0, name, **fields)
@@ -189,7 +189,7 @@
         self.assertIs(job.State.NOT_RUN, refused.state)
 
     def test_nothing_is_refused_while_workers_are_still_being_listed(self):
-        # Guards against a partition that has no worker yet and sees the first one.
+        # Guards against a rejection by a partition that has seen only its first worker.
         p = partitioned.Partitions(0, 1)
         p.submit(0, "a", demand=WHOLE, kind=job.Kind.GANG, task_count=2)
         p.run(3)
--- a/test/test_overuse.py
+++ b/test/test_overuse.py
@@ -20,7 +20,7 @@
         self.assertEqual(count, len(self.cell.running()))
 
     def report(self, usage, after_s=0.0, name="w0"):
-        """Report usage by task; return what is throttled and stopped."""
+        """Report usage by task; return the throttled and stopped tasks."""
         self.cell.now += after_s
         found = self.cell.call("worker_report", name, [], usage)
         throttled = {
@@ -37,14 +37,13 @@
         return throttled, stopped
 
     def test_use_within_the_capacity_is_left_alone(self):
-        # Guards against limits on a task that uses what others leave idle.
+        # Guards against throttling a task that uses what others leave idle.
         self.start()
         usage = {"a/0": amount(20_000), "a/1": amount(4_000)}
         self.assertEqual(({}, []), self.report(usage))
 
     def test_tasks_beyond_their_size_are_limited_to_it(self):
-        # Guards against a VM that runs more than its processors allow because of
-        # wrong declared sizes.
+        # Guards against a VM that is overcommitted because of wrong declared sizes.
         self.start()
         usage = {"a/0": amount(32_000), "a/1": amount(8_000), "a/2": amount(1_000)}
         self.assertEqual(({"a/0": 0.25}, []), self.report(usage))
@@ -57,8 +56,8 @@
         self.assertEqual({"a/0": 0.062}, self.report(usage, overuse.SETTLE_S)[0])
 
     def test_limits_end_when_there_is_room_for_the_full_use(self):
-        # Guards against work that stays slow on an idle worker, and against limits
-        # that come and go.
+        # Guards against work that stays throttled on an idle worker, and against
+        # throttles that flap.
         self.start()
         self.report({"a/0": amount(32_000), "a/1": amount(8_000)})
         usage = {"a/0": amount(8_000), "a/1": amount(8_000)}
@@ -68,7 +67,7 @@
         self.assertEqual({}, self.report({"a/0": amount(32_000)}, 1.0)[0])
 
     def test_memory_is_freed_by_the_task_beyond_its_size(self):
-        # Guards against an innocent task that is killed for the memory of another.
+        # Guards against killing a task for the memory use of another.
         self.start()
         usage = {
             "a/0": amount(1_000, 8_000),
@@ -80,7 +79,7 @@
         self.assertNotIn("a/1", self.cell.running())
 
     def test_used_memory_is_not_given_to_other_tasks(self):
-        # Guards against a worker that is filled again with each task that is stopped.
+        # Guards against a worker that is refilled each time a task is stopped.
         self.start(count=3, demand=resources.Resources(1_000, 2_048, 0))
         self.report({f"a/{index}": amount(1_000, 21_000) for index in range(3)})
         self.cell.submit(cell.spec("b", demand=EIGHT))
@@ -98,7 +97,7 @@
         self.assertEqual([], self.report(usage)[1])
 
     def test_non_idempotent_tasks_are_not_stopped(self):
-        # Guards against an order that fails because its size was declared wrong.
+        # Guards against failing a task because its size was declared wrong.
         self.start(idempotent=False)
         usage = {"a/0": amount(1_000, 70_000)}
         self.assertEqual([], self.report(usage)[1])
@@ -115,7 +114,7 @@
         self.assertEqual(["b/0"], self.report(usage)[1])
 
     def test_nothing_starts_on_an_overused_worker(self):
-        # Guards against more work on a VM that already runs more than it has.
+        # Guards against more work on a VM that is already overcommitted.
         self.start(count=1)
         self.report({"a/0": amount(40_000)})
         self.cell.submit(cell.spec("b", demand=EIGHT))
@@ -135,7 +134,7 @@
         )
 
     def test_a_successor_lifts_the_limits_of_its_predecessor(self):
-        # Guards against tasks that stay slow for ever after a takeover.
+        # Guards against tasks that stay throttled forever after a takeover.
         self.start(count=1)
         worker = self.cell.workers["w0"]
         self.cell.take_over()
--- a/test/test_placement.py
+++ b/test/test_placement.py
@@ -20,7 +20,8 @@
 
 class WorkerIndexTest(testtools.TestCase):
     def test_random_operations_agree_with_an_exhaustive_search(self):
-        # Guards against room that the buckets hide and against room that is not there.
+        # Guards against workers with room that the buckets miss, and against choosing
+        # workers without room.
         rng = random.Random(7)
         index = placement.WorkerIndex(rng)
         held = []
@@ -68,7 +69,7 @@
             self.assertEqual(capacity, index.free(name))
 
     def test_work_without_accelerators_uses_other_workers_first(self):
-        # Guards against stranding accelerators behind work that does not need them.
+        # Guards against accelerators blocked by work that does not need them.
         index = make_index(2)
         index.add("gpu", ACCELERATED, "az0", "rack9")
         for _ in range(64):
@@ -85,7 +86,7 @@
         self.assertEqual(7, sum(share for _, share in index.choose_many(SMALL, 7)))
 
     def test_spread_counts_lead_to_the_emptiest_zone_and_rack(self):
-        # Guards against all tasks of a service failing with one rack.
+        # Guards against a service that loses all its tasks with one rack.
         index = make_index(12, racks_of=2, zones=3)
         constraints = placement.Constraints(spread_counts={})
         chosen = index.choose_many(SMALL, 6, constraints)
@@ -94,7 +95,7 @@
         self.assertEqual(6, len(racks))
 
     def test_spread_tasks_in_one_rack_use_all_its_workers(self):
-        # Guards against a service on one worker of a small cell.
+        # Guards against a service with all tasks on one worker of a small cell.
         index = make_index(8, racks_of=8, zones=1)
         chosen = index.choose_many(SMALL, 8, placement.Constraints(spread_counts={}))
         self.assertEqual(8, len(chosen))
@@ -108,7 +109,7 @@
         self.assertEqual(1, len({int(worker[1:]) % 2 for worker, _ in chosen}))
 
     def test_a_gang_gets_room_for_all_members_or_none(self):
-        # Guards against a gang that starts in part.
+        # Guards against a gang that starts with only some members.
         index = make_index(2)
         chosen = index.choose_gang(SMALL, 64)
         self.assertEqual(64, sum(share for _, share in chosen))
@@ -125,7 +126,7 @@
         self.assertEqual(20, sum(share for _, share in anywhere))
 
     def test_can_ever_fit_ignores_present_use(self):
-        # Guards against refusing a job for good because the cell is busy.
+        # Guards against a permanent rejection of a job because the cell is busy.
         index = make_index(2)
         index.allocate("w0", PLAIN)
         index.allocate("w1", PLAIN)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -25,19 +25,19 @@
         self.assertEqual(YES, self.quarantine.eligibility("other", 1.0))
 
     def test_one_broken_job_takes_no_worker_out(self):
-        # Guards against a job that fails everywhere emptying the cell.
+        # Guards against one broken job that quarantines the whole cell.
         self.fail(100, jobs=("a",))
         self.assertEqual(YES, self.quarantine.eligibility("w", 1.0))
 
     def test_two_broken_jobs_do_not_empty_the_cell(self):
-        # Guards against jobs that can never run taking out one worker after another.
+        # Guards against broken jobs that quarantine one worker after another.
         for _ in range(10):
             for number in range(24):
                 self.fail(2, worker=f"w{number}")
         self.assertLessEqual(len(self.quarantine.quarantined()), 3)
 
     def test_bad_workers_are_found_while_jobs_succeed_elsewhere(self):
-        # Guards against a bad rack being taken for broken jobs.
+        # Guards against mistaking the failures of a bad rack for broken jobs.
         for round_ in range(20):
             for number in range(8):
                 self.fail(1, jobs=(f"j{round_}",), worker=f"bad{number}")
@@ -56,7 +56,7 @@
             self.quarantine.forget("w")
 
     def test_probes_come_one_at_a_time_with_growing_delay(self):
-        # Guards against a bad worker taking many tasks at each probe.
+        # Guards against a bad worker that gets many tasks at each probe.
         self.fail(5)
         now, delays = 0.0, []
         for _ in range(4):
@@ -78,7 +78,7 @@
         self.assertEqual(YES, self.quarantine.eligibility("w", 11.0))
 
     def test_a_probe_without_result_is_repeated(self):
-        # Guards against a lost probe keeping a worker out for ever.
+        # Guards against a lost probe that leaves a worker quarantined forever.
         self.fail(5)
         self.quarantine.probe_started("w", 10.0)
         self.assertEqual(PROBE, self.quarantine.eligibility("w", 1000.0))
--- a/test/test_spreading.py
+++ b/test/test_spreading.py
@@ -11,14 +11,14 @@
 
 class SpreadTest(testtools.TestCase):
     def cell_after_return(self, **fields):
-        """Return a cell whose zone z1 is back, with a service on the other two."""
+        """Return a cell with a service on two zones after the third has returned."""
         c = cell.Cell(workers=3)
         fields = {"kind": SERVICE, "spread": True, "task_count": 12, **fields}
         c.submit(cell.spec("service", **fields))
         c.tick()
         self.set_zones_out(c, "z1")
-        self.let_pass(c, 3)
-        self.assertEqual({"z0": 6, "z2": 6}, self.by_zone(c))
+        self.advance(c, 3)
+        self.assertEqual({"z0": 6, "z2": 6}, self.count_by_zone(c))
         self.set_zones_out(c)
         return c
 
@@ -26,12 +26,12 @@
         c.zones_out = frozenset(zones)
         c.call("set_availability_zones", c.zones_out)
 
-    def by_zone(self, c):
+    def count_by_zone(self, c):
         found = c.running("service").values()
         return dict(collections.Counter(c.workers[name].zone for name in found))
 
-    def let_pass(self, c, seconds):
-        """Let time pass; return the stops of each second."""
+    def advance(self, c, seconds):
+        """Advance the time; return the number of stops in each second."""
         stops = []
         for _ in range(seconds):
             before = len(c.stopped())
@@ -43,18 +43,18 @@
         return stops
 
     def test_a_service_regains_its_spread_at_a_bounded_rate(self):
-        # Guards against services that stay out of a zone that returned, and against a
-        # burst of checkpoints when it returns.
+        # Guards against services that stay out of a returned zone, and against a burst
+        # of checkpoints.
         c = self.cell_after_return()
-        stops = self.let_pass(c, 60)
-        self.assertEqual({"z0": 4, "z1": 4, "z2": 4}, self.by_zone(c))
+        stops = self.advance(c, 60)
+        self.assertEqual({"z0": 4, "z1": 4, "z2": 4}, self.count_by_zone(c))
         self.assertEqual(4, sum(stops))
         width = int(spreading.MOVE_INTERVAL_S)
         windows = [sum(stops[at : at + width]) for at in range(len(stops))]
         self.assertEqual(1, max(windows))
 
     def test_waiting_work_returns_without_any_stop(self):
-        # Guards against checkpoints where the return alone makes room.
+        # Guards against checkpoints although the returned zone has room.
         c = cell.Cell(workers=3)
         self.set_zones_out(c, "z1")
         c.submit(cell.spec("batch", task_count=90, run_seconds=1000))
@@ -63,20 +63,20 @@
         self.set_zones_out(c)
         c.tick()
         self.assertEqual(90, len(c.running()))
-        self.let_pass(c, 30)
+        self.advance(c, 30)
         self.assertEqual([], c.stopped())
 
     def test_nothing_moves_without_room_in_the_zone(self):
-        # Guards against services that lose a task for nothing in a full cell.
+        # Guards against stopping tasks in a full cell, where they cannot move.
         c = self.cell_after_return()
         before = len(c.stopped())
         c.submit(cell.spec("batch", task_count=500, run_seconds=1000))
         c.tick()
-        self.let_pass(c, 60)
+        self.advance(c, 60)
         self.assertEqual(before, len(c.stopped()))
 
     def test_waiting_work_does_not_take_the_room_of_a_task_that_stops(self):
-        # Guards against a task that returns to where it was, again and again.
+        # Guards against a task that is stopped repeatedly and restarts where it was.
         c = self.cell_after_return()
         c.submit(cell.spec("batch", task_count=500, run_seconds=1000))
         before = len(c.stopped())
@@ -92,7 +92,7 @@
         for name in c.workers:
             c.report(name)
         c.tick()
-        self.assertEqual(1, self.by_zone(c).get("z1"))
+        self.assertEqual(1, self.count_by_zone(c).get("z1"))
 
     def test_zones_that_a_service_must_not_use_do_not_count(self):
         # Guards against moves that cannot improve the spread.
@@ -107,24 +107,24 @@
                 availability_zones=zones,
             )
         )
-        self.let_pass(c, 30)
+        self.advance(c, 30)
         self.assertEqual([], c.stopped())
 
     def test_an_interval_of_zero_moves_nothing(self):
-        # Guards against moves that nobody asked for.
+        # Guards against moves although the operator disabled them.
         c = self.cell_after_return()
         c.scheduler._spreader = spreading.Spreader(c.scheduler._core, 0.0)
         before = len(c.stopped())
-        self.let_pass(c, 30)
+        self.advance(c, 30)
         self.assertEqual(before, len(c.stopped()))
 
     def test_a_cancelled_service_gives_the_room_back(self):
-        # Guards against room that is kept for a task that never starts again.
+        # Guards against a reservation for a task that never restarts.
         c = self.cell_after_return()
         c.tick(1)
         self.assertEqual(1, len(c.scheduler._core.reservations))
         c.cancel("service")
         for name in c.workers:
             c.report(name)
-        self.let_pass(c, int(spreading.RESERVATION_S) + 1)
+        self.advance(c, int(spreading.RESERVATION_S) + 1)
         self.assertEqual({}, c.scheduler._core.reservations)
--- a/toucanspring/scheduling/gang.py
+++ b/toucanspring/scheduling/gang.py
@@ -70,11 +70,11 @@
         # Workers due for a probe are used only if there is no room without them, since
         # one could delay the whole gang. They are not excluded altogether, since
         # without other work nothing else would probe them.
-        excluded = constraints.excluded.union(quarantined)
+        all_excluded = constraints.excluded.union(quarantined)
         chosen = core.index.choose_gang(
             demand,
             count,
-            dataclasses.replace(constraints, excluded=excluded),
+            dataclasses.replace(constraints, excluded=all_excluded),
             spec.compact,
         )
     if isinstance(chosen, placement.NoRoom):
@@ -101,10 +101,10 @@
     """Reserve the workers on which a gang is expected to have room first."""
     if spec.id in core.reservations or len(core.reservations) >= MAX_RESERVATIONS:
         return
-    taken = avoided
+    unavailable = avoided
     for reserved in core.reservations.values():
-        taken |= reserved.workers
-    found = earliest_room(core, spec, count, demand, taken, now)
+        unavailable |= reserved.workers
+    found = earliest_room(core, spec, count, demand, unavailable, now)
     if found is not None:
         workers, starts_at = found
         core.reservations[spec.id] = reservation.Reservation(
@@ -120,7 +120,7 @@
     spec: job.JobSpec,
     count: int,
     demand: resources.Resources,
-    taken: frozenset[str],
+    unavailable: frozenset[str],
     now: float,
 ) -> tuple[frozenset[str], float] | None:
     """Return the workers and the earliest time at which `count` tasks should fit."""
@@ -128,7 +128,7 @@
     free: dict[str, resources.Resources] = {}
     ends: list[tuple[float, str, resources.Resources]] = []
     for name, state in core.workers.items():
-        if not state.schedulable or name in taken:
+        if not state.schedulable or name in unavailable:
             continue
         if zones and state.facts.availability_zone not in zones:
             continue
--- a/toucanspring/scheduling/move_planner.py
+++ b/toucanspring/scheduling/move_planner.py
@@ -234,7 +234,7 @@
         }
 
     def _spare_workers(self, view: CellView, now: float) -> list[str]:
-        """Return the idle workers that the own waiting work does not need."""
+        """Return the idle workers that the partition's waiting work does not need."""
         core = self._core
         reserved = core.collected_workers.union(
             view.bound, *(entry.workers for entry in core.reservations.values())
@@ -265,7 +265,7 @@
     def _has_older_gang(
         self, other: capacity_report.CapacityRequest, view: CellView, now: float
     ) -> bool:
-        """Return whether an older gang waits here that the own workers can run."""
+        """Return whether an older gang waits that this partition can run by itself."""
         for record in self._blocked():
             if record.spec.kind is not job.Kind.GANG:
                 continue
@@ -397,7 +397,7 @@
             if any(each.waited_ms >= DRAIN_AFTER_S * 1000 for each in report.waiting)
         ]
         donor = resizing.Donor(own, has_jobs, bool(len(core.queue)))
-        return resizing.choose(
+        return resizing.choose_workers(
             donor, candidates, view.partition_count, view.worker_counts, starving
         )
 
--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -24,7 +24,7 @@
 # checkpoints take.
 RESERVATION_S = 5.0
 SHARE_WAIT_S = 5.0  # a job within its team's share preempts after this wait
-DEADLINE_MARGIN_S = 10.0  # a deadline job preempts from so long before its latest start
+DEADLINE_MARGIN_S = 10.0  # how long before its latest start a deadline job preempts
 ATTEMPTS_PER_STEP = 8  # each attempt scans all running tasks
 # Bounds the time until the next attempt for a job while new jobs keep arriving.
 ATTEMPTS_PER_ROUND = 256
@@ -121,7 +121,7 @@
         if may_preempt(core, record, now):
             order = CLASS_ORDER[spec.job_class]
             victims = _find_victims(core, record, max(order, LAST_PROTECTED), None)
-        elif reserved and draining.may_end(record, reserved):
+        elif reserved and draining.may_checkpoint(record, reserved):
             core.reservations[spec.id] = dataclasses.replace(
                 reserved, cost_compared=True
             )
@@ -222,8 +222,10 @@
     together = spec.kind is job.Kind.GANG
     if not together:
         count = min(count, MAX_TASKS_PER_JOB)
-    taken = core.collected_workers if core.collecting_gang != spec.id else frozenset()
-    taken = taken.union(
+    unavailable = (
+        core.collected_workers if core.collecting_gang != spec.id else frozenset()
+    )
+    unavailable = unavailable.union(
         *(
             reserved.workers
             for job_id, reserved in core.reservations.items()
@@ -240,13 +242,13 @@
     steps = {
         worker: _preemption_steps(tasks, core.index.free(worker), demand, cost_of)
         for worker, tasks in victims.items()
-        if worker not in taken
+        if worker not in unavailable
     }
     if together:
         # Workers that have room already count for the gang at no cost.
         for worker, state in core.workers.items():
             room = demand.count_in(core.index.free(worker))
-            if room and state.schedulable and worker not in taken:
+            if room and state.schedulable and worker not in unavailable:
                 steps[worker] = [PreemptionStep((), room, 0.0), *steps.get(worker, [])]
     chosen, room = _cheapest_steps(steps, count)
     if not chosen or (together and room < count):
