--- a/test/test_allowance.py
+++ b/test/test_allowance.py
@@ -56,7 +56,7 @@
         )
 
 
-class LedgerTest(testtools.TestCase):
+class AllowanceTrackerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.one = resources.Resources(1, 0, 0)
@@ -72,11 +72,11 @@
         self.tracker.use("zimna", self.one.times(10))
         self.tracker.free("zimna", self.one.times(4))
         self.assertEqual([], self.tracker.step(4.9))
-        (given,) = self.tracker.step(5.0)
+        (returned,) = self.tracker.step(5.0)
         expected = effects.ReturnAllowance(
             "zimna", self.one.times(30), self.one.times(10)
         )
-        self.assertEqual(expected, given)
+        self.assertEqual(expected, returned)
         self.hold(40, 5.1)  # a stale read
         self.assertEqual(4, self.tracker.max_starts("zimna", self.one))
         self.hold(10, 5.2)
@@ -88,12 +88,12 @@
         self.tracker.use("zimna", self.one.times(40))
         want = self.one.times(500)
         self.tracker.report_shortage("zimna", want, self.one)
-        (asked,) = self.tracker.step(1.0)
-        self.assertEqual(self.one.times(50), asked.target)
+        (request,) = self.tracker.step(1.0)
+        self.assertEqual(self.one.times(50), request.target)
         self.tracker.report_shortage("zimna", want, self.one)
         self.assertEqual([], self.tracker.step(1.5))
         self.tracker.report_shortage("zimna", want, self.one)
-        self.assertEqual([asked], self.tracker.step(2.1))
+        self.assertEqual([request], self.tracker.step(2.1))
 
     def test_only_teams_that_hold_or_use_something_are_checked(self):
         # Guards against ticks that check 700 teams of which few are active.
@@ -101,8 +101,8 @@
         self.tracker.set_held({f"t{n}": resources.ZERO for n in range(700)}, 0.0)
         self.assertEqual(["zimna"], self.tracker.teams())
         self.tracker.report_shortage("t1", self.one, self.one)
-        (asked,) = self.tracker.step(1.0)
-        self.assertEqual("t1", asked.team)
+        (request,) = self.tracker.step(1.0)
+        self.assertEqual("t1", request.team)
         self.assertEqual(["t1", "zimna"], self.tracker.teams())
         self.tracker.step(5.0)
         self.hold(0, 5.1)
--- a/test/test_allowance_contention.py
+++ b/test/test_allowance_contention.py
@@ -15,11 +15,11 @@
 
 
 class Partition:
-    def __init__(self, number, tasks, run_s, together=False):
+    def __init__(self, number, tasks, run_s, is_gang=False):
         self.number = number
         self.waiting = tasks
         self.run_s = run_s
-        self.together = together
+        self.is_gang = is_gang
         self.tracker = allowance.AllowanceTracker()
         self.tracker.set_ceilings({"team": CEILING})
         self.running = []
@@ -42,7 +42,7 @@
 
     def start(self, now):
         count = min(self.waiting, self.tracker.max_starts("team", TASK))
-        if self.together and count < self.waiting:
+        if self.is_gang and count < self.waiting:
             count = 0
         for _ in range(count):
             self.tracker.use("team", TASK)
@@ -51,7 +51,7 @@
         if self.waiting:
             amount = TASK.times(self.waiting)
             self.tracker.report_shortage(
-                "team", amount, amount if self.together else TASK
+                "team", amount, amount if self.is_gang else TASK
             )
 
     def update(self, row, now):
@@ -102,7 +102,7 @@
         partitions = [
             Partition(0, 1_000_000, 0.1),
             Partition(1, 1_000_000, 0.1),
-            Partition(2, 50, 1.0, together=True),
+            Partition(2, 50, 1.0, is_gang=True),
         ]
         started_at = self.run_until_done(partitions, 5.0)
         self.assertIn(2, started_at)
@@ -110,8 +110,8 @@
     def test_two_large_gangs_run_one_after_the_other(self):
         # Guards against a deadlock in which each gang holds half of the ceiling.
         partitions = [
-            Partition(0, 50, 1.0, together=True),
-            Partition(1, 50, 1.0, together=True),
+            Partition(0, 50, 1.0, is_gang=True),
+            Partition(1, 50, 1.0, is_gang=True),
         ]
         started_at = self.run_until_done(partitions, 10.0)
         self.assertEqual({0, 1}, set(started_at))
--- a/test/test_fairness.py
+++ b/test/test_fairness.py
@@ -24,7 +24,7 @@
     return tracker
 
 
-class LedgerTest(testtools.TestCase):
+class ShareTrackerTest(testtools.TestCase):
     def test_targets_divide_the_cell_among_active_teams_only(self):
         # Guards against capacity reserved for teams that have no work.
         tracker = make_tracker({"a": 3, "b": 1, "c": 6})
--- a/test/test_resizing.py
+++ b/test/test_resizing.py
@@ -14,7 +14,7 @@
     def choose(self, donor, found, counts, starving=(), current=2, **state):
         facts = {"has_jobs": False, "has_queue": False, **state}
         partition = resizing.Donor(donor, **facts)
-        return resizing.choose(partition, found, current, counts, starving)
+        return resizing.choose_workers(partition, found, current, counts, starving)
 
     def test_a_surplus_partition_gives_up_empty_workers_once_its_jobs_have_ended(self):
         # Guards against workers that stay in a surplus partition forever.
--- a/test/test_scheduler_faults.py
+++ b/test/test_scheduler_faults.py
@@ -39,7 +39,7 @@
             self.change_zones: 1,
             self.take_over: 0.3,
             self.cell.serve_allowances: 4,
-            self.use_elsewhere: 1,
+            self.use_in_other_partition: 1,
         }
         choice = self.rng.choices(list(actions), list(actions.values()))[0]
         choice()
@@ -123,7 +123,7 @@
         self.cell.zones_out = out
         self.cell.call("set_availability_zones", out)
 
-    def use_elsewhere(self):
+    def use_in_other_partition(self):
         """Request a part of the ceiling for another partition."""
         target = cell.resources.Resources(self.rng.randrange(0, 120_000), 1 << 30, 0)
         ceiling = self.cell.teams["kern"].ceiling
--- a/toucanspring/scheduling/admission.py
+++ b/toucanspring/scheduling/admission.py
@@ -31,7 +31,7 @@
 
 
 def is_too_large(core: lifecycle.Lifecycle, spec: job.JobSpec) -> bool:
-    """Return whether a job would not fit on the cell's known workers if idle."""
+    """Return whether a job would not fit even if all known workers were idle."""
     room = 0
     needed = spec.task_count if spec.kind is job.Kind.GANG else 1
     zones = spec.availability_zones
--- a/toucanspring/scheduling/attempt.py
+++ b/toucanspring/scheduling/attempt.py
@@ -164,9 +164,8 @@
     delay = 0.0
     if not task.stop_reason and end.state != "checkpointed":
         failures.append(task.worker)
-        del failures[
-            : -lifecycle.MAX_UNCOUNTED_FAILURES
-        ]  # only the delay depends on it
+        # Older failures are dropped; only the delay depends on their number.
+        del failures[: -lifecycle.MAX_UNCOUNTED_FAILURES]
         delay = retry_delay(core, len(failures))
     core.requeue(record, task.index, now, delay)
 
@@ -276,7 +275,7 @@
 def lost(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, reason: str, now: float
 ) -> None:
-    """End an attempt whose worker is gone; it may have run before."""
+    """End an attempt whose worker is gone, so that the task runs no more."""
     record = core.table.jobs[task.job_id]
     index = task.index
     core.release_task(record, task, now)
--- a/toucanspring/scheduling/dispatch.py
+++ b/toucanspring/scheduling/dispatch.py
@@ -154,8 +154,8 @@
 
     def _has_freed_room(self, job_id: str) -> bool:
         """Return whether running tasks were preempted for a job."""
-        held = self._core.reservations.get(job_id)
-        return held is not None and held.by_preemption
+        reserved = self._core.reservations.get(job_id)
+        return reserved is not None and reserved.by_preemption
 
     def _place_group(
         self, group: waiting.Group, limit: int, rank: int, no_room: set, now: float
--- a/toucanspring/scheduling/draining.py
+++ b/toucanspring/scheduling/draining.py
@@ -30,7 +30,9 @@
     return cost
 
 
-def may_end(record: task_table.JobRecord, held: reservation.Reservation) -> bool:
+def may_checkpoint(
+    record: task_table.JobRecord, reserved: reservation.Reservation
+) -> bool:
     """Return whether checkpoints may replace the draining of workers for a gang.
 
     Only the deadline class ranks above all classes that may be preempted.
@@ -38,9 +40,9 @@
     return (
         record.spec.kind is job.Kind.GANG
         and record.spec.job_class is job.JobClass.DEADLINE
-        and not held.by_preemption
-        and not held.cost_compared
-        and held.idle_cost > 0.0
+        and not reserved.by_preemption
+        and not reserved.cost_compared
+        and reserved.idle_cost > 0.0
     )
 
 
--- a/toucanspring/scheduling/fairness.py
+++ b/toucanspring/scheduling/fairness.py
@@ -73,9 +73,8 @@
         self._window_s = window_s
         self._total = resources.ZERO
         self._deficits_updated_at = 0.0
-        self._last_active: frozenset[str] = (
-            frozenset()
-        )  # teams active at the last update
+        # Teams that were active at the last update of deficits.
+        self._last_active: frozenset[str] = frozenset()
 
     def set_teams(self, teams: Iterable[Team]) -> None:
         """Replace the teams, but keep the usage of removed ones."""
@@ -156,10 +155,10 @@
         Without this rule, small tasks of teams above their target occupy all freed
         capacity before there is enough of it for a larger task.
         """
-        held = resources.ZERO
+        total_held = resources.ZERO
         for usage in self._usage_by_team.values():
-            held += usage.use
-        if held.dominant(self._total) < 1 - MAX_IDLE_FRACTION:
+            total_held += usage.use
+        if total_held.dominant(self._total) < 1 - MAX_IDLE_FRACTION:
             return set()
         return {
             name
--- a/toucanspring/scheduling/resizing.py
+++ b/toucanspring/scheduling/resizing.py
@@ -31,37 +31,39 @@
     has_queue: bool  # tasks waiting for capacity
 
 
-def choose(
+def choose_workers(
     donor: Donor,
     candidates: Iterable[Candidate],
-    current: int,
+    partition_count: int,
     counts: Mapping[int, int],
     starving: Iterable[int],
 ) -> tuple[int, list[str]] | None:
     """Return the receiving partition and the workers to move there, or None.
 
-    `current` is the number of partitions, `counts` the number of workers of each, and
-    `starving` lists the partitions whose tasks have been waiting for long.
+    `counts` is the number of workers by partition, and `starving` lists the partitions
+    whose tasks have been waiting for long.
     """
     ordered = sorted(candidates)
-    if donor.number >= current:
+    if donor.number >= partition_count:
         if donor.has_queue:
             return None
         empty = [each.worker for each in ordered if not each.busy]
         # One worker stays for jobs that still wait for another job.
         chosen = empty[donor.has_jobs :][:MAX_BATCH]
-        receiver = min(range(current), key=lambda each: (counts.get(each, 0), each))
+        receiver = min(
+            range(partition_count), key=lambda each: (counts.get(each, 0), each)
+        )
         return (receiver, chosen) if chosen else None
-    even = sum(counts.values()) // current
-    spare = counts.get(donor.number, 0) - max(even, 1)
-    lacking = sorted(
+    even_share = sum(counts.values()) // partition_count
+    spare = counts.get(donor.number, 0) - max(even_share, 1)
+    receivers = sorted(
         (counts.get(each, 0), each)
         for each in starving
-        if each < current and 2 * counts.get(each, 0) < max(even, 1)
+        if each < partition_count and 2 * counts.get(each, 0) < max(even_share, 1)
     )
-    if spare <= 0 or not lacking:
+    if spare <= 0 or not receivers:
         return None
-    count, receiver = lacking[0]
-    wanted = min(spare, max(even, 1) - count, MAX_BATCH)
+    count, receiver = receivers[0]
+    wanted = min(spare, max(even_share, 1) - count, MAX_BATCH)
     chosen = [each.worker for each in ordered[:wanted]]
     return (receiver, chosen) if chosen else None
