--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -24,7 +24,7 @@
     worker_link,
     worker_watch,
 )
-from toucanspring.scheduling import effects, fairness, pace, scheduler
+from toucanspring.scheduling import effects, fairness, scheduler, tick_interval
 
 log = logbook.Logger(__name__)
 
@@ -141,7 +141,7 @@
         spread = count > 1 and self._settings.moves == "on"
         if spread != self._spread:
             self._spread = spread
-            self._scheduler.expect_elsewhere(spread)
+            self._scheduler.expect_other_partitions(spread)
 
     def bound_workers(self) -> frozenset[str]:
         """Return the workers of incomplete records, which must stay here.
@@ -163,8 +163,8 @@
         self._load()
         self.ready.set()
         last_tick = 0.0
-        interval_s = pace.TICK_INTERVAL_S
-        idle_rounds = 0
+        interval_s = tick_interval.TICK_INTERVAL_S
+        idle_ticks = 0
         while not self.journal.fenced:
             handled = self._handle_messages(interval_s)
             now = time.monotonic()
@@ -174,8 +174,10 @@
                 if self._executor.may_start(now):
                     found = self._scheduler.tick(now)
                     self._executor.carry_out(found)
-                idle_rounds = 0 if handled or found else idle_rounds + 1
-                interval_s = pace.interval(idle_rounds, self._scheduler.is_at_rest)
+                idle_ticks = 0 if handled or found else idle_ticks + 1
+                interval_s = tick_interval.next_interval(
+                    idle_ticks, self._scheduler.is_quiescent
+                )
         log.warning("partition {}: fenced under epoch {}", self.number, self.epoch)
         # In a greenlet of its own, because the release ends this one.
         gevent.spawn(self._kernel.find("claims").release, self.number)
--- a/toucanspring/scheduling/attempt.py
+++ b/toucanspring/scheduling/attempt.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: reports, refused starts, lost workers."""
+"""Handle the end of attempts: reports, refused starts and lost workers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     task_table,
 )
 
-SERVICE_STABLE_S = 60.0  # a service that ran so long starts with a fresh delay
+SERVICE_STABLE_S = 60.0  # a run of this length resets a service's restart delay
 
-# Pause of starts on a worker that refused one; doubled with each refusal in a row.
+# A worker that refuses a start gets no new ones for this time, which doubles with
+# each consecutive refusal.
 REFUSAL_PAUSE_S = 0.1
 REFUSAL_PAUSE_MAX_S = 5.0
 
@@ -27,15 +28,15 @@
     finished: Iterable[wire.FinishedTask],
     now: float,
 ) -> None:
-    """Apply the ends of attempts that a worker reports, possibly again."""
+    """Apply ended attempts that a worker reports, possibly repeatedly."""
     for end in finished:
         core.effects.acknowledge(worker, end.task_id)
         task = core.table.live.get(end.task_id)
         if task is not None and task.worker == worker and task.attempt == end.attempt:
             record = core.table.jobs[task.job_id]
-            core.vacate(record, task, now)
-            _learn(core, record, worker, end, now)
-            _end(core, record, task, end, now)
+            core.release_task(record, task, now)
+            _record_observation(core, record, worker, end, now)
+            _handle_end(core, record, task, end, now)
             continue
         _report_unattributed(core, worker, end, now)
 
@@ -43,43 +44,43 @@
 def _report_unattributed(
     core: lifecycle.Lifecycle, worker: str, end: wire.FinishedTask, now: float
 ) -> None:
-    """Handle a report of an old attempt, of a former owner or of an orphan."""
+    """Handle a report of an old attempt, an orphan or a previous owner's task."""
     state = core.workers.get(worker)
     orphan = state.orphans.get(end.task_id) if state else None
     if orphan is not None and orphan.attempt == end.attempt:
         del state.orphans[end.task_id]
         core.index.release(worker, orphan.demand)
         core.allowances.free(orphan.team, orphan.demand)
-        core.changed = True
+        core.placement_needed = True
     record = core.table.jobs.get(job.job_of(end.task_id))
     if record is None:
         return
     index = task_table.task_index(end.task_id)
     if index in record.finals:
-        # The first record may not be durable yet. A worker that forgot the task
-        # before would let a successor start it again, so the acknowledgement waits
-        # for a second record.
-        core.effects.record(end.task_id, record.finals[index])
+        # The first record may not be durable yet. If the worker discarded the task
+        # before that, the next owner would start it again, so the acknowledgement
+        # waits for a second record.
+        core.effects.record_outcome(end.task_id, record.finals[index])
         return
-    # Keeps the number of the next attempt apart from reported ones.
+    # The next attempt must not reuse the number of a reported one.
     record.attempts[index] = max(record.attempts.get(index, 0), end.attempt)
-    if index in record.held:
-        record.held.discard(index)
+    if index in record.unconfirmed:
+        record.unconfirmed.discard(index)
         task = task_table.LiveTask(
             end.task_id, record.spec.id, index, end.attempt, worker=worker
         )
-        _learn(core, record, worker, end, now)
-        _end(core, record, task, end, now)
+        _record_observation(core, record, worker, end, now)
+        _handle_end(core, record, task, end, now)
 
 
-def _learn(
+def _record_observation(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     worker: str,
     end: wire.FinishedTask,
     now: float,
 ) -> None:
-    """Learn sizes and run times from tasks that were not stopped."""
+    """Update estimates and failure tracking, unless the task was checkpointed."""
     if end.state == "checkpointed":
         return
     spec = record.spec
@@ -88,28 +89,28 @@
     if ok:
         core.estimator.observe(spec.name, spec.team, spec.demand, end.usage, seconds)
     avoidance.record_end(core, record, worker, ok, seconds, now)
-    before = core.quarantine.allows(worker, now)
-    core.quarantine.record(worker, spec.id, ok, seconds, now)
-    after = core.quarantine.allows(worker, now)
+    before = core.quarantine.eligibility(worker, now)
+    core.quarantine.record_result(worker, spec.id, ok, seconds, now)
+    after = core.quarantine.eligibility(worker, now)
     if after is before:
         return
     core.update_schedulable(worker, now)
-    if before is quarantine.Verdict.YES:
+    if before is quarantine.Eligibility.YES:
         core.effects.publish(event_kinds.WorkerQuarantined(worker))
-    elif after is quarantine.Verdict.YES:
+    elif after is quarantine.Eligibility.YES:
         core.effects.publish(event_kinds.WorkerReleased(worker))
 
 
-def _end(
+def _handle_end(
     core: lifecycle.Lifecycle,
     record: task_table.JobRecord,
     task: task_table.LiveTask,
     end: wire.FinishedTask,
     now: float,
 ) -> None:
-    """Decide what follows the end of an attempt that ran."""
+    """Finish, retry or requeue the task of an attempt that ran."""
     spec, index = record.spec, task.index
-    stopped = task.stop_reason or record.gang_breaking
+    stopped = task.stop_reason or record.gang_stop_reason
     if end.state == "done" and (spec.kind is not job.Kind.SERVICE or record.cancelled):
         outcome = task_table.DONE
         if end.answer:
@@ -141,10 +142,10 @@
 ) -> None:
     failures = record.failures.setdefault(task.index, [])
     failures.append(task.worker)
-    bad = set(core.quarantine.quarantined())
-    counted = sum(1 for worker in failures if worker not in bad)
+    quarantined = set(core.quarantine.quarantined())
+    counted = sum(1 for worker in failures if worker not in quarantined)
     retries = record.spec.retries
-    if counted > retries or len(failures) > retries + lifecycle.UNCOUNTED_FAILURES:
+    if counted > retries or len(failures) > retries + lifecycle.MAX_UNCOUNTED_FAILURES:
         core.finalize(record, task.index, job.Outcome(job.State.FAILED, reason), now)
         return
     core.requeue(record, task.index, now, retry_delay(core, len(failures)), reason)
@@ -163,19 +164,22 @@
     delay = 0.0
     if not task.stop_reason and end.state != "checkpointed":
         failures.append(task.worker)
-        del failures[: -lifecycle.UNCOUNTED_FAILURES]  # only the delay depends on it
+        # Older failures are dropped; only the delay depends on their number.
+        del failures[: -lifecycle.MAX_UNCOUNTED_FAILURES]
         delay = retry_delay(core, len(failures))
     core.requeue(record, task.index, now, delay)
 
 
 def retry_delay(core: lifecycle.Lifecycle, failures: int) -> float:
-    """Return a growing delay with jitter, in seconds."""
+    """Return an exponential delay with jitter, in seconds."""
     delay = lifecycle.RETRY_FIRST_S * lifecycle.RETRY_GROWTH ** (failures - 1)
     return min(lifecycle.RETRY_MAX_S, delay) * core.rng.uniform(0.8, 1.2)
 
 
-def accepted(core: lifecycle.Lifecycle, worker: str, task_ids: Iterable[str]) -> None:
-    """Mark tasks as running."""
+def starts_accepted(
+    core: lifecycle.Lifecycle, worker: str, task_ids: Iterable[str]
+) -> None:
+    """Mark tasks as running whose start a worker accepted."""
     state = core.workers.get(worker)
     if state is not None:
         state.refusals = 0
@@ -186,13 +190,13 @@
             task.state = running
 
 
-def refused(
+def starts_refused(
     core: lifecycle.Lifecycle,
     worker: str,
     refusals: Iterable[tuple[str, str]],
     now: float,
 ) -> None:
-    """Queue tasks again whose start was refused; they certainly did not run."""
+    """Requeue tasks whose start was refused, so that they cannot have run."""
     state = core.workers.get(worker)
     if state is not None and refusals:
         pause = REFUSAL_PAUSE_S * 2**state.refusals
@@ -209,15 +213,15 @@
         ):
             continue
         record = core.table.jobs[task.job_id]
-        core.vacate(record, task, now)
+        core.release_task(record, task, now)
         core.requeue(record, task.index, now, reason=f"start refused: {reason}")
 
 
 def intents_durable(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
-    """Send the starts whose intents are in the log, unless something changed."""
-    for task in _intended(core, intents):
+    """Send the starts whose intents are durable and whose worker is still usable."""
+    for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
         state = core.workers.get(task.worker)
         usable = (
@@ -229,27 +233,27 @@
         )
         if usable:
             task.state = job.State.STARTING
-            core.effects.start(task.worker, [core.message(record, task)])
+            core.effects.start(task.worker, [core.start_message(record, task)])
         else:
-            core.vacate(record, task, now)
+            core.release_task(record, task, now)
             core.requeue(record, task.index, now, reason="worker is no longer usable")
 
 
 def intents_failed(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent], now: float
 ) -> None:
-    """Queue tasks again whose intents were not written; none was sent."""
-    for task in _intended(core, intents):
+    """Requeue tasks whose intents were not written; their starts were not sent."""
+    for task in _matching_intents(core, intents):
         record = core.table.jobs[task.job_id]
-        core.vacate(record, task, now)
+        core.release_task(record, task, now)
         delay = lifecycle.RETRY_FIRST_S
         core.requeue(record, task.index, now, delay, "the intent was not written")
 
 
-def _intended(
+def _matching_intents(
     core: lifecycle.Lifecycle, intents: Iterable[effects.Intent]
 ) -> Iterator[task_table.LiveTask]:
-    """Yield the tasks that still wait for exactly these intents."""
+    """Yield the tasks that are still waiting for exactly these intents."""
     for intent in intents:
         task = core.table.live.get(intent.task_id)
         if (
@@ -262,25 +266,25 @@
 
 
 def never_ran(core: lifecycle.Lifecycle, task: task_table.LiveTask, now: float) -> None:
-    """Queue a task again that the worker certainly never started nor will start."""
+    """Requeue a task that its worker has not started and cannot start later."""
     record = core.table.jobs[task.job_id]
-    core.vacate(record, task, now)
+    core.release_task(record, task, now)
     core.requeue(record, task.index, now, reason="the start did not reach the worker")
 
 
 def lost(
     core: lifecycle.Lifecycle, task: task_table.LiveTask, reason: str, now: float
 ) -> None:
-    """End an attempt whose worker is gone: it may have run, and runs no more."""
+    """End an attempt whose worker is gone, so that the task runs no more."""
     record = core.table.jobs[task.job_id]
     index = task.index
-    core.vacate(record, task, now)
-    follows = after_loss(task.state, record.spec.idempotent)
-    if follows == "never_ran":
+    core.release_task(record, task, now)
+    disposition = after_loss(task.state, record.spec.idempotent)
+    if disposition == "never_ran":
         core.requeue(record, index, now, reason=reason)
         return
     record.ran.add(index)
-    if follows == "unknown":
+    if disposition == "unknown":
         core.finalize(record, index, job.Outcome(job.State.UNKNOWN, reason), now)
         return
     record.losses[index] = losses = record.losses.get(index, 0) + 1
@@ -291,10 +295,10 @@
 
 
 def after_loss(state: job.State, idempotent: bool) -> str:
-    """Return what follows for an attempt whose worker is gone.
+    """Return how to treat an attempt whose worker is gone.
 
-    `never_ran`: it was not sent; `requeue`: it runs no more and may run again;
-    `unknown`: it may have run, so it must not run again.
+    `never_ran`: the start was not sent. `requeue`: the task has stopped and may run
+    again. `unknown`: the task may have run and must not run again.
     """
     if state is job.State.INTENDED:
         return "never_ran"
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""State machine of one partition; `effects` describes its interface."""
+"""State machine of one partition; see `effects` for its interface."""
 
 from __future__ import annotations
 
@@ -10,44 +10,45 @@
 from toucanspring.owners import log_records, recovery
 from toucanspring.reporting import event_kinds
 from toucanspring.scheduling import (
+    admission,
     attempt,
     dispatch,
     effects,
     fairness,
     gang,
-    intake,
     lifecycle,
-    moves,
+    move_planner,
     overuse,
     preemption,
     spreading,
     summary,
 )
 
-TIMED_CHECKS_S = 0.1  # period of checks for ended pauses, probes and allowances
+TIMED_CHECKS_INTERVAL_S = 0.1  # for pauses, probes, ceilings and preemption
 
 
 class Scheduler:
-    """Decide for one partition; perform no I/O and read no clock."""
+    """Schedule the jobs of one partition without I/O or reading a clock."""
 
     def __init__(
         self,
         partition: int,
         rng: random.Random,
-        spread_move_s: float = spreading.MOVE_S,
+        spread_move_s: float = spreading.MOVE_INTERVAL_S,
     ) -> None:
         self.partition = partition
         self._core = lifecycle.Lifecycle(rng, gang)
         self._dispatcher = dispatch.Dispatcher(self._core)
         self._spreader = spreading.Spreader(self._core, spread_move_s)
-        self.moves = moves.Moves(self._core, self._dispatcher)
+        self.move_planner = move_planner.MovePlanner(self._core, self._dispatcher)
         self._next_checks = 0.0
-        self._tried: set[str] = set()  # blocked jobs, in this turn of preemption
+        # Blocked jobs that were tried in the current pass of preemption.
+        self._preemption_attempts: set[str] = set()
 
     def submit(self, specs: list[job.JobSpec], now: float) -> list[effects.Effect]:
         """Queue durable jobs; known IDs are ignored."""
         for spec in specs:
-            intake.submit(self._core, spec, now)
+            admission.submit(self._core, spec, now)
         return self._core.effects.take()
 
     def restore(
@@ -59,7 +60,10 @@
         expected_workers: Mapping[str, resources.Resources] | Iterable[str],
         now: float,
     ) -> list[effects.Effect]:
-        """Rebuild after takeover; a map of expected workers gives their capacity."""
+        """Restore the state after a takeover.
+
+        If `expected_workers` is a mapping, it gives the capacity of each worker.
+        """
         expected: dict[str, resources.Resources | None]
         if isinstance(expected_workers, Mapping):
             expected = dict(expected_workers)
@@ -69,7 +73,7 @@
         return self._core.effects.take()
 
     def cancel(self, job_ids: Iterable[str], now: float) -> list[effects.Effect]:
-        """Cancel jobs; unknown and finished ones are ignored."""
+        """Cancel jobs; unknown and finished jobs are ignored."""
         for job_id in job_ids:
             record = self._core.table.jobs.get(job_id)
             if record is not None:
@@ -83,7 +87,7 @@
         finished: list[wire.FinishedTask],
         now: float,
     ) -> list[effects.Effect]:
-        """Add a worker or compare its tasks after the stream was replaced."""
+        """Add a worker, or reconcile its tasks after it has reconnected."""
         recovery.attach(self._core, facts, running, finished, now)
         return self._core.effects.take()
 
@@ -94,9 +98,9 @@
         usage: Mapping[str, resources.Resources],
         now: float,
     ) -> list[effects.Effect]:
-        """Apply the ends of attempts and the usage; repeated ones change nothing."""
+        """Apply ended attempts and resource usage; repeated reports have no effect."""
         attempt.report(self._core, worker, finished, now)
-        overuse.report(self._core, worker, usage, now)
+        overuse.apply_usage(self._core, worker, usage, now)
         return self._core.effects.take()
 
     def starts_answered(
@@ -106,9 +110,9 @@
         refused: list[tuple[str, str]],
         now: float,
     ) -> list[effects.Effect]:
-        """Note accepted starts and queue refused ones again."""
-        attempt.accepted(self._core, worker, accepted)
-        attempt.refused(self._core, worker, refused, now)
+        """Mark accepted starts as running and requeue refused ones."""
+        attempt.starts_accepted(self._core, worker, accepted)
+        attempt.starts_refused(self._core, worker, refused, now)
         return self._core.effects.take()
 
     def starts_unanswered(
@@ -117,9 +121,9 @@
         task_ids: list[str],  # noqa: ARG002
         now: float,
     ) -> list[effects.Effect]:
-        """Start nothing on a worker whose stream broke until it is attached again.
+        """Stop placing tasks on a disconnected worker until it attaches again.
 
-        Its tasks stay attributed to it.
+        Its tasks stay assigned to it.
         """
         state = self._core.workers.get(worker)
         if state is not None:
@@ -135,21 +139,21 @@
         recovery.lose(self._core, worker, now)
         return self._core.effects.take()
 
-    def expect_elsewhere(self, expected: bool = True) -> None:
-        """Refuse no job for its size until other partitions' workers are known.
+    def expect_other_partitions(self, expected: bool = True) -> None:
+        """Reject no job for its size until other partitions' workers are known.
 
-        If none are `expected`, only the own workers count.
+        If `expected` is false, only the workers of this partition count.
         """
-        self._core.elsewhere = None if expected else {}
+        self._core.other_partition_workers = None if expected else {}
 
     def adopt(self, ended: Iterable[log_records.EndedJob], now: float) -> None:
-        """Add jobs that ended in another partition; known ones are ignored."""
+        """Add jobs that ended in another partition; known jobs are ignored."""
         recovery.adopt(self._core, ended, now)
 
     def worker_leaving(
         self, worker: str, leaving: bool, now: float
     ) -> list[effects.Effect]:
-        """Start nothing on a worker while it is leaving."""
+        """Place no tasks on a worker while it is leaving."""
         state = self._core.workers.get(worker)
         if state is not None:
             state.leaving = leaving
@@ -160,29 +164,33 @@
     def set_availability_zones(
         self, out: frozenset[str], now: float
     ) -> list[effects.Effect]:
-        """Start nothing in zones that are out of service and stop work there."""
-        before, self._core.zones_out = self._core.zones_out, out
-        self._publish_zones(before, out)
+        """Set the availability zones that are out of service and evacuate them."""
+        previous, self._core.zones_out = self._core.zones_out, out
+        self._publish_zone_events(previous, out)
         for worker in self._core.workers:
             self._core.update_schedulable(worker, now)
-        preemption.drain(self._core, now)
+        preemption.drain_workers(self._core, now)
         return self._core.effects.take()
 
-    def _publish_zones(self, before: frozenset[str], out: frozenset[str]) -> None:
+    def _publish_zone_events(
+        self, previous: frozenset[str], out: frozenset[str]
+    ) -> None:
         core = self._core
         if not core.workers:
-            return  # nothing is known yet, as at a takeover
-        for zone in sorted(out - before):
-            there = [
+            return  # no workers are known, as after a takeover
+        for zone in sorted(out - previous):
+            task_counts = [
                 len(core.tasks_on.get(worker, ()))
                 for worker, state in core.workers.items()
                 if state.facts.availability_zone == zone
             ]
             core.effects.publish(
-                event_kinds.ZoneTakenOut(zone, self.partition, len(there), sum(there))
+                event_kinds.ZoneTakenOut(
+                    zone, self.partition, len(task_counts), sum(task_counts)
+                )
             )
-        for zone in sorted(before - out):
-            left = core.left_zones.pop(zone, 0)
+        for zone in sorted(previous - out):
+            left = core.evacuated_tasks.pop(zone, 0)
             core.effects.publish(event_kinds.ZoneReturned(zone, self.partition, left))
 
     def count_tasks(self, worker: str) -> int:
@@ -194,14 +202,14 @@
         teams: Mapping[str, fairness.Team],
         now: float,  # noqa: ARG002
     ) -> list[effects.Effect]:
-        """Set shares and ceilings."""
+        """Set the shares and ceilings of all teams."""
         core = self._core
         core.teams = dict(teams)
         core.shares.set_teams(teams.values())
         core.allowances.set_ceilings(
             {name: team.ceiling for name, team in teams.items()}
         )
-        core.changed = True
+        core.placement_needed = True
         return core.effects.take()
 
     def set_allowances(
@@ -212,75 +220,75 @@
     ) -> list[effects.Effect]:
         """Set the part of each team's ceiling that this partition holds.
 
-        `limits` says what it may hold of ceilings of which other partitions want more.
+        `limits` bounds the parts of ceilings that other partitions are contending for.
         """
         self._core.allowances.set_held(held, now)
         self._core.allowances.set_limits(limits)
-        self._core.changed = True
+        self._core.placement_needed = True
         preemption.enforce_ceilings(self._core, now)
         return self._core.effects.take()
 
     def intents_durable(
         self, intents: list[effects.Intent], now: float
     ) -> list[effects.Effect]:
-        """Send the starts whose intents are in the log."""
+        """Send the starts whose intents have been written to the log."""
         attempt.intents_durable(self._core, intents, now)
         return self._core.effects.take()
 
     def intents_failed(
         self, intents: list[effects.Intent], now: float
     ) -> list[effects.Effect]:
-        """Queue tasks again whose intents were not written."""
+        """Requeue tasks whose intents could not be written."""
         attempt.intents_failed(self._core, intents, now)
         return self._core.effects.take()
 
     def dependency_finished(
         self, job_id: str, outcome: job.Outcome, now: float
     ) -> list[effects.Effect]:
-        """Release or end the jobs that wait for a job of another partition."""
+        """Queue or end the jobs that depend on a job of another partition."""
         self._core.dependency_finished(job_id, outcome, now)
         return self._core.effects.take()
 
     def tick(self, now: float) -> list[effects.Effect]:
-        """Place waiting work and do what is due."""
+        """Place waiting tasks and run the timed checks that are due."""
         core = self._core
-        core.wake_retries(now)
+        core.queue_due_retries(now)
         if checks_due := now >= self._next_checks:
-            self._next_checks = now + TIMED_CHECKS_S
+            self._next_checks = now + TIMED_CHECKS_INTERVAL_S
             core.end_pauses(now)
-            intake.refuse_too_large(core, now)
+            admission.reject_too_large(core, now)
             preemption.enforce_ceilings(core, now)
-            preemption.drain(core, now)
+            preemption.drain_workers(core, now)
             blocked = self._dispatcher.blocked.values()
-            preemption.make_room(core, blocked, self._tried, now)
+            preemption.preempt(core, blocked, self._preemption_attempts, now)
             self._spreader.step(now)
         self._dispatcher.place(now)
         for effect in core.allowances.step(now, checks_due):
             core.effects.add(effect)
         return core.effects.take()
 
-    def is_at_rest(self) -> bool:
-        """Return whether nothing becomes due by the passing of time alone."""
+    def is_quiescent(self) -> bool:
+        """Return whether no action becomes due through the passage of time alone."""
         core = self._core
         return not (
             len(core.queue)
             or core.retries
             or core.reservations
             or core.too_large
-            or core.expected
+            or core.expected_workers
             or core.paused
             or core.leaving
             or core.zones_out
             or core.quarantine.quarantined()
-            or core.allowances.is_timed()
+            or core.allowances.has_timer()
         )
 
     def lookup(self, job_id: str) -> effects.JobStatus | errors.NotFound:
-        """Return the counts of tasks by state and the outcome of a job."""
+        """Return the number of tasks by state and the outcome of a job."""
         return self._core.table.lookup(job_id)
 
     def free_by_worker(self) -> dict[str, resources.Resources]:
-        """Return the free amount of each attached worker."""
+        """Return the free resources of each attached worker."""
         core = self._core
         return {
             worker: core.index.free(worker)
@@ -289,24 +297,26 @@
         }
 
     def summary(self, now: float) -> summary.Summary:
-        """Return capacity, use by team and waiting work, for reports."""
+        """Return capacity, usage by team and waiting tasks, for reports."""
         return summary.summarise(self._core, now)
 
     def explain(self, job_id: str) -> effects.Explanation | errors.NotFound:
-        """Return what a job waits for, or where its tasks ran."""
+        """Explain what a job waits for, or where its tasks were placed."""
         status = self.lookup(job_id)
         if isinstance(status, errors.NotFound):
             return status
         record = self._core.table.jobs[job_id]
-        noted = self._core.decisions.find(job_id)
-        waits_for = list(noted.waits_for)
+        decision = self._core.decisions.find(job_id)
+        waits_for = list(decision.waits_for)
         if record.blocked_on:
             waits_for = [f"job {other}" for other in sorted(record.blocked_on)]
-        elif record.held:
-            waits_for = [f"worker {name}" for name in sorted(self._core.expected)]
+        elif record.unconfirmed:
+            waits_for = [
+                f"worker {name}" for name in sorted(self._core.expected_workers)
+            ]
         elif record.delayed:
             waits_for = ["retry delay"]
-        elif self._core.collecting == job_id:
+        elif self._core.collecting_gang == job_id:
             waits_for = ["workers of other partitions"]
         state = "waiting"
         if status.outcome is not None:
@@ -314,5 +324,10 @@
         elif record.live:
             state = "running"
         return effects.Explanation(
-            job_id, state, noted.rank, waits_for, noted.rejected, noted.placements
+            job_id,
+            state,
+            decision.rank,
+            waits_for,
+            decision.rejected,
+            decision.placements,
         )
--- a/toucanspring/scheduling/waiting.py
+++ b/toucanspring/scheduling/waiting.py
@@ -1,4 +1,4 @@
-"""Queue of waiting work: one group per job, ordered by class and age."""
+"""Queue of waiting tasks, grouped by job and ordered by class and age."""
 
 from __future__ import annotations
 
@@ -9,9 +9,8 @@
 
 from toucanspring import job
 
-# A group is served as if it had arrived so many seconds later, which orders the
-# classes and bounds how long a class can be passed over: a deferrable job is
-# ahead of normal jobs that arrive more than 55 minutes after it.
+# Added to the arrival time of a group to order classes without starving any: a
+# deferrable job is served before normal jobs that arrive more than 55 minutes later.
 CLASS_DELAYS_S = {
     job.JobClass.CHECK: -600.0,
     job.JobClass.URGENT: 0.0,
@@ -22,7 +21,7 @@
 
 
 class Group:
-    """Hold the waiting tasks of one job."""
+    """Waiting tasks of one job."""
 
     __slots__ = ("added_at", "indices", "key", "latest_start", "spec")
 
@@ -40,18 +39,18 @@
         return len(self.indices)
 
     @property
-    def urgency(self) -> float:
-        """Return the time by which groups of different classes are ordered."""
+    def order_time(self) -> float:
+        """Return the key that orders groups of different classes, in seconds."""
         job_class = self.spec.job_class
-        urgency = self.added_at + CLASS_DELAYS_S[job_class]
+        order_time = self.added_at + CLASS_DELAYS_S[job_class]
         if job_class == job.JobClass.DEADLINE:
             floor = self.added_at + CLASS_DELAYS_S[job.JobClass.URGENT]
-            urgency = max(floor, min(urgency, self.latest_start))
-        return urgency
+            order_time = max(floor, min(order_time, self.latest_start))
+        return order_time
 
 
 class WaitingQueue:
-    """Order the groups of each team."""
+    """Waiting groups of all teams, in the order of service within each team."""
 
     def __init__(self) -> None:
         self._groups: dict[str, Group] = {}
@@ -71,13 +70,16 @@
         now: float,
         latest_start: float | None = None,
     ) -> None:
-        """Add tasks of a job; `latest_start` replaces the one by declared sizes."""
+        """Add tasks of a job.
+
+        By default `latest_start` is computed from the declared run time.
+        """
         group = self._groups.get(spec.id)
         if group is None:
             indices = list(indices)
             if not indices:
                 return
-            group = self._open(spec, now, latest_start)
+            group = self._add_group(spec, now, latest_start)
         group.indices.extend(indices)
 
     def requeue(
@@ -88,63 +90,65 @@
         accepted_at: float | None = None,
         latest_start: float | None = None,
     ) -> None:
-        """Put a task back in front of its job, which keeps its place by age."""
+        """Put a task back at the front of its group, which keeps its age."""
         group = self._groups.get(spec.id)
         if group is None:
             since = now if accepted_at is None else accepted_at
-            group = self._open(spec, since, latest_start)
+            group = self._add_group(spec, since, latest_start)
         group.indices.appendleft(index)
 
     def remove(self, job_id: str) -> list[int]:
-        """Take a job out; return the indices that waited."""
+        """Remove a job and return the indices of its waiting tasks."""
         group = self._groups.get(job_id)
         if group is None:
             return []
-        self._close(group)
+        self._remove_group(group)
         return list(group.indices)
 
     def take(self, job_id: str, count: int) -> list[int]:
-        """Take up to `count` tasks of a job out and return their indices."""
+        """Remove up to `count` tasks of a job and return their indices."""
         group = self._groups.get(job_id)
         if group is None:
             return []
         taken = [group.indices.popleft() for _ in range(min(count, len(group)))]
         if not group.indices:
-            self._close(group)
+            self._remove_group(group)
         return taken
 
     def find(self, job_id: str) -> Group | None:
-        """Return the group of a job, if it waits."""
+        """Return the group of a job, or None if it is not queued."""
         return self._groups.get(job_id)
 
     def next_groups(self, team: str, now: float | None = None) -> Iterator[Group]:
-        """Iterate over the groups of a team, the next to serve first.
+        """Iterate over the groups of a team in the order of service.
 
-        The queue may change during the iteration. With `now`, groups that can no
-        longer meet their deadline come after the other deadline groups.
+        The queue may change during the iteration. If `now` is given, groups that can
+        no longer meet their deadline come after the other deadline groups.
         """
         lists = [
             self._in_order(job_class, entries, now)
             for job_class, entries in self._teams.get(team, {}).items()
         ]
-        heads = [(groups[0].urgency, groups[0].key[1], groups) for groups in lists]
+        next_entries = [
+            (groups[0].order_time, groups[0].key[1], groups) for groups in lists
+        ]
         positions = {id(groups): 0 for groups in lists}
-        while heads:
-            heads.sort(key=lambda head: head[:2])
-            _, _, groups = heads[0]
+        while next_entries:
+            next_entries.sort(key=lambda entry: entry[:2])
+            _, _, groups = next_entries[0]
             position = positions[id(groups)]
             group = groups[position]
             positions[id(groups)] = position = position + 1
             if position < len(groups):
                 following = groups[position]
-                heads[0] = (following.urgency, following.key[1], groups)
+                next_entries[0] = (following.order_time, following.key[1], groups)
             else:
-                del heads[0]
+                del next_entries[0]
             if group.indices and self._groups.get(group.spec.id) is group:
                 yield group
 
     def teams(self) -> list[str]:
-        """Return the teams that have waiting work."""
+        """Return the teams that have waiting tasks."""
         return list(self._teams)
 
     def oldest_wait(self, now: float) -> float:
@@ -152,7 +156,9 @@
         oldest = min((group.added_at for group in self._groups.values()), default=now)
         return max(0.0, now - oldest)
 
-    def _open(self, spec: job.JobSpec, now: float, latest_start: float | None) -> Group:
+    def _add_group(
+        self, spec: job.JobSpec, now: float, latest_start: float | None
+    ) -> Group:
         if latest_start is None:
             latest_start = math.inf
             if spec.deadline_seconds is not None:
@@ -165,7 +171,7 @@
         bisect.insort(entries, (group.key, group), key=lambda entry: entry[0])
         return group
 
-    def _close(self, group: Group) -> None:
+    def _remove_group(self, group: Group) -> None:
         spec = group.spec
         del self._groups[spec.id]
         classes = self._teams[spec.team]
