--- a/toucanspring/scheduling/attempt.py
+++ b/toucanspring/scheduling/attempt.py
@@ -196,7 +196,7 @@
     refusals: Iterable[tuple[str, str]],
     now: float,
 ) -> None:
-    """Requeue tasks whose start was refused, so that they cannot have run."""
+    """Requeue tasks whose start was refused; they have not run."""
     state = core.workers.get(worker)
     if state is not None and refusals:
         pause = REFUSAL_PAUSE_S * 2**state.refusals
