--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -5,7 +5,7 @@
 
 from test import fake_cell
 from toucanspring import errors
-from toucanspring.cell import claims, ownership_rows, renewal
+from toucanspring.cell import claims, member_rows, ownership_rows
 from toucanspring.reporting import event_kinds
 
 
@@ -280,8 +280,8 @@
     def test_a_restarted_owner_name_keeps_the_list_of_its_former_incarnation(self):
         self.make(count=3, partitions=1)
         owner = self.owner()
-        known = renewal.decode_row(
-            self.cell.shared.rows[renewal.key_of(owner.name)]
+        known = member_rows.decode_row(
+            self.cell.shared.rows[member_rows.key_of(owner.name)]
         ).known
         owner.kill()
         self.cell.add(owner.name, partitions=1)
@@ -314,7 +314,7 @@
         dead = self.owner()
         dead.kill()
         self.cell.run(70)
-        self.assertNotIn(renewal.key_of(dead.name), self.cell.shared.rows)
+        self.assertNotIn(member_rows.key_of(dead.name), self.cell.shared.rows)
         for node in self.cell.nodes.values():
             if node is not dead:
                 self.assertEqual(2, len(node.membership.members()))
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -4,7 +4,7 @@
 from test import request_fakes
 from toucanspring import errors
 from toucanspring.callers import answers, requests
-from toucanspring.cell import link
+from toucanspring.cell import rpc
 from toucanspring.owners import outcomes, request_log
 
 
@@ -34,7 +34,7 @@
         for part in requests._send(stored):
             yield part
             if cut:
-                raise link.StreamBroken("the owner ended")
+                raise rpc.StreamBroken("the owner ended")
 
     def test_a_broken_answer_of_the_owner_is_asked_for_again(self):
         # Guards against a truncated answer, and against giving up on a retry that
--- a/test/test_departure.py
+++ b/test/test_member_removal.py
@@ -3,7 +3,7 @@
 
 from test import fake_cell
 from toucanspring import errors
-from toucanspring.cell import renewal
+from toucanspring.cell import member_rows
 from toucanspring.configuration import confirmation
 
 
@@ -98,11 +98,11 @@
     def test_a_lost_answer_confirms_once(self):
         # Guards against an error for a confirmation that took effect.
         former, added = self.replace_all()
-        key = renewal.key_of(former[0])
+        key = member_rows.key_of(former[0])
         for failure in (added[0].client.lose, added[0].client.drop):
             failure[key] = 1
             self.assertIsNone(added[0].membership.confirm_gone(former[0]))
-        self.assertTrue(renewal.decode_row(self.cell.shared.rows[key]).gone)
+        self.assertTrue(member_rows.decode_row(self.cell.shared.rows[key]).gone)
 
     def test_a_new_process_takes_over_a_confirmed_name(self):
         former, _added = self.replace_all()
--- a/test/test_renewal.py
+++ b/test/test_member_rows.py
@@ -2,7 +2,7 @@
 
 from test import fake_cell
 from toucanspring import errors
-from toucanspring.cell import claims, ownership, renewal
+from toucanspring.cell import claims, member_rows, ownership
 
 
 class RenewalTest(testtools.TestCase):
@@ -17,7 +17,7 @@
         self.others = [n for n in self.cell.nodes.values() if n is not self.node]
 
     def row(self):
-        return renewal.decode_row(self.cell.shared.rows[self.own.key])
+        return member_rows.decode_row(self.cell.shared.rows[self.own.key])
 
     def test_a_lost_answer_to_a_renewal_in_effect_counts_from_its_sending(self):
         self.node.client.lose[self.own.key] = 1
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -12,7 +12,7 @@
 
 from test import fake_tables
 from toucanspring import errors, frames, outbox, stream, wire
-from toucanspring.cell import link, peers
+from toucanspring.cell import peers, rpc
 
 
 class PeersTest(testtools.TestCase):
@@ -96,7 +96,7 @@
         # Guards against calls to a former owner that wait for the whole timeout.
         caller, callee = self.pair()
         callee.handle("slow", lambda sender, body: gevent.sleep(600))
-        self.patch(link, "ABANDON_CHECK_S", 0.01)
+        self.patch(rpc, "ABANDON_CHECK_S", 0.01)
         looks = iter([False, True])
         result = caller.call("callee", "slow", b"", 600, abandon=lambda: next(looks))
         self.assertIsInstance(result, errors.Ambiguous)
@@ -153,7 +153,7 @@
             callee.handle("parts", lambda sender, body, source=source: source())
             self.assert_connected(caller)
             chunks = caller.call_stream("callee", "parts", b"", 1)
-            self.assertRaises(link.StreamBroken, list, chunks)
+            self.assertRaises(rpc.StreamBroken, list, chunks)
             self.assert_connected(caller)
             joined = caller.call("callee", "parts", b"", 1)
             self.assertIsInstance(joined, errors.Ambiguous)
@@ -163,10 +163,10 @@
         caller, _ = self.pair()
         target = caller._links["callee"]
         first = frames.Frame(frames.Kind.CHUNK, 1, b"part")
-        answers = link.queue.SimpleQueue()
+        answers = rpc.queue.SimpleQueue()
         answers.put(frames.Frame(frames.Kind.END, 1, frames.encode(5)))
         chunks = target._chunks(target._outbox, 1, answers, first, 1)
-        self.assertRaises(link.StreamBroken, list, chunks)
+        self.assertRaises(rpc.StreamBroken, list, chunks)
 
     def test_a_slow_reader_of_an_answer_holds_back_only_its_own_chunks(self):
         # Guards against unbounded memory at either end.
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -13,7 +13,7 @@
 from toucanspring import errors, kernel
 from toucanspring.adapters import backend_servers, vms
 from toucanspring.callers import answers, forwarding, lane, listing, routing
-from toucanspring.cell import claims, link
+from toucanspring.cell import claims, rpc
 from toucanspring.configuration import text
 from toucanspring.owners import runner, search
 from toucanspring.reporting import burn, event_kinds
@@ -381,7 +381,7 @@
             received += chunk
     except (StopIteration, msgspec.MsgspecError) as error:
         return errors.Ambiguous(reason=f"the owner's answer has no head: {error}")
-    except link.StreamBroken as error:
+    except rpc.StreamBroken as error:
         return errors.Ambiguous(reason=f"the owner's answer broke: {error}")
     if len(received) != head.length:
         return errors.Ambiguous(reason="the owner's answer is incomplete")
--- a/toucanspring/cell/claims.py
+++ b/toucanspring/cell/claims.py
@@ -13,13 +13,13 @@
 from toucanspring.adapters import tables
 from toucanspring.cell import (
     assignment,
-    former,
+    former_owners,
     heartbeat,
     layout,
+    member_rows,
     membership,
     ownership,
     ownership_rows,
-    renewal,
 )
 from toucanspring.reporting import deliveries, event_kinds
 
@@ -73,7 +73,7 @@
     former: list[list[str]]  # empty once all former owners are gone
 
 
-class Service(renewal.Guard):
+class Service(member_rows.Guard):
     """Claim, keep and release partitions."""
 
     def __init__(self, kernel: object, settings: object) -> None:
@@ -344,13 +344,13 @@
             process=own.process,
             incarnation=own.incarnation,
             epoch=row.epoch + 1,
-            former=former.member_lists(members, partition, row),
+            former=former_owners.member_lists(members, partition, row),
         )
         checks = {ownership_rows.key_of(partition): known.version}
         if row.process and row.process != own.process:
             # Fails if the owner has renewed in the meantime.
             seen = members.rows.get(row.process)
-            checks[renewal.key_of(row.process)] = seen[0] if seen else 0
+            checks[member_rows.key_of(row.process)] = seen[0] if seen else 0
         writes = {ownership_rows.key_of(partition): ownership_rows.encode(claim)}
         result = members.own.write(checks, writes, claim=True)
         if isinstance(result, errors.Failure):
@@ -363,7 +363,7 @@
             claim.epoch, version, members.clock(), claim.former
         )
         log.info("claimed partition {} with epoch {}", partition, claim.epoch)
-        why = former.explain_claim(row, own)
+        why = former_owners.explain_claim(row, own)
         self._kernel.publish(
             event_kinds.PartitionClaimed(partition, claim.epoch, row.process, why)
         )
--- a/toucanspring/cell/departure.py
+++ b/toucanspring/cell/member_removal.py
@@ -14,7 +14,7 @@
 
 from toucanspring import errors
 from toucanspring.adapters import tables
-from toucanspring.cell import ownership, renewal
+from toucanspring.cell import member_rows, ownership
 
 ATTEMPTS = 5
 # Rows of members that own nothing are deleted after this time.
@@ -24,11 +24,11 @@
 class Members(Protocol):
     """What this process knows of the others."""
 
-    identity: renewal.Member
-    own: renewal.OwnRow
+    identity: member_rows.Member
+    own: member_rows.OwnRow
     timing: ownership.Timing
     sightings: dict[str, ownership.Sighting]
-    rows: dict[str, tuple[int, renewal.MemberRow]]
+    rows: dict[str, tuple[int, member_rows.MemberRow]]
 
     def clock(self) -> float:
         """Return the monotonic time in seconds."""
@@ -55,13 +55,13 @@
     finds its name taken at its next renewal and stops. Its list is empty: it can no
     longer extend an ownership or a view.
     """
-    key = renewal.key_of(process)
+    key = member_rows.key_of(process)
     result: object = errors.Unavailable(reason=f"{key} was not written")
     for _ in range(ATTEMPTS):
         rows = client.read([key])
         if isinstance(rows, errors.Failure):
             return rows
-        row = renewal.decode_row(rows[key])
+        row = member_rows.decode_row(rows[key])
         if row is None:
             return errors.NotFound(reason=f"no process {process!r} is registered")
         if row.gone:
@@ -70,14 +70,14 @@
             return errors.Refused(
                 reason=f"process {process} is alive: it renews its row or is heard"
             )
-        fenced = renewal.MemberRow(
+        fenced = member_rows.MemberRow(
             member=msgspec.structs.replace(
                 row.member, incarnation=row.member.incarnation + 1
             ),
             gone=True,
         )
         result = client.transact(
-            {key: rows[key].version}, {key: renewal.encode_row(fenced)}
+            {key: rows[key].version}, {key: member_rows.encode_row(fenced)}
         )
         if isinstance(result, tables.Committed):
             return members.read_members()
@@ -86,7 +86,7 @@
     return result
 
 
-def _is_alive(members: Members, process: str, row: renewal.MemberRow) -> bool:
+def _is_alive(members: Members, process: str, row: member_rows.MemberRow) -> bool:
     """Return whether a process was heard, or renewed within its lease."""
     if process in members.reachable():
         return True
@@ -119,5 +119,5 @@
             row.known, quiet, seen_at + timing.silence_s, now, timing
         )
         if ended and now - seen_at >= DELETE_AFTER_S and name not in named:
-            key = renewal.key_of(name)
+            key = member_rows.key_of(name)
             client.transact({key: version}, {}, [key])
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -12,7 +12,13 @@
 
 from toucanspring import errors, resources, rounds
 from toucanspring.adapters import tables
-from toucanspring.cell import departure, heartbeat, ownership, renewal, transitions
+from toucanspring.cell import (
+    heartbeat,
+    member_removal,
+    member_rows,
+    ownership,
+    transitions,
+)
 from toucanspring.scheduling import need
 
 log = logbook.Logger(__name__)
@@ -25,8 +31,8 @@
 MAX_CALM_INTERVAL_S = heartbeat.REACHABLE_S / 2
 SCAN_ROWS = 500
 
-Member = renewal.Member
-Rows = renewal.Rows
+Member = member_rows.Member
+Rows = member_rows.Rows
 HeartbeatListener = Callable[[str, heartbeat.Heartbeat, float], None]
 
 
@@ -53,7 +59,7 @@
             settings.http_port,
             settings.availability_zone,
         )
-        self.own = renewal.OwnRow(
+        self.own = member_rows.OwnRow(
             identity,
             self.timing,
             clock,
@@ -62,7 +68,7 @@
         )
         self.ledger = heartbeat.Ledger(incarnation, self.timing)
         self.sightings: dict[str, ownership.Sighting] = {}
-        self.rows: dict[str, tuple[int, renewal.MemberRow]] = {}
+        self.rows: dict[str, tuple[int, member_rows.MemberRow]] = {}
         self.free_resources: Callable[[], resources.Resources] = lambda: resources.ZERO
         self.statements: Callable[[], dict[int, need.Statement]] = dict
         self._watches: list[tuple[Callable, Callable]] = []
@@ -198,7 +204,7 @@
         Fails with `NotFound`, `Refused` if the process was seen alive, or a failure of
         the store.
         """
-        return departure.confirm(self, self._tables, process)
+        return member_removal.confirm(self, self._tables, process)
 
     # Polls
 
@@ -216,7 +222,7 @@
             if failure is not None:
                 return failure
         else:
-            wanted.update(renewal.key_of(name) for name in self.rows)
+            wanted.update(member_rows.key_of(name) for name in self.rows)
         sent_at = self.clock()
         rows = self._tables.read(sorted(wanted))
         if isinstance(rows, errors.Failure):
@@ -227,7 +233,7 @@
         for keys, take in watched:
             take({key: rows[key] for key in keys}, sent_at)
         if scanning:
-            departure.delete_dead(self, self._tables)
+            member_removal.delete_dead(self, self._tables)
         return None
 
     def read_members(self) -> None | errors.Failure:
@@ -236,7 +242,7 @@
         found: dict[str, tables.Row] = {}
         after = ""
         while True:
-            rows = self._tables.scan(renewal.PREFIX, after, SCAN_ROWS)
+            rows = self._tables.scan(member_rows.PREFIX, after, SCAN_ROWS)
             if isinstance(rows, errors.Failure):
                 return rows
             found.update({row.key: tables.Row(row.version, row.value) for row in rows})
@@ -250,13 +256,13 @@
     def _take_rows(self, rows: Rows) -> None:
         received_at = self.clock()
         for key, row in rows.items():
-            if not key.startswith(renewal.PREFIX):
+            if not key.startswith(member_rows.PREFIX):
                 continue
-            name = key.removeprefix(renewal.PREFIX)
+            name = key.removeprefix(member_rows.PREFIX)
             # Two reads under way at once may be answered in the other order.
             if 0 < row.version < self.rows.get(name, (0, None))[0]:
                 continue
-            current = renewal.decode_row(row)
+            current = member_rows.decode_row(row)
             self.sightings[name] = ownership.observe(
                 self.sightings.get(name),
                 current.member.incarnation if current else 0,
@@ -313,7 +319,7 @@
             except Exception:
                 log.exception("heartbeats failed")
             wait_s = self._settings.heartbeat_s
-            lost_in_s = renewal.NO_ACCESS_S - self.store_age(self.clock())
+            lost_in_s = member_rows.NO_ACCESS_S - self.store_age(self.clock())
             if 0 < lost_in_s < wait_s:
                 wait_s = lost_in_s + 0.001
             gevent.sleep(wait_s)
--- a/toucanspring/cell/peers.py
+++ b/toucanspring/cell/peers.py
@@ -14,7 +14,7 @@
 from gevent import socket as gevent_socket
 
 from toucanspring import deadline, errors, frames, outbox, stream
-from toucanspring.cell import link
+from toucanspring.cell import rpc
 
 log = logbook.Logger(__name__)
 
@@ -61,7 +61,7 @@
         self.port = settings.peer_port
         self._handlers: dict[str, Handler] = {}
         self._notice_handlers: dict[str, NoticeHandler] = {}
-        self._links: dict[str, link.Link] = {}
+        self._links: dict[str, rpc.Link] = {}
         self._accepted: dict[stream.Stream, outbox.Outbox | None] = {}
         self._unidentified = 0
         self._listener: socket.socket | None = None
@@ -101,7 +101,7 @@
                 self._count_closed(closed.sent_bytes, closed.received_bytes)
         for process, target in targets.items():
             if process not in self._links:
-                self._links[process] = link.Link(self, process, target)
+                self._links[process] = rpc.Link(self, process, target)
 
     def handle(self, method: str, function: Handler) -> None:
         """Answer calls of a method with `function(sender, body)`."""
@@ -137,14 +137,14 @@
                 if time.monotonic() > deadline:
                     chunks.close()
                     return errors.Ambiguous(reason=f"no whole answer to {method}")
-                if size > link.MAX_JOINED_BYTES:
+                if size > rpc.MAX_JOINED_BYTES:
                     chunks.close()
                     return errors.Oversized(
                         reason=f"answer to {method} is too large for a call",
-                        limit=link.MAX_JOINED_BYTES,
+                        limit=rpc.MAX_JOINED_BYTES,
                     )
                 parts.append(chunk)
-        except link.StreamBroken as broken:
+        except rpc.StreamBroken as broken:
             return errors.Ambiguous(reason=str(broken))
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
@@ -270,7 +270,7 @@
         self._accepted[accepted] = answers
         if sender in self._links:
             self._links[sender].hurry()
-        calls = link.Calls(self._handlers, answers, sender, MAX_CALLS_PER_STREAM)
+        calls = rpc.Calls(self._handlers, answers, sender, MAX_CALLS_PER_STREAM)
 
         def end_silent() -> None:
             log.warning("closing stream of {}: no frame within {} s", sender, IDLE_S)
--- a/toucanspring/cell/transitions.py
+++ b/toucanspring/cell/transitions.py
@@ -5,14 +5,14 @@
 from typing import Protocol
 
 from toucanspring import kernel, rounds
-from toucanspring.cell import ownership, renewal
+from toucanspring.cell import member_rows, ownership
 from toucanspring.reporting import event_kinds
 
 
 class Members(Protocol):
     """What this process knows of its own standing."""
 
-    own: renewal.OwnRow
+    own: member_rows.OwnRow
 
     def clock(self) -> float:
         """Return the monotonic time in seconds."""
@@ -60,7 +60,7 @@
         return found
 
     def _look_at_store(self, age_s: float, now: float) -> list[event_kinds.Event]:
-        missed, self._missed = self._missed, age_s >= renewal.NO_ACCESS_S
+        missed, self._missed = self._missed, age_s >= member_rows.NO_ACCESS_S
         if self._out_since is not None and not self._missed:
             seconds, self._out_since = now - age_s - self._out_since, None
             return [event_kinds.StoreAvailable(seconds)]
--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -13,7 +13,7 @@
 
 from toucanspring import errors
 from toucanspring.adapters import tables
-from toucanspring.cell import freshness, heartbeat, membership, ownership, renewal
+from toucanspring.cell import freshness, heartbeat, member_rows, membership, ownership
 from toucanspring.configuration import changes, confirmation, records
 from toucanspring.reporting import event_kinds
 
@@ -306,7 +306,7 @@
             if getattr(self._view.versions, name) < getattr(self._wanted, name)
         ]
         now = self._members.clock()
-        if self._members.store_age(now) < renewal.NO_ACCESS_S:
+        if self._members.store_age(now) < member_rows.NO_ACCESS_S:
             rows = self._tables.read([records.ROWS[name].key for name in behind])
             if not isinstance(rows, errors.Failure):
                 adopted = [
