--- a/spec/model.py
+++ b/spec/model.py
@@ -19,11 +19,11 @@
 
 # Action -> the function of the product that implements it.
 ACTIONS = {
-    "time passes": "toucanspring.cell.ownership.judge",
+    "time passes": "toucanspring.cell.ownership.lease_state",
     "send renewal": "toucanspring.cell.ownership.renew",
     "renewal reaches store": "toucanspring.cell.ownership.observe",
     "renewal answered": "toucanspring.cell.ownership.renew",
-    "renewal answer lost": "toucanspring.cell.ownership.judge",
+    "renewal answer lost": "toucanspring.cell.ownership.lease_state",
     "read member row": "toucanspring.cell.ownership.observe",
     "claim": "toucanspring.cell.ownership.may_claim",
     "claim answer lost": "toucanspring.cell.ownership.may_claim",
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -16,7 +16,7 @@
 # Action -> the function of the product that implements it.
 ACTIONS = {
     "time passes": "toucanspring.owners.worker_link.Link",
-    "ownership ends": "toucanspring.cell.ownership.judge",
+    "ownership ends": "toucanspring.cell.ownership.lease_state",
     "owner dies": "toucanspring.cell.claims.Service",
     "claim": "toucanspring.cell.ownership.may_claim",
     "load": "toucanspring.owners.partition.Partition",
--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -18,7 +18,7 @@
 
 ACTIONS = {
     "change": "toucanspring.cell.layout.Service.change",
-    "release": "toucanspring.cell.layout.Service.release",
+    "release": "toucanspring.cell.layout.Service.remove_former",
     "read row": "toucanspring.cell.layout.Service.reread",
     "say empty": "toucanspring.owners.handover.Service.step",
     "ask": "toucanspring.owners.clearance.Clearance.clear",
--- a/spec/tenure.py
+++ b/spec/tenure.py
@@ -42,8 +42,8 @@
     def _may_claim(self, me: world.Process) -> bool:
         if not self._rules.takeover_wait:
             return True
-        sighting = ownership.Sighting(1, 1, -me.seen, -me.seen)
-        silent = ownership.is_silent(sighting, 1, 0, world.TIMING)
+        sighting = ownership.Observation(1, 1, -me.seen, -me.seen)
+        silent = ownership.is_lease_expired(sighting, 1, 0, world.TIMING)
         return ownership.may_claim(silent, ownership.NEVER, 0, world.TIMING)
 
     def _answer_renewal(self, s: world.State, p: int) -> tuple[str, world.State]:
--- a/test/fake_cell.py
+++ b/test/fake_cell.py
@@ -83,11 +83,11 @@
             getattr(self, service).start()
 
     def set_incarnation(self, incarnation):
-        own = self.membership.own
+        own = self.membership.local_member
         own.identity = membership.msgspec.structs.replace(
             own.identity, incarnation=incarnation
         )
-        self.membership.ledger.incarnation = incarnation
+        self.membership.peer_tracker.incarnation = incarnation
 
     def clock(self):
         return 100.0 + self.cell.now * self.rate
@@ -103,7 +103,7 @@
         self.steps += 1
         if self.steps % 5 == 0:
             self.membership.poll()
-            self.membership.beat()
+            self.membership.send_due_heartbeats()
         if self.steps % 10 == 3:
             self.membership._renew()
 
@@ -113,8 +113,8 @@
 
     def held(self):
         """Return whether the lease in the store is valid."""
-        standing = self.membership.standing(self.clock())
-        return standing is ownership.Standing.HELD
+        standing = self.membership.lease_state(self.clock())
+        return standing is ownership.LeaseState.HELD
 
     def kill(self):
         self.dead = True
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -118,7 +118,7 @@
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
-        other.client.before_commit = owner.membership.own.write
+        other.client.before_commit = owner.membership.local_member.write
         other.claims._claim(0)
         self.assertEqual([owner.name], self.cell.owners(0))
         self.assertEqual({}, other.claims.owned())
@@ -129,7 +129,7 @@
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
         other.membership.poll()
         other.claims._claim(0)
-        owner.membership.own.write()
+        owner.membership.local_member.write()
         self.assertEqual({}, owner.claims.owned())
         gevent.sleep(0)
         self.assertEqual(claims.PartitionLost(0, superseded=True), owner.events[-1])
@@ -152,10 +152,10 @@
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
-        message = other.membership.ledger.peers[owner.name].message
+        message = other.membership.peer_tracker.peers[owner.name].message
         for epoch, held in ((0, {0: 1}), (1, {0: 1}), (2, {})):
             late = msgspec.structs.replace(message, owned={0: epoch})
-            owner.claims._take_heartbeat(other.name, late, 0.0)
+            owner.claims._handle_heartbeat(other.name, late, 0.0)
             self.assertEqual(held, owner.claims.owned())
 
     def test_a_slow_listener_does_not_hold_up_renewals(self):
@@ -165,8 +165,8 @@
         handled = event.Event()
         self.addCleanup(handled.set)
         owner.kernel.subscribe(claims.PartitionLost, lambda _lost: handled.wait())
-        owner.claims._give_up(lambda holding, row: True, {})
-        result = owner.membership.own.write()
+        owner.claims._drop_changed(lambda holding, row: True, {})
+        result = owner.membership.local_member.write()
         self.assertNotIsInstance(result, errors.Failure)
 
     def test_a_release_waits_until_its_loss_is_handled(self):
@@ -301,7 +301,7 @@
         # scenario a hand-over after 20 s more than doubled the wait.
         self.make(count=1)
         first = self.cell.nodes["p0"]
-        first.claims.holds_back = lambda partition: partition == 0
+        first.claims.is_pinned = lambda partition: partition == 0
         for index in (1, 2):
             self.cell.add(f"p{index}")
         self.cell.run(40)
--- a/test/test_documents.py
+++ b/test/test_documents.py
@@ -244,7 +244,7 @@
             if node.dead or self.cell.now - stored_at > confirmation.LIMIT_S:
                 self.stored.remove(change)
             elif not node.paused and node.membership.read_members() is None:
-                lists = node.membership.known_lists()
+                lists = node.membership.member_lists()
                 confirmed = node.documents.confirmation.processes("config", version)
                 if freshness.is_accepted(lists, confirmed):
                     self.accepted.append((version, self.cell.now))
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -34,7 +34,7 @@
         for part in requests._send(stored):
             yield part
             if cut:
-                raise rpc.StreamBroken("the owner ended")
+                raise rpc.StreamBrokenError("the owner ended")
 
     def test_a_broken_answer_of_the_owner_is_asked_for_again(self):
         # Guards against a truncated answer, and against giving up on a retry that
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -10,21 +10,27 @@
 
 class FreshnessTest(testtools.TestCase):
     def test_a_view_counts_from_the_request_for_the_head(self):
-        view = freshness.confirm(freshness.View(OLD), OLD, 10.0)
-        currency = freshness.renew(ownership.Tenure(), view.confirmed_at)
-        self.assertIs(ownership.Standing.HELD, ownership.judge(currency, 11.4))
-        self.assertIs(ownership.Standing.NARROWED, ownership.judge(currency, 11.5))
+        view = freshness.confirm_by_head(freshness.View(OLD), OLD, 10.0)
+        validity = freshness.renew(ownership.Lease(), view.confirmed_at)
+        self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(validity, 11.4))
+        self.assertIs(
+            ownership.LeaseState.NARROWED, ownership.lease_state(validity, 11.5)
+        )
 
     def test_a_stale_or_newer_head_confirms_nothing(self):
         # Guards against a lagging read that makes an old view look like the latest.
         view = freshness.View(NEW, 5.0)
-        self.assertEqual(view, freshness.confirm(view, OLD, 10.0))
-        self.assertEqual(view, freshness.confirm(view, NEW, 4.0))
+        self.assertEqual(view, freshness.confirm_by_head(view, OLD, 10.0))
+        self.assertEqual(view, freshness.confirm_by_head(view, NEW, 4.0))
 
     def test_the_age_of_a_peers_view_counts_back_from_the_echo(self):
-        view = freshness.vouch(freshness.View(OLD), OLD, 1.0, 10.0, TIMING.drift)
+        view = freshness.confirm_by_peer(
+            freshness.View(OLD), OLD, 1.0, 10.0, TIMING.drift
+        )
         self.assertAlmostEqual(8.95, view.confirmed_at)
-        other = freshness.vouch(freshness.View(NEW), OLD, 0.1, 10.0, TIMING.drift)
+        other = freshness.confirm_by_peer(
+            freshness.View(NEW), OLD, 0.1, 10.0, TIMING.drift
+        )
         self.assertEqual(ownership.NEVER, other.confirmed_at)
 
     def test_vouching_in_a_circle_does_not_make_a_view_younger(self):
@@ -33,9 +39,9 @@
         second = freshness.View(OLD)
         for now in (10.5, 11.0, 11.5):
             age_s = now - first.confirmed_at
-            second = freshness.vouch(second, OLD, age_s, now, TIMING.drift)
+            second = freshness.confirm_by_peer(second, OLD, age_s, now, TIMING.drift)
             age_s = now - second.confirmed_at
-            first = freshness.vouch(first, OLD, age_s, now, TIMING.drift)
+            first = freshness.confirm_by_peer(first, OLD, age_s, now, TIMING.drift)
         self.assertEqual(10.0, first.confirmed_at)
         self.assertTrue(second.confirmed_at <= 10.0)
 
@@ -44,28 +50,30 @@
         # confirmed a change to the operator, know a newer one.
         promises = dict.fromkeys(MEMBERS, 11.0)
         view = freshness.View(OLD, 10.0)
-        currency = freshness.renew(ownership.Tenure(), 10.0)
+        validity = freshness.renew(ownership.Lease(), 10.0)
         for known, until in (
             (dict.fromkeys(MEMBERS, OLD), 12.5),
             ({**dict.fromkeys(MEMBERS, OLD), "b": NEW}, 12.5),
             ({**dict.fromkeys(MEMBERS, OLD), "b": NEW, "c": NEW}, 11.5),
             (dict.fromkeys(MEMBERS[:2], OLD), 11.5),
         ):
-            found = freshness.extend(currency, view, [MEMBERS], promises, known, 11.1)
+            found = freshness.extend(validity, view, [MEMBERS], promises, known, 11.1)
             self.assertEqual(until, found.valid_until)
-        found = freshness.extend(currency, view, [], promises, known, 11.1)
+        found = freshness.extend(validity, view, [], promises, known, 11.1)
         self.assertEqual(11.5, found.valid_until)
 
     def test_an_ended_extension_needs_a_confirmed_view(self):
         # Guards against a process that was cut off while others forgot its list.
         view = freshness.View(OLD, 10.0)
-        currency = freshness.renew(ownership.Tenure(), 10.0)
+        validity = freshness.renew(ownership.Lease(), 10.0)
         known = dict.fromkeys(MEMBERS, OLD)
         late = dict.fromkeys(MEMBERS, 12.0)
-        currency = freshness.extend(currency, view, [MEMBERS], late, known, 12.0)
-        self.assertIs(ownership.Standing.NARROWED, ownership.judge(currency, 12.0))
-        currency = freshness.renew(currency, 12.0)
-        self.assertIs(ownership.Standing.HELD, ownership.judge(currency, 12.1))
+        validity = freshness.extend(validity, view, [MEMBERS], late, known, 12.0)
+        self.assertIs(
+            ownership.LeaseState.NARROWED, ownership.lease_state(validity, 12.0)
+        )
+        validity = freshness.renew(validity, 12.0)
+        self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(validity, 12.1))
 
     def test_a_change_needs_half_of_each_list_or_the_member_itself(self):
         # Guards against a minority with the store that has lost the others from its
--- a/test/test_heartbeat.py
+++ b/test/test_heartbeat.py
@@ -15,9 +15,9 @@
         "echo_incarnation": echo_incarnation,
         "versions": freshness.Versions(1, 1, 1),
         "view_age_ms": 100,
-        "witness": True,
+        "has_read_head": True,
         "promise": False,
-        "quiet_ms": 5000,
+        "promise_free_ms": 5000,
         "owned": {},
     }
     return heartbeat.Heartbeat(**{**values, **fields})
@@ -26,22 +26,22 @@
 class LedgerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.ledger = heartbeat.Ledger(OWN, TIMING)
+        self.tracker = heartbeat.PeerTracker(OWN, TIMING)
 
     def test_a_promise_counts_from_the_echoed_clock(self):
         # Guards against a promise that was delayed on its way.
-        self.ledger.take("a", message(promise=True, echo=10.0), 11.9)
-        self.assertEqual({"a": 10.0}, self.ledger.promises)
+        self.tracker.record("a", message(promise=True, echo=10.0), 11.9)
+        self.assertEqual({"a": 10.0}, self.tracker.promises)
 
     def test_duplicates_and_reordered_heartbeats_change_nothing(self):
         # Guards against an old promise that replaces its withdrawal.
         promise = message(clock=1.0, promise=True)
-        self.assertTrue(self.ledger.take("a", promise, 10.1))
-        self.assertTrue(self.ledger.take("a", message(clock=2.0, echo=10.5), 10.6))
-        self.assertFalse(self.ledger.take("a", promise, 10.7))
-        self.assertEqual({}, self.ledger.promises)
-        self.assertEqual({"a"}, self.ledger.reachable(12.6))
-        self.assertEqual(set(), self.ledger.reachable(12.7))
+        self.assertTrue(self.tracker.record("a", promise, 10.1))
+        self.assertTrue(self.tracker.record("a", message(clock=2.0, echo=10.5), 10.6))
+        self.assertFalse(self.tracker.record("a", promise, 10.7))
+        self.assertEqual({}, self.tracker.promises)
+        self.assertEqual({"a"}, self.tracker.reachable(12.6))
+        self.assertEqual(set(), self.tracker.reachable(12.7))
 
     def test_an_echo_of_another_clock_proves_nothing(self):
         # Guards against a restart on another VM, whose clock has another origin.
@@ -51,23 +51,25 @@
             message(promise=True, echo=0.0),
             message(echo_incarnation=OWN - 1),
         ):
-            self.ledger = heartbeat.Ledger(OWN, TIMING)
-            self.assertTrue(self.ledger.take("a", foreign, 11.0))
-            self.assertEqual(({}, {}), (self.ledger.promises, self.ledger.quiet))
+            self.tracker = heartbeat.PeerTracker(OWN, TIMING)
+            self.assertTrue(self.tracker.record("a", foreign, 11.0))
+            self.assertEqual(
+                ({}, {}), (self.tracker.promises, self.peer_tracker.promise_free)
+            )
 
     def test_a_restart_withdraws_what_the_former_incarnation_proved(self):
-        self.ledger.take("a", message(promise=True), 11.0)
+        self.tracker.record("a", message(promise=True), 11.0)
         restarted = message(clock=0.5, incarnation=4, echo=0.0, echo_incarnation=0)
-        self.assertTrue(self.ledger.take("a", restarted, 11.1))
-        self.assertEqual({}, self.ledger.promises)
+        self.assertTrue(self.tracker.record("a", restarted, 11.1))
+        self.assertEqual({}, self.tracker.promises)
 
     def test_only_witnesses_speak_for_the_documents(self):
         # Guards against a process that confirmed a change and forgot it by a restart.
-        self.ledger.take("a", message(promise=True, witness=True), 11.0)
-        self.assertEqual({"a"}, set(self.ledger.promised_versions))
-        later = message(clock=2.0, promise=True, witness=False)
-        self.ledger.take("a", later, 11.1)
-        self.assertEqual(set(), set(self.ledger.promised_versions))
+        self.tracker.record("a", message(promise=True, has_read_head=True), 11.0)
+        self.assertEqual({"a"}, set(self.tracker.promised_versions))
+        later = message(clock=2.0, promise=True, has_read_head=False)
+        self.tracker.record("a", later, 11.1)
+        self.assertEqual(set(), set(self.tracker.promised_versions))
 
     def test_a_malformed_heartbeat_is_a_failure(self):
         for body in (b"", b"\xc1", heartbeat.encode([1, 2]), heartbeat.encode("x")):
--- a/test/test_layout.py
+++ b/test/test_layout.py
@@ -96,14 +96,14 @@
         self.change(self.one, 5)
         back = self.change(self.one, 2, 1)
         self.assertEqual(((2, (5,)), 5), (self.numbers(back), back.count))
-        self.assertIsNone(self.one.release({5}, 2, {}))
+        self.assertIsNone(self.one.remove_former({5}, 2, {}))
         self.assertEqual(((2, ()), 2), (self.numbers(self.row()), self.row().count))
 
     def test_a_release_that_another_change_overtook_does_nothing(self):
         # Guards against a former number that is removed while it is in use again.
         self.change(self.one, 5)
         self.change(self.other, 2, 1)
-        found = self.one.release({2}, 1, {})
+        found = self.one.remove_former({2}, 1, {})
         self.assertIsInstance(found, errors.Conflict)
         self.assertEqual((2, (5,)), self.numbers(self.row()))
 
--- a/test/test_member_rows.py
+++ b/test/test_member_rows.py
@@ -13,53 +13,55 @@
         self.cell.run(6)
         (owner,) = self.cell.owners(0)
         self.node = self.cell.nodes[owner]
-        self.own = self.node.membership.own
+        self.member = self.node.membership.local_member
         self.others = [n for n in self.cell.nodes.values() if n is not self.node]
 
     def row(self):
-        return member_rows.decode_row(self.cell.shared.rows[self.own.key])
+        return member_rows.decode_row(self.cell.shared.rows[self.member.key])
 
     def test_a_lost_answer_to_a_renewal_in_effect_counts_from_its_sending(self):
-        self.node.client.lose[self.own.key] = 1
-        result = self.own.write()
+        self.node.client.lose[self.member.key] = 1
+        result = self.member.write()
         self.assertNotIsInstance(result, errors.Failure)
-        self.assertEqual(self.node.clock() + 2.5, self.own.tenure.lease_until, result)
+        self.assertEqual(
+            self.node.clock() + 2.5, self.member.lease.granted_until, result
+        )
 
     def test_a_lost_renewal_does_not_extend_the_lease(self):
         # Guards against taking the row of an earlier attempt for this one.
-        self.node.client.lose[self.own.key] = 1
+        self.node.client.lose[self.member.key] = 1
         self.node.client.read = lambda keys: errors.Unavailable(reason="down")
-        self.assertIsInstance(self.own.write(), errors.Ambiguous)
+        self.assertIsInstance(self.member.write(), errors.Ambiguous)
         del self.node.client.read
-        before = self.own.tenure
+        before = self.member.lease
         self.cell.now += 1.0
-        self.node.client.drop[self.own.key] = 1
-        self.assertIsInstance(self.own.write(), errors.Unavailable)
-        self.assertEqual(before, self.own.tenure)
+        self.node.client.drop[self.member.key] = 1
+        self.assertIsInstance(self.member.write(), errors.Unavailable)
+        self.assertEqual(before, self.member.lease)
 
     def test_a_renewal_delayed_in_the_store_does_no_harm(self):
-        self.node.client.late[self.own.key] = 1
-        self.assertIsInstance(self.own.write(), errors.Unavailable)
-        self.assertIsInstance(self.own.write(), claims.tables.Committed)
+        self.node.client.late[self.member.key] = 1
+        self.assertIsInstance(self.member.write(), errors.Unavailable)
+        self.assertIsInstance(self.member.write(), claims.tables.Committed)
         (late,) = self.node.client.deliver_late()
         self.assertIsInstance(late, errors.Conflict)
         # The other order: the delayed attempt arrives before the next one.
-        self.node.client.late[self.own.key] = 1
-        self.own.write()
+        self.node.client.late[self.member.key] = 1
+        self.member.write()
         self.node.client.deliver_late()
         self.node.client.kept_back.clear()
-        self.assertIsInstance(self.own.write(), claims.tables.Committed)
+        self.assertIsInstance(self.member.write(), claims.tables.Committed)
 
     def test_both_lists_count_until_a_renewal_is_known_to_be_in_effect(self):
         # Guards against a majority of a list that the row no longer contains.
         self.cell.add("p9", partitions=1)
         self.cell.run(4)
-        self.own.lists = [["p0", "p1", "p2"]]
-        self.node.client.drop[self.own.key] = 1
-        self.own.write()
-        self.assertEqual(2, len(self.own.lists))
-        self.own.write()
-        self.assertEqual([["p0", "p1", "p2", "p9"]], self.own.lists)
+        self.member.possible_member_lists = [["p0", "p1", "p2"]]
+        self.node.client.drop[self.member.key] = 1
+        self.member.write()
+        self.assertEqual(2, len(self.member.possible_member_lists))
+        self.member.write()
+        self.assertEqual([["p0", "p1", "p2", "p9"]], self.member.possible_member_lists)
 
     def test_an_owner_paused_past_its_lease_may_do_nothing_when_it_resumes(self):
         # Guards against work started between the pause and the next renewal.
@@ -75,23 +77,25 @@
 
     def test_no_promise_while_a_claim_may_still_take_effect(self):
         # Guards against a claim in flight that lands after the promise.
-        claimer = self.others[0].membership.own
+        claimer = self.others[0].membership.local_member
         self.others[0].client.late[claimer.key] = 1
         claimer.write({}, {"partitions/9": b""}, claim=True)
         self.others[0].client.down = True
         self.cell.run(3)
-        self.assertFalse(claimer.promise(self.others[0].clock()))
+        self.assertFalse(claimer.try_promise(self.others[0].clock()))
         self.others[0].client.down = False
         claimer.write()
         self.others[0].client.down = True
         self.cell.run(1.2)
-        self.assertTrue(claimer.promise(self.others[0].clock()))
+        self.assertTrue(claimer.try_promise(self.others[0].clock()))
 
     def test_no_claim_is_sent_after_a_promise(self):
         # Guards against a promise made while the claim waited for the row's lock.
         other = self.others[0]
-        other.membership.own.promised_at = other.clock()
-        result = other.membership.own.write({}, {"partitions/9": b""}, claim=True)
+        other.membership.local_member.promised_at = other.clock()
+        result = other.membership.local_member.write(
+            {}, {"partitions/9": b""}, claim=True
+        )
         self.assertIsInstance(result, errors.Refused)
 
     def test_a_process_whose_name_was_taken_stops_at_once(self):
@@ -100,24 +104,24 @@
         taker = self.cell.nodes[self.node.name]
         taker.membership.poll()
         taker.membership._renew()
-        self.assertIsInstance(self.own.write(), errors.Fenced)
+        self.assertIsInstance(self.member.write(), errors.Fenced)
         self.assertTrue(self.node.membership.replaced)
         self.assertIs(
-            ownership.Standing.NARROWED,
-            self.node.membership.standing(self.node.clock()),
+            ownership.LeaseState.NARROWED,
+            self.node.membership.lease_state(self.node.clock()),
         )
 
     def test_a_deleted_row_is_written_again(self):
         # Guards against an operator's mistake or an overeager clean-up.
-        del self.cell.shared.rows[self.own.key]
-        self.assertIsInstance(self.own.write(), claims.tables.Committed)
+        del self.cell.shared.rows[self.member.key]
+        self.assertIsInstance(self.member.write(), claims.tables.Committed)
         self.assertEqual(self.node.name, self.row().member.process)
 
     def test_a_row_that_successors_need_survives_the_shutdown(self):
         self.node.client.drop["partitions/0"] = 3
         self.node.claims.stop()
-        self.own.remove()
-        self.assertIn(self.own.key, self.cell.shared.rows)
-        idle = self.others[0].membership.own
+        self.member.remove()
+        self.assertIn(self.member.key, self.cell.shared.rows)
+        idle = self.others[0].membership.local_member
         idle.remove()
         self.assertNotIn(idle.key, self.cell.shared.rows)
--- a/test/test_ownership.py
+++ b/test/test_ownership.py
@@ -14,13 +14,13 @@
 class OwnershipTest(testtools.TestCase):
     def test_the_lease_counts_from_sending_even_if_the_answer_is_late(self):
         # Guards against a pause between the store's commit and the answer.
-        tenure = ownership.renew(ownership.Tenure(), 10.0, TIMING)
-        self.assertIs(ownership.Standing.HELD, ownership.judge(tenure, 12.4))
-        self.assertIs(ownership.Standing.NARROWED, ownership.judge(tenure, 12.5))
+        lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
+        self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(lease, 12.4))
+        self.assertIs(ownership.LeaseState.NARROWED, ownership.lease_state(lease, 12.5))
 
     def test_an_older_renewal_does_not_shorten_the_lease(self):
-        tenure = ownership.renew(ownership.Tenure(), 10.0, TIMING)
-        self.assertEqual(tenure, ownership.renew(tenure, 9.0, TIMING))
+        lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
+        self.assertEqual(lease, ownership.renew(lease, 9.0, TIMING))
 
     def test_an_extension_needs_more_than_half(self):
         # Guards against two halves of a cell that both go on.
@@ -34,31 +34,31 @@
 
     def test_an_ended_extension_is_not_resumed_by_new_promises(self):
         # Guards against an owner that pauses past its end: a successor may exist.
-        tenure = ownership.renew(ownership.Tenure(), 10.0, TIMING)
+        lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
         promises = dict.fromkeys(FIVE, 12.0)
-        tenure = ownership.extend(tenure, [FIVE], promises, 12.1, TIMING)
-        self.assertIs(ownership.Standing.EXTENDED, ownership.judge(tenure, 13.9))
+        lease = ownership.extend(lease, [FIVE], promises, 12.1, TIMING)
+        self.assertIs(ownership.LeaseState.EXTENDED, ownership.lease_state(lease, 13.9))
         later = dict.fromkeys(FIVE, 14.5)
-        tenure = ownership.extend(tenure, [FIVE], later, 14.6, TIMING)
-        self.assertIs(ownership.Standing.NARROWED, ownership.judge(tenure, 14.6))
-        renewed = ownership.renew(tenure, 15.0, TIMING)
-        self.assertIs(ownership.Standing.HELD, ownership.judge(renewed, 15.1))
+        lease = ownership.extend(lease, [FIVE], later, 14.6, TIMING)
+        self.assertIs(ownership.LeaseState.NARROWED, ownership.lease_state(lease, 14.6))
+        renewed = ownership.renew(lease, 15.0, TIMING)
+        self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(renewed, 15.1))
 
     def test_a_majority_must_hold_in_each_list_the_row_may_contain(self):
         # Guards against a lost answer to a renewal that changed the list.
-        tenure = ownership.renew(ownership.Tenure(), 10.0, TIMING)
+        lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
         promises = dict.fromkeys(["a", "b"], 12.0)
         lists = [["a", "b", "c"], FIVE]
-        tenure = ownership.extend(tenure, lists, promises, 12.1, TIMING)
-        self.assertEqual(12.5, tenure.valid_until)
+        lease = ownership.extend(lease, lists, promises, 12.1, TIMING)
+        self.assertEqual(12.5, lease.valid_until)
 
     def test_a_claim_waits_for_lease_and_drift_after_the_first_sight(self):
         seen = ownership.observe(None, 1, 7, 20.0)
         seen = ownership.observe(seen, 1, 7, 21.0)
-        self.assertFalse(ownership.is_silent(seen, 1, 22.6, TIMING))
-        self.assertTrue(ownership.is_silent(seen, 1, 22.63, TIMING))
+        self.assertFalse(ownership.is_lease_expired(seen, 1, 22.6, TIMING))
+        self.assertTrue(ownership.is_lease_expired(seen, 1, 22.63, TIMING))
         renewed = ownership.observe(seen, 1, 8, 22.6)
-        self.assertFalse(ownership.is_silent(renewed, 1, 25.2, TIMING))
+        self.assertFalse(ownership.is_lease_expired(renewed, 1, 25.2, TIMING))
 
     def test_an_owner_with_a_restarted_name_is_waited_for_from_the_restart(self):
         # Guards against taking the lease of a paused former incarnation as over at
@@ -66,8 +66,8 @@
         seen = ownership.observe(None, 1, 7, 20.0)
         seen = ownership.observe(seen, 2, 1, 21.0)
         seen = ownership.observe(seen, 2, 2, 22.0)
-        self.assertFalse(ownership.is_silent(seen, 1, 23.6, TIMING))
-        self.assertTrue(ownership.is_silent(seen, 1, 23.63, TIMING))
+        self.assertFalse(ownership.is_lease_expired(seen, 1, 23.6, TIMING))
+        self.assertTrue(ownership.is_lease_expired(seen, 1, 23.63, TIMING))
 
     def test_a_member_that_promised_claims_nothing_for_a_while(self):
         self.assertFalse(ownership.may_claim(True, 10.0, 12.05, TIMING))
@@ -76,40 +76,44 @@
     def test_a_former_owner_is_gone_only_after_a_promise_free_moment(self):
         # Guards against members that regain and lose the store in turn: each was
         # seen without a promise, but at no moment was half of the list free of one.
-        free = ownership.Quiet(20.0, 22.2)
-        short = ownership.Quiet(21.0, 22.2)
-        apart = ownership.Quiet(23.0, 25.2)
-        for quiet, gone in (
+        free = ownership.PromiseFreeInterval(20.0, 22.2)
+        short = ownership.PromiseFreeInterval(21.0, 22.2)
+        apart = ownership.PromiseFreeInterval(23.0, 25.2)
+        for promise_free, gone in (
             ({"a": free, "b": free}, False),
             ({"a": free, "b": free, "c": free}, True),
             ({"a": free, "b": free, "c": short}, False),
             ({"a": free, "b": free, "c": apart}, False),
         ):
-            found = ownership.lost_majority(FIVE, quiet, 19.0, 23.0, TIMING)
+            found = ownership.extension_ended(FIVE, promise_free, 19.0, 23.0, TIMING)
             self.assertEqual(gone, found)
-        quiet = {"a": free, "b": free, "c": free}
-        self.assertFalse(ownership.lost_majority(FIVE, quiet, 22.3, 23.0, TIMING))
+        promise_free = {"a": free, "b": free, "c": free}
+        self.assertFalse(
+            ownership.extension_ended(FIVE, promise_free, 22.3, 23.0, TIMING)
+        )
 
     def test_an_extension_ends_after_its_limit(self):
         # Guards against a successor that waits for ever, because all members of the
         # former owner's list are gone; the successor must not be early either.
         limit = TIMING.extension_s
-        tenure = ownership.renew(ownership.Tenure(), 0.0, TIMING)
+        lease = ownership.renew(ownership.Lease(), 0.0, TIMING)
         now = 1.0
-        while ownership.judge(tenure, now) is not ownership.Standing.NARROWED:
+        while ownership.lease_state(lease, now) is not ownership.LeaseState.NARROWED:
             promises = dict.fromkeys(FIVE, now)
-            tenure = ownership.extend(tenure, [FIVE], promises, now, TIMING)
+            lease = ownership.extend(lease, [FIVE], promises, now, TIMING)
             now += 1.0
         self.assertLessEqual(now, TIMING.lease_s + limit + 1)
         self.assertGreater(now, limit)
         # The owner's clock may be slower than the successor's by the drift.
         ended_at = (TIMING.lease_s + limit) * (1 + TIMING.drift)
-        self.assertFalse(ownership.lost_majority(FIVE, {}, 0.0, ended_at - 0.1, TIMING))
-        self.assertTrue(ownership.lost_majority(FIVE, {}, 0.0, ended_at, TIMING))
+        self.assertFalse(
+            ownership.extension_ended(FIVE, {}, 0.0, ended_at - 0.1, TIMING)
+        )
+        self.assertTrue(ownership.extension_ended(FIVE, {}, 0.0, ended_at, TIMING))
 
     def test_quiet_time_is_counted_short_on_both_ends(self):
-        quiet = ownership.quiet_interval(30.0, 30.4, 10.0, TIMING)
-        self.assertEqual(ownership.Quiet(30.4 - 9.5, 30.0), quiet)
+        promise_free = ownership.promise_free_interval(30.0, 30.4, 10.0, TIMING)
+        self.assertEqual(ownership.PromiseFreeInterval(30.4 - 9.5, 30.0), promise_free)
 
 
 class SimulatedCellTest(testtools.TestCase):
--- a/test/test_partitions.py
+++ b/test/test_partitions.py
@@ -92,10 +92,12 @@
     def test_an_accepted_job_is_never_reported_as_certainly_not_accepted(self):
         # Guards against one failed job of a submission that hides the accepted ones.
         failure = errors.Unavailable(reason="no answer of a former partition")
-        self.assertIsNone(reply.moved(["a", failure]))
-        self.assertIsInstance(reply.moved([failure]), errors.Unavailable)
+        self.assertIsNone(reply.resubmission_failure(["a", failure]))
+        self.assertIsInstance(reply.resubmission_failure([failure]), errors.Unavailable)
         for lost in (errors.Fenced(reason="moved"), errors.Ambiguous(reason="write")):
-            self.assertIsInstance(reply.moved(["a", lost]), errors.Fenced)
+            self.assertIsInstance(
+                reply.resubmission_failure(["a", lost]), errors.Fenced
+            )
 
     def test_the_wait_for_an_owner_ends_when_it_is_replaced(self):
         # Guards against calls sent right before a takeover that wait for the timeout.
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -37,7 +37,7 @@
 
     def assert_connected(self, caller, limit_s=4.0):
         made = fake_tables.wait_for(
-            lambda: caller._links["callee"]._outbox is not None, limit_s
+            lambda: caller._connections["callee"]._outbox is not None, limit_s
         )
         self.assertTrue(made)
 
@@ -90,7 +90,7 @@
         callee.handle("slow", lambda sender, body: gevent.sleep(5))
         result = caller.call("callee", "slow", b"", 0.1)
         self.assertIsInstance(result, errors.Ambiguous)
-        self.assertEqual({}, caller._links["callee"]._waiting)
+        self.assertEqual({}, caller._connections["callee"]._waiting)
 
     def test_an_abandoned_call_is_ambiguous_and_leaves_nothing_behind(self):
         # Guards against calls to a former owner that wait for the whole timeout.
@@ -101,7 +101,7 @@
         result = caller.call("callee", "slow", b"", 600, abandon=lambda: next(looks))
         self.assertIsInstance(result, errors.Ambiguous)
         self.assertIn("abandoned", result.reason)
-        self.assertEqual({}, caller._links["callee"]._waiting)
+        self.assertEqual({}, caller._connections["callee"]._waiting)
 
     def test_a_call_whose_stream_breaks_is_ambiguous_and_is_dialled_again(self):
         caller, callee = self.pair()
@@ -118,7 +118,7 @@
     def test_a_call_that_was_never_sent_is_unavailable(self):
         # Guards against doubt about work that certainly did not start.
         caller, callee = self.pair()
-        box = caller._links["callee"]._outbox
+        box = caller._connections["callee"]._outbox
         box._sender.kill()
         result = caller.call("callee", "echo", b"", 0.05)
         self.assertIsInstance(result, errors.Unavailable)
@@ -153,7 +153,7 @@
             callee.handle("parts", lambda sender, body, source=source: source())
             self.assert_connected(caller)
             chunks = caller.call_stream("callee", "parts", b"", 1)
-            self.assertRaises(rpc.StreamBroken, list, chunks)
+            self.assertRaises(rpc.StreamBrokenError, list, chunks)
             self.assert_connected(caller)
             joined = caller.call("callee", "parts", b"", 1)
             self.assertIsInstance(joined, errors.Ambiguous)
@@ -161,12 +161,12 @@
     def test_an_end_marker_with_another_length_breaks_the_answer(self):
         # Guards against chunks lost by a fault of the callee.
         caller, _ = self.pair()
-        target = caller._links["callee"]
+        target = caller._connections["callee"]
         first = frames.Frame(frames.Kind.CHUNK, 1, b"part")
         answers = rpc.queue.SimpleQueue()
         answers.put(frames.Frame(frames.Kind.END, 1, frames.encode(5)))
         chunks = target._chunks(target._outbox, 1, answers, first, 1)
-        self.assertRaises(rpc.StreamBroken, list, chunks)
+        self.assertRaises(rpc.StreamBrokenError, list, chunks)
 
     def test_a_slow_reader_of_an_answer_holds_back_only_its_own_chunks(self):
         # Guards against unbounded memory at either end.
@@ -208,7 +208,7 @@
         caller, callee = self.pair()
         got = []
         callee.handle_notice("state", lambda sender, body: got.append(body))
-        box = caller._links["callee"]._outbox
+        box = caller._connections["callee"]._outbox
         for index in range(50):  # the sending greenlet does not run in between
             self.assertTrue(caller.notify("callee", "state", str(index).encode()))
         self.assertEqual(1, len(box._items))
@@ -230,12 +230,12 @@
         welcome = frames.encode(frames.Welcome("callee", 1))
         sock.sendall(wire.encode(frames.Frame(frames.Kind.WELCOME, 0, welcome)))
         self.assert_connected(caller)
-        sending = caller._links["callee"]._stream._socket
+        sending = caller._connections["callee"]._stream._socket
         sending.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
         body = b"x" * 900_000
         calls = [gevent.spawn(caller.call, "callee", "m", body, 2) for _ in range(40)]
         gevent.sleep(0)
-        box = caller._links["callee"]._outbox
+        box = caller._connections["callee"]._outbox
         self.assertTrue(box._bytes <= outbox.MAX_QUEUED_BYTES)
         started = time.monotonic()
         gevent.joinall(calls)
@@ -256,7 +256,7 @@
 
     def test_unproven_streams_are_closed(self):
         # Guards against strangers, other cells and a hello that never comes.
-        self.patch(peers, "HELLO_TIMEOUT_S", 0.2)
+        self.patch(peers, "HANDSHAKE_TIMEOUT_S", 0.2)
         callee = self.start("callee")
         huge = struct.pack(">I", peers.MAX_HELLO_BYTES + 1)
         silent, garbage, oversized = (self.dial(callee) for _ in range(3))
@@ -269,12 +269,12 @@
             answer = self.dial_as(callee, **fields).receive(2)
             self.assertIsInstance(answer, errors.Closed)
         self.assertEqual({}, callee._accepted)
-        self.assertEqual(0, callee._unidentified)
+        self.assertEqual(0, callee._pending_handshakes)
 
     def test_a_flood_of_silent_streams_does_not_lock_out_peers(self):
-        self.patch(peers, "HELLO_TIMEOUT_S", 0.3)
+        self.patch(peers, "HANDSHAKE_TIMEOUT_S", 0.3)
         callee = self.start("callee")
-        for _ in range(peers.MAX_UNIDENTIFIED + 20):
+        for _ in range(peers.MAX_PENDING_HANDSHAKES + 20):
             self.dial(callee)
         caller = self.start("caller")
         caller.set_targets({"callee": ("127.0.0.1", callee.port)})
@@ -318,7 +318,7 @@
 
     def test_streams_have_nagle_disabled(self):
         caller, callee = self.pair()
-        for end in (caller._links["callee"]._stream, *callee._accepted):
+        for end in (caller._connections["callee"]._stream, *callee._accepted):
             flag = end._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             self.assertNotEqual(0, flag)
 
@@ -346,7 +346,7 @@
         stranger = self.start("stranger", **write("foreign", foreign))
         stranger.set_targets({"callee": ("127.0.0.1", callee.port)})
         gevent.sleep(0.4)
-        self.assertIsNone(stranger._links["callee"]._outbox)
+        self.assertIsNone(stranger._connections["callee"]._outbox)
 
     def test_a_warning_says_that_streams_are_not_encrypted(self):
         self.start("plain")
--- a/test/test_search.py
+++ b/test/test_search.py
@@ -17,7 +17,9 @@
 class SearchTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.stored = self.view = layout.View(layout.Layout(current=5, former=(2,)), 1)
+        self.stored = self.view = layout.VersionedLayout(
+            layout.Layout(current=5, former=(2,)), 1
+        )
         self.asked = []
 
     def reread(self):
@@ -34,7 +36,7 @@
 
     def test_work_that_moves_between_the_questions_is_found(self):
         # Guards against `NotFound` for a job that is handed over meanwhile.
-        first, second = self.view.layout.numbers_of(NAME)
+        first, second = self.view.layout.possible_partitions(NAME)
         found = self.find(lambda: first if len(self.asked) > 2 else second)
         self.assertEqual(second, found)
         self.asked.clear()
@@ -43,8 +45,8 @@
 
     def test_a_change_that_was_not_known_here_begins_another_round(self):
         # Guards against `NotFound` under a former number.
-        self.stored = layout.View(layout.Layout(current=3, former=(2, 5)), 2)
-        accepting = self.stored.layout.number_of(NAME)
+        self.stored = layout.VersionedLayout(layout.Layout(current=3, former=(2, 5)), 2)
+        accepting = self.stored.layout.partition_of(NAME)
         self.assertEqual(accepting, self.find(lambda: accepting))
         self.assertEqual(UNKNOWN, self.find(lambda: None))
 
--- a/test/test_transitions.py
+++ b/test/test_transitions.py
@@ -4,20 +4,20 @@
 from toucanspring.cell import ownership, transitions
 from toucanspring.reporting import event_kinds
 
-HELD = ownership.Standing.HELD
-EXTENDED = ownership.Standing.EXTENDED
-NARROWED = ownership.Standing.NARROWED
+HELD = ownership.LeaseState.HELD
+EXTENDED = ownership.LeaseState.EXTENDED
+NARROWED = ownership.LeaseState.NARROWED
 
 
 class TransitionsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.transitions = transitions.Transitions()
+        self.transitions = transitions.TransitionDetector()
         self.now = 0.0
 
     def look(self, standing=HELD, partitions=2, age_s=0.1, seconds=0.5):
         self.now += seconds
-        return self.transitions.look(standing, partitions, age_s, self.now)
+        return self.transitions.update(standing, partitions, age_s, self.now)
 
     def test_each_change_of_standing_is_told_once(self):
         self.assertEqual([], self.look())
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -202,7 +202,7 @@
         self, request: Request, number: int | None, left_s: float
     ) -> Answer | errors.Failure:
         if number is None:
-            number = self._kernel.find("layout").layout.number_of(request.id)
+            number = self._kernel.find("layout").layout.partition_of(request.id)
         owner_of = self._kernel.find("claims").owner_of
         owner = owner_of(number)
         if isinstance(owner, errors.Failure):
@@ -381,7 +381,7 @@
             received += chunk
     except (StopIteration, msgspec.MsgspecError) as error:
         return errors.Ambiguous(reason=f"the owner's answer has no head: {error}")
-    except rpc.StreamBroken as error:
+    except rpc.StreamBrokenError as error:
         return errors.Ambiguous(reason=f"the owner's answer broke: {error}")
     if len(received) != head.length:
         return errors.Ambiguous(reason="the owner's answer is incomplete")
--- a/toucanspring/cell/assignment.py
+++ b/toucanspring/cell/assignment.py
@@ -36,7 +36,7 @@
     return preferred
 
 
-class Preferences:
+class PreferredOwnersCache:
     """Keep the preferred owners until the partitions or the candidates change."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self._candidates: list[str] = []
         self._preferred: dict[int, str] = {}
 
-    def among(self, partitions: int, candidates: list[str]) -> dict[int, str]:
+    def get(self, partitions: int, candidates: list[str]) -> dict[int, str]:
         """Return the preferred owner of each partition among some processes."""
         if (self._partitions, self._candidates) != (partitions, candidates):
             self._partitions, self._candidates = partitions, candidates
--- a/toucanspring/cell/claims.py
+++ b/toucanspring/cell/claims.py
@@ -31,7 +31,7 @@
 # together come back one after the other.
 REBALANCE_AFTER_S = 10.0
 # How long a release waits for listeners to write what is pending.
-DELIVERY_LIMIT_S = 10.0
+DELIVERY_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Holding:
+class OwnedPartition:
     """Hold one own partition."""
 
     epoch: int
@@ -73,42 +73,42 @@
     former: list[list[str]]  # empty once all former owners are gone
 
 
-class Service(member_rows.Guard):
+class Service(member_rows.RenewalHooks):
     """Claim, keep and release partitions."""
 
     def __init__(self, kernel: object, settings: object) -> None:
         del settings
         self._kernel = kernel
-        self._holdings: dict[int, Holding] = {}
-        self._rows: dict[int, ownership_rows.KnownRow] = {}
+        self._owned: dict[int, OwnedPartition] = {}
+        self._rows: dict[int, ownership_rows.VersionedRow] = {}
         self._claimable_since: dict[int, float] = {}
-        self._uneven_since: float | None = None
-        self._preferred = assignment.Preferences()
+        self._unbalanced_since: float | None = None
+        self._preferred = assignment.PreferredOwnersCache()
         # A listener may write the log of a partition and wait for the store, which must
         # not hold up renewals and polls.
         self._deliveries = deliveries.Deliveries(kernel)
         self._members: membership.Service | None = None
         self._layout: layout.Service | None = None
         # A partition for which this is true is not handed over to even out.
-        self.holds_back: Callable[[int], bool] = lambda _partition: False
+        self.is_pinned: Callable[[int], bool] = lambda _partition: False
 
     def start(self) -> None:
         """Follow the ownership rows; claims are made after each poll."""
         self._deliveries.start()
         self._members = self._kernel.find("membership")
         self._layout = self._kernel.find("layout")
-        self._members.own.guard = self
-        self._members.on_heartbeat(self._take_heartbeat)
+        self._members.local_member.hooks = self
+        self._members.on_heartbeat(self._handle_heartbeat)
         self._members.watch(
             lambda: [
                 ownership_rows.key_of(partition) for partition in range(self._count)
             ],
-            self._take_rows,
+            self._handle_rows,
         )
 
     def stop(self) -> None:
         """Release all partitions."""
-        self._release(list(self._holdings), "stopping")
+        self._release(list(self._owned), "stopping")
         self._deliveries.stop()
 
     # Interface
@@ -119,9 +119,7 @@
 
     def owned(self) -> dict[int, int]:
         """Return the epoch of each own partition."""
-        return {
-            partition: holding.epoch for partition, holding in self._holdings.items()
-        }
+        return {partition: owned.epoch for partition, owned in self._owned.items()}
 
     def owner_of(self, partition: int) -> Owner | errors.NotFound:
         """Return the owner of a partition, as last read or heard from the owner."""
@@ -139,8 +137,8 @@
 
     def may_start(self, partition: int, now: float) -> bool:
         """Return whether tasks of an own partition may be started."""
-        return partition in self._holdings and (
-            self._members.standing(now) is not ownership.Standing.NARROWED
+        return partition in self._owned and (
+            self._members.lease_state(now) is not ownership.LeaseState.NARROWED
         )
 
     def may_renew_workers(self, partition: int, now: float) -> bool:
@@ -149,74 +147,74 @@
 
     def row_version(self, partition: int) -> int:
         """Return the version of the ownership row, for checks in transactions."""
-        holding = self._holdings.get(partition)
+        owned = self._owned.get(partition)
         # No row ever has version -1, so a check for a lost partition always fails.
-        return holding.version if holding else -1
+        return owned.version if owned else -1
 
     def previous_owner_gone(self, partition: int, now: float) -> bool:
         """Return whether no former owner can extend its ownership any more.
 
         A worker that it renewed last may still run tasks for its lease from then on.
         """
-        holding = self._holdings.get(partition)
-        if holding is None:
+        owned = self._owned.get(partition)
+        if owned is None:
             return False
-        if holding.former:
-            quiet = self._members.quiet()
-            holding.former = [
+        if owned.former:
+            promise_free = self._members.promise_free()
+            owned.former = [
                 members
-                for members in holding.former
-                if not ownership.lost_majority(
-                    members, quiet, holding.claimed_at, now, self._members.timing
+                for members in owned.former
+                if not ownership.extension_ended(
+                    members, promise_free, owned.claimed_at, now, self._members.timing
                 )
             ]
-        return not holding.former
+        return not owned.former
 
-    def release(self, partition: int, why: str = "fenced") -> None | errors.Failure:
+    def release(self, partition: int, reason: str = "fenced") -> None | errors.Failure:
         """Hand over a partition; `PartitionLost` is delivered before the row changes.
 
         If the store does not answer, the successor waits for the lease instead.
         """
-        return self._release([partition] if partition in self._holdings else [], why)
+        return self._release([partition] if partition in self._owned else [], reason)
 
-    def _release(self, partitions: list[int], why: str) -> None | errors.Failure:
+    def _release(self, partitions: list[int], reason: str) -> None | errors.Failure:
         """Release partitions in one transaction; a slow store delays it only once."""
         if not partitions:
             return None
         checks, rows, delivered = {}, {}, []
         for partition in partitions:
-            holding = self._holdings[partition]
+            owned = self._owned[partition]
             self.previous_owner_gone(partition, self._members.clock())
-            checks[ownership_rows.key_of(partition)] = holding.version
+            checks[ownership_rows.key_of(partition)] = owned.version
             rows[partition] = ownership_rows.PartitionRow(
-                epoch=holding.epoch, former=holding.former
+                epoch=owned.epoch, former=owned.former
             )
-            delivered.append(self._lose(partition))
+            delivered.append(self._remove(partition))
             self._kernel.publish(
-                event_kinds.PartitionReleased(partition, holding.epoch, why)
+                event_kinds.PartitionReleased(partition, owned.epoch, reason)
             )
-        gevent.wait(delivered, timeout=DELIVERY_LIMIT_S)
+        gevent.wait(delivered, timeout=DELIVERY_TIMEOUT_S)
         writes = {
             ownership_rows.key_of(p): ownership_rows.encode(row)
             for p, row in rows.items()
         }
-        result = self._members.own.write(checks, writes)
+        result = self._members.local_member.write(checks, writes)
         if isinstance(result, errors.Failure):
             log.warning("partitions {} are not released: {}", partitions, result.reason)
             return result
         for partition, row in rows.items():
-            self._rows[partition] = ownership_rows.KnownRow(
+            self._rows[partition] = ownership_rows.VersionedRow(
                 result.versions[ownership_rows.key_of(partition)], row
             )
         return None
 
     # Guard of renewals
 
-    def checks(self) -> dict[str, int]:
+    def expected_versions(self) -> dict[str, int]:
         """Return the versions of the ownership rows of own partitions."""
         return {
-            ownership_rows.key_of(partition): holding.version
-            for partition, holding in self._holdings.items()
+            ownership_rows.key_of(partition): owned.version
+            for partition, owned in self._owned.items()
         }
 
     def settled(self) -> list[int]:
@@ -224,34 +222,34 @@
         now = self._members.clock()
         return [
             partition
-            for partition in self._holdings
+            for partition in self._owned
             if self.previous_owner_gone(partition, now)
         ]
 
-    def recheck(self, rows: Mapping[str, tables.Row]) -> None:
+    def handle_conflict(self, rows: Mapping[str, tables.Row]) -> None:
         """Give up each partition whose ownership row was changed or deleted."""
-        self._give_up(
-            lambda holding, row: row is not None and row.version != holding.version,
+        self._drop_changed(
+            lambda owned, row: row is not None and row.version != owned.version,
             rows,
         )
 
-    def named(self) -> set[str] | None:
+    def recorded_owners(self) -> set[str] | None:
         """Return the processes in ownership rows; `None` if not all rows are known."""
         if any(number not in self._rows for number in range(self._count)):
             return None
         return {known.row.process for known in self._rows.values() if known.row.process}
 
-    def _give_up(
+    def _drop_changed(
         self,
-        changed: Callable[[Holding, tables.Row | None], bool],
+        changed: Callable[[OwnedPartition, tables.Row | None], bool],
         rows: Mapping[str, tables.Row],
     ) -> None:
-        for partition, holding in list(self._holdings.items()):
-            if changed(holding, rows.get(ownership_rows.key_of(partition))):
+        for partition, owned in list(self._owned.items()):
+            if changed(owned, rows.get(ownership_rows.key_of(partition))):
                 log.warning("partition {} was claimed by another process", partition)
-                self._end(partition, holding)
+                self._drop(partition, owned)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, sender: str, message: heartbeat.Heartbeat, _echoed_at: float
     ) -> None:
         """Give up each partition that another process owns under a later epoch.
@@ -260,22 +258,22 @@
         only. Until then it kept callers waiting for a log that it could not write.
         """
         for partition, epoch in message.owned.items():
-            holding = self._holdings.get(partition)
-            if holding is not None and holding.epoch < epoch:
+            owned = self._owned.get(partition)
+            if owned is not None and owned.epoch < epoch:
                 log.warning("partition {} was claimed by {}", partition, sender)
-                self._end(partition, holding)
+                self._drop(partition, owned)
 
-    def _end(self, partition: int, holding: Holding) -> None:
-        self._lose(partition, superseded=True)
-        self._kernel.publish(event_kinds.OwnershipEnded(partition, holding.epoch))
+    def _drop(self, partition: int, owned: OwnedPartition) -> None:
+        self._remove(partition, superseded=True)
+        self._kernel.publish(event_kinds.OwnershipEnded(partition, owned.epoch))
 
     # Claims
 
-    def _lose(self, partition: int, superseded: bool = False) -> event.Event:
-        del self._holdings[partition]
+    def _remove(self, partition: int, superseded: bool = False) -> event.Event:
+        del self._owned[partition]
         return self._deliveries.publish(PartitionLost(partition, superseded))
 
-    def _take_rows(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
+    def _handle_rows(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
         del sent_at
         for key, row in rows.items():
             partition = int(key.removeprefix(ownership_rows.PREFIX))
@@ -283,10 +281,10 @@
             last = self._rows.get(partition)
             if current is None or (last is not None and row.version < last.version):
                 continue
-            self._rows[partition] = ownership_rows.KnownRow(row.version, current)
+            self._rows[partition] = ownership_rows.VersionedRow(row.version, current)
         # These rows may have been read before an own claim, so only newer ones count.
-        self._give_up(
-            lambda holding, row: row is not None and row.version > holding.version,
+        self._drop_changed(
+            lambda owned, row: row is not None and row.version > owned.version,
             rows,
         )
         self._release_surplus()
@@ -295,7 +293,7 @@
 
     def _release_surplus(self) -> None:
         """Give up partitions that hold nothing after the number has shrunk."""
-        surplus = [number for number in self._holdings if number >= self._count]
+        surplus = [number for number in self._owned if number >= self._count]
         if surplus:
             log.info("releasing partitions {}, which are not used any more", surplus)
             self._release(surplus)
@@ -307,12 +305,12 @@
         members = self._members
         now = members.clock()
         candidates = members.candidates()
-        preferred = self._preferred.among(self._count, candidates)
+        preferred = self._preferred.get(self._count, candidates)
         own = members.identity.process
         if own not in candidates:
             return
         for partition in range(self._count):
-            if partition in self._holdings or partition not in self._rows:
+            if partition in self._owned or partition not in self._rows:
                 continue
             if not self._is_claimable(partition, now):
                 self._claimable_since.pop(partition, None)
@@ -330,10 +328,12 @@
         own = members.identity
         if (row.process, row.incarnation) == (own.process, own.incarnation):
             return True  # an own claim whose answer was lost
-        silent = not row.process or ownership.is_silent(
-            members.sightings.get(row.process), row.incarnation, now, members.timing
+        silent = not row.process or ownership.is_lease_expired(
+            members.observations.get(row.process), row.incarnation, now, members.timing
+        )
+        return ownership.may_claim(
+            silent, members.local_member.promised_at, now, members.timing
         )
-        return ownership.may_claim(silent, members.own.promised_at, now, members.timing)
 
     def _claim(self, partition: int) -> None:
         known = self._rows[partition]
@@ -344,7 +344,7 @@
             process=own.process,
             incarnation=own.incarnation,
             epoch=row.epoch + 1,
-            former=former_owners.member_lists(members, partition, row),
+            former=former_owners.former_member_lists(members, partition, row),
         )
         checks = {ownership_rows.key_of(partition): known.version}
         if row.process and row.process != own.process:
@@ -352,20 +352,20 @@
             seen = members.rows.get(row.process)
             checks[member_rows.key_of(row.process)] = seen[0] if seen else 0
         writes = {ownership_rows.key_of(partition): ownership_rows.encode(claim)}
-        result = members.own.write(checks, writes, claim=True)
+        result = members.local_member.write(checks, writes, claim=True)
         if isinstance(result, errors.Failure):
             log.info("no claim of partition {}: {}", partition, result.reason)
             return
         version = result.versions[ownership_rows.key_of(partition)]
-        self._rows[partition] = ownership_rows.KnownRow(version, claim)
+        self._rows[partition] = ownership_rows.VersionedRow(version, claim)
         self._claimable_since.pop(partition, None)
-        self._holdings[partition] = Holding(
+        self._owned[partition] = OwnedPartition(
             claim.epoch, version, members.clock(), claim.former
         )
         log.info("claimed partition {} with epoch {}", partition, claim.epoch)
-        why = former_owners.explain_claim(row, own)
+        reason = former_owners.explain_claim(row, own)
         self._kernel.publish(
-            event_kinds.PartitionClaimed(partition, claim.epoch, row.process, why)
+            event_kinds.PartitionClaimed(partition, claim.epoch, row.process, reason)
         )
         self._deliveries.publish(PartitionAcquired(partition, claim.epoch))
 
@@ -375,18 +375,18 @@
         candidates = members.candidates()
         now = members.clock()
         limit = -(-self._count // max(len(candidates), 1))
-        if len(self._holdings) <= limit or len(self._rows) < self._count:
-            self._uneven_since = None
+        if len(self._owned) <= limit or len(self._rows) < self._count:
+            self._unbalanced_since = None
             return
-        if self._uneven_since is None:
-            self._uneven_since = now
-        if now - self._uneven_since < REBALANCE_AFTER_S:
+        if self._unbalanced_since is None:
+            self._unbalanced_since = now
+        if now - self._unbalanced_since < REBALANCE_AFTER_S:
             return
-        self._uneven_since = now
-        preferred = self._preferred.among(self._count, candidates)
+        self._unbalanced_since = now
+        preferred = self._preferred.get(self._count, candidates)
         own = members.identity.process
         foreign = [
-            p for p in self._holdings if preferred[p] != own and not self.holds_back(p)
+            p for p in self._owned if preferred[p] != own and not self.is_pinned(p)
         ]
         if foreign:
             log.info("handing partition {} to {}", foreign[0], preferred[foreign[0]])
--- a/toucanspring/cell/former_owners.py
+++ b/toucanspring/cell/former_owners.py
@@ -5,7 +5,7 @@
 from toucanspring.cell import membership, ownership_rows
 
 
-def member_lists(
+def former_member_lists(
     members: membership.Service, partition: int, row: ownership_rows.PartitionRow
 ) -> list[list[str]]:
     """Return the member lists of owners that may still extend after a claim."""
--- a/toucanspring/cell/freshness.py
+++ b/toucanspring/cell/freshness.py
@@ -15,7 +15,7 @@
 MAX_AGE_S = 1.5
 # Promises count no longer than a view that was read: a member may confirm a change
 # right after its promise.
-LIMITS = ownership.Timing(lease_s=MAX_AGE_S, promise_s=MAX_AGE_S)
+VIEW_TIMING = ownership.Timing(lease_s=MAX_AGE_S, promise_s=MAX_AGE_S)
 
 
 class Versions(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -51,7 +51,7 @@
     )
 
 
-def confirm(view: View, head: Versions, sent_at: float) -> View:
+def confirm_by_head(view: View, head: Versions, sent_at: float) -> View:
     """Take in a head read that was requested at `sent_at`.
 
     A head that is older than the view is stale and confirms nothing.
@@ -61,7 +61,7 @@
     return dataclasses.replace(view, confirmed_at=sent_at)
 
 
-def vouch(
+def confirm_by_peer(
     view: View, versions: Versions, age_s: float, echoed_at: float, drift: float
 ) -> View:
     """Take in a peer's view; its age counts back from the echoed own clock.
@@ -76,19 +76,19 @@
     return dataclasses.replace(view, confirmed_at=confirmed_at)
 
 
-def renew(currency: ownership.Tenure, confirmed_at: float) -> ownership.Tenure:
+def renew(validity: ownership.Lease, confirmed_at: float) -> ownership.Lease:
     """Let a view count as the latest for `MAX_AGE_S` since it was known to be so."""
-    return ownership.renew(currency, confirmed_at, LIMITS)
+    return ownership.renew(validity, confirmed_at, VIEW_TIMING)
 
 
 def extend(
-    currency: ownership.Tenure,
+    validity: ownership.Lease,
     view: View,
     lists: Collection[Collection[str]],
     promises: Mapping[str, float],
     known: Mapping[str, Versions],
     now: float,
-) -> ownership.Tenure:
+) -> ownership.Lease:
     """Let a view count as the latest while a majority cannot reach the store.
 
     `known` holds the versions of the witnesses: members that have read the head row
@@ -101,7 +101,7 @@
     standing = {
         name: at for name, at in promises.items() if known.get(name) == view.versions
     }
-    return ownership.extend(currency, lists, standing, now, LIMITS)
+    return ownership.extend(validity, lists, standing, now, VIEW_TIMING)
 
 
 def is_accepted(
--- a/toucanspring/cell/heartbeat.py
+++ b/toucanspring/cell/heartbeat.py
@@ -1,6 +1,6 @@
 """Heartbeats between processes and what can be concluded from them.
 
-`Ledger` has no I/O and takes time as an argument.
+`PeerTracker` has no I/O and takes time as an argument.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from toucanspring.scheduling import need
 
 REACHABLE_S = 2.0
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
@@ -32,9 +32,9 @@
     view_age_ms: int
     # The sender has read the head row itself since it started, so that it knows each
     # change that it has ever confirmed.
-    witness: bool
+    has_read_head: bool
     promise: bool
-    quiet_ms: int  # time without a promise, at most the time since the start
+    promise_free_ms: int  # time without a promise, at most the time since the start
     owned: dict[int, int]  # partition -> epoch
     free: resources.Resources = resources.ZERO
     draining: bool = False
@@ -62,11 +62,11 @@
 
 def to_clock(now: float) -> int:
     """Return monotonic seconds as the clock of a heartbeat."""
-    return int(now * MICROSECONDS)
+    return int(now * MICROSECONDS_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
-class Peer:
+class PeerState:
     """Hold the latest heartbeat of one process."""
 
     message: Heartbeat
@@ -74,19 +74,19 @@
     echoed_at: float = ownership.NEVER
 
 
-class Ledger:
+class PeerTracker:
     """Keep what the heartbeats of the other processes prove."""
 
     def __init__(self, incarnation: int, timing: ownership.Timing) -> None:
         self.incarnation = incarnation
         self.timing = timing
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, PeerState] = {}
         self.promises: dict[str, float] = {}
         # Versions known to the promising members that are witnesses.
         self.promised_versions: dict[str, freshness.Versions] = {}
-        self.quiet: dict[str, ownership.Quiet] = {}
+        self.promise_free: dict[str, ownership.PromiseFreeInterval] = {}
 
-    def take(self, process: str, message: Heartbeat, now: float) -> bool:
+    def record(self, process: str, message: Heartbeat, now: float) -> bool:
         """Take in a heartbeat; return whether it is news.
 
         A duplicate or a heartbeat overtaken by a later one is dropped: its promise
@@ -97,9 +97,9 @@
             same = last.message.incarnation == message.incarnation
             if same and message.clock <= last.message.clock:
                 return False
-        peer = Peer(message, now)
+        peer = PeerState(message, now)
         self.peers[process] = peer
-        echoed_at = message.echo / MICROSECONDS
+        echoed_at = message.echo / MICROSECONDS_PER_S
         # An echo of an earlier incarnation is a value of another clock.
         if message.echo_incarnation != self.incarnation or not 0 < echoed_at <= now:
             self._forget(process)
@@ -108,21 +108,21 @@
         if message.promise:
             self.promises[process] = echoed_at
             self.promised_versions.pop(process, None)
-            if message.witness:
+            if message.has_read_head:
                 self.promised_versions[process] = message.versions
-            self.quiet.pop(process, None)
+            self.promise_free.pop(process, None)
         else:
             # A member with store access withdraws its promise: counting it on would
             # be allowed but of no use, since that member may claim soon.
             self.promises.pop(process, None)
-            self.quiet[process] = ownership.quiet_interval(
-                echoed_at, now, message.quiet_ms / 1000, self.timing
+            self.promise_free[process] = ownership.promise_free_interval(
+                echoed_at, now, message.promise_free_ms / 1000, self.timing
             )
         return True
 
     def _forget(self, process: str) -> None:
         self.promises.pop(process, None)
-        self.quiet.pop(process, None)
+        self.promise_free.pop(process, None)
 
     def reachable(self, now: float) -> set[str]:
         """Return the processes with a recent heartbeat."""
--- a/toucanspring/cell/layout.py
+++ b/toucanspring/cell/layout.py
@@ -23,7 +23,7 @@
 ROW = "layout"
 # Each former number may cost one question for each new ID.
 MAX_FORMER = 3
-CHANGE_LIMIT_S = 5.0
+CHANGE_TIMEOUT_S = 5.0
 # Each look-up of an unknown ID needs a read. 20 reads a second leave the store to the
 # others even if all of 16 processes of a region get such look-ups without end.
 READ_INTERVAL_S = 0.05
@@ -48,18 +48,18 @@
         """Return how many partitions need an owner."""
         return max(self.current, *self.former, 1)
 
-    def number_of(self, name: str) -> int:
+    def partition_of(self, name: str) -> int:
         """Return the partition that accepts a job or request ID."""
         return job.partition_of(name, self.current)
 
-    def numbers_of(self, name: str) -> list[int]:
+    def possible_partitions(self, name: str) -> list[int]:
         """Return the partitions that may hold an ID, the accepting one first."""
         counts = (self.current, *self.former)
         return list(dict.fromkeys(job.partition_of(name, each) for each in counts))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class VersionedLayout:
     """Pair a layout with the version of its row, which transactions check."""
 
     layout: Layout
@@ -77,7 +77,7 @@
 _decoder = msgspec.msgpack.Decoder(Layout)
 
 
-def with_number(
+def with_partition_count(
     present: Layout, number: int, change: str, operator: str
 ) -> Layout | errors.Refused:
     """Return the layout after a change of the number of partitions."""
@@ -95,7 +95,7 @@
     )
 
 
-def without(present: Layout, ended: set[int]) -> Layout:
+def without_former(present: Layout, ended: set[int]) -> Layout:
     """Return the layout without former numbers that hold no work any more."""
     return msgspec.structs.replace(
         present,
@@ -118,11 +118,11 @@
         self._shared = shared_read.SharedRead(self._read, READ_INTERVAL_S)
         self._resizable = getattr(options, "moves", "on") == "on"
         # Applies until the row exists.
-        self.view = View(Layout(current=options.partitions), 0)
+        self.view = VersionedLayout(Layout(current=options.partitions), 0)
 
     def start(self) -> None:
         """Follow the row with the shared poll."""
-        self._kernel.find("membership").watch(lambda: [ROW], self._take_rows)
+        self._kernel.find("membership").watch(lambda: [ROW], self._handle_rows)
 
     def stop(self) -> None:
         """Do nothing; the poll belongs to `membership`."""
@@ -140,10 +140,10 @@
         rows = self._tables.read([ROW])
         if isinstance(rows, errors.Failure):
             return rows
-        self.take(rows[ROW])
+        self.apply_row(rows[ROW])
         return None
 
-    def take(self, row: tables.Row) -> None:
+    def apply_row(self, row: tables.Row) -> None:
         """Take in a row unless a later version is known."""
         if row.version <= self.view.version:
             return
@@ -152,7 +152,7 @@
         except msgspec.MsgspecError as error:
             log.error("row {} is malformed: {}", ROW, error)
             return
-        self.view = View(found, row.version)
+        self.view = VersionedLayout(found, row.version)
         log.info(
             "{} partitions, former numbers {} (generation {})",
             found.current,
@@ -176,13 +176,13 @@
             lambda present: (
                 present
                 if number == present.current and present.generation == expected
-                else with_number(present, number, name, operator)
+                else with_partition_count(present, number, name, operator)
             ),
             expected,
             name,
         )
 
-    def release(
+    def remove_former(
         self, ended: set[int], expected: int, checks: Mapping[str, int]
     ) -> None | errors.Failure:
         """Remove former numbers that hold no work, if nothing was changed since.
@@ -192,10 +192,10 @@
         view = self.view
         if view.layout.generation != expected:
             return errors.Conflict(reason="the number of partitions was changed")
-        value = _encode(without(view.layout, ended))
+        value = _encode(without_former(view.layout, ended))
         answer = self._tables.transact({**checks, ROW: view.version}, {ROW: value}, ())
         if isinstance(answer, tables.Committed):
-            self.take(tables.Row(answer.versions[ROW], value))
+            self.apply_row(tables.Row(answer.versions[ROW], value))
             return None
         return answer
 
@@ -205,8 +205,8 @@
     def _tables(self) -> tables.TableClient:
         return self._kernel.find("store").tables
 
-    def _take_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
-        self.take(rows[ROW])
+    def _handle_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
+        self.apply_row(rows[ROW])
 
     def _write(
         self,
@@ -219,7 +219,7 @@
         Each attempt checks the version that was read, so no earlier attempt can take
         effect after a later one, or after any other change.
         """
-        deadline = self._clock() + CHANGE_LIMIT_S
+        deadline = self._clock() + CHANGE_TIMEOUT_S
         lost: errors.Ambiguous | None = None
         while True:
             result = self._attempt(plan, expected, name)
@@ -261,6 +261,6 @@
         value = _encode(planned)
         answer = self._tables.transact({ROW: version}, {ROW: value}, ())
         if isinstance(answer, tables.Committed):
-            self.take(tables.Row(answer.versions[ROW], value))
+            self.apply_row(tables.Row(answer.versions[ROW], value))
             return planned
         return answer
--- a/toucanspring/cell/member_removal.py
+++ b/toucanspring/cell/member_removal.py
@@ -25,9 +25,9 @@
     """What this process knows of the others."""
 
     identity: member_rows.Member
-    own: member_rows.OwnRow
+    local_member: member_rows.LocalMember
     timing: ownership.Timing
-    sightings: dict[str, ownership.Sighting]
+    observations: dict[str, ownership.Observation]
     rows: dict[str, tuple[int, member_rows.MemberRow]]
 
     def clock(self) -> float:
@@ -39,7 +39,7 @@
     def candidates(self) -> list[str]:
         """Return the processes that may own partitions, sorted."""
 
-    def quiet(self) -> dict[str, ownership.Quiet]:
+    def promise_free(self) -> dict[str, ownership.PromiseFreeInterval]:
         """Return the processes that have promised to claim nothing."""
 
     def read_members(self) -> None | errors.Failure:
@@ -90,13 +90,13 @@
     """Return whether a process was heard, or renewed within its lease."""
     if process in members.reachable():
         return True
-    sighting = members.sightings.get(process)
-    if sighting is None or sighting.counter != row.counter:
+    observation = members.observations.get(process)
+    if observation is None or observation.counter != row.counter:
         return True
     incarnation, now = row.member.incarnation, members.clock()
-    if sighting.incarnation != incarnation:
+    if observation.incarnation != incarnation:
         return True
-    return not ownership.is_silent(sighting, incarnation, now, members.timing)
+    return not ownership.is_lease_expired(observation, incarnation, now, members.timing)
 
 
 def delete_dead(members: Members, client: tables.TableClient) -> None:
@@ -107,16 +107,16 @@
     member that came back win.
     """
     live = members.candidates()
-    named = members.own.guard.named()
+    named = members.local_member.hooks.recorded_owners()
     if not live or live[0] != members.identity.process or named is None:
         return
     now = members.clock()
-    quiet = members.quiet()
+    promise_free = members.promise_free()
     timing = members.timing
     for name, (version, row) in list(members.rows.items()):
-        seen_at = members.sightings[name].counter_at
-        ended = ownership.lost_majority(
-            row.known, quiet, seen_at + timing.silence_s, now, timing
+        seen_at = members.observations[name].counter_seen_at
+        ended = ownership.extension_ended(
+            row.known, promise_free, seen_at + timing.lease_expiry_s, now, timing
         )
         if ended and now - seen_at >= DELETE_AFTER_S and name not in named:
             key = member_rows.key_of(name)
--- a/toucanspring/cell/member_rows.py
+++ b/toucanspring/cell/member_rows.py
@@ -17,9 +17,9 @@
 PREFIX = "members/"
 # Two polls without an answer; early enough that all members have promised before the
 # ownership lease ends.
-NO_ACCESS_S = 1.0
+STORE_UNREACHABLE_S = 1.0
 WRITE_ATTEMPTS = 3
-KEPT_FORMER = 3
+MAX_FORMER_LISTS = 3
 
 Rows = dict[str, tables.Row]
 
@@ -76,14 +76,14 @@
         return None
 
 
-class Guard:
+class RenewalHooks:
     """Rows that each renewal must find unchanged; `claims` replaces this default."""
 
-    def checks(self) -> dict[str, int]:
+    def expected_versions(self) -> dict[str, int]:
         """Return the versions of the ownership rows of own partitions."""
         return {}
 
-    def recheck(self, rows: Rows) -> None:
+    def handle_conflict(self, rows: Rows) -> None:
         """Take in the own ownership rows after a renewal found one changed."""
 
     def settled(self) -> list[int]:
@@ -94,12 +94,12 @@
         """Return the epoch of each own partition."""
         return {}
 
-    def named(self) -> set[str] | None:
+    def recorded_owners(self) -> set[str] | None:
         """Return the processes in ownership rows; `None` if not all rows are known."""
         return set()
 
 
-class OwnRow:
+class LocalMember:
     """Write the row of this process and hold what its answers prove.
 
     All writes go through `write`, so that a claim and a renewal with a lost answer
@@ -116,24 +116,24 @@
     ) -> None:
         self.identity = identity
         self.timing = timing
-        self.guard = Guard()
-        self.tenure = ownership.Tenure()
+        self.hooks = RenewalHooks()
+        self.lease = ownership.Lease()
         # Each member list that the row may contain; two after a lost answer.
-        self.lists: list[list[str]] = []
+        self.possible_member_lists: list[list[str]] = []
         self.draining = False
         self.replaced = False  # another incarnation has taken this process's name
         self.started_at = clock()
         # A former incarnation may have promised until just before the start.
         self.promised_at = self.started_at
-        self.answered_at = ownership.NEVER
+        self.last_contact_at = ownership.NEVER
         self.registered_at = -ownership.NEVER  # when the row was first written
         self._clock = clock
         self._client = client
-        self._known = known
+        self._list_members = known
         self._version = 0
         self._counter = 0
         self._former: dict[str, list[str]] = {}
-        self._claims_under_way = 0
+        self._claims_in_flight = 0
         self._claim_unresolved = False
         self._registered = False
         self._lock = lock.RLock()
@@ -145,35 +145,35 @@
 
     # Promises
 
-    def store_age(self, now: float) -> float:
+    def store_contact_age(self, now: float) -> float:
         """Return seconds since the last request that the store answered was sent."""
-        return now - max(self.answered_at, self.started_at)
+        return now - max(self.last_contact_at, self.started_at)
 
-    def answered(self, sent_at: float) -> None:
+    def record_contact(self, sent_at: float) -> None:
         """Note that the store answered a request sent at `sent_at`."""
-        self.answered_at = max(self.answered_at, sent_at)
+        self.last_contact_at = max(self.last_contact_at, sent_at)
 
-    def promise(self, now: float) -> bool:
+    def try_promise(self, now: float) -> bool:
         """Promise to claim nothing, if the store cannot be reached.
 
         A claim with a lost answer may still take effect until a later write of the own
         row, which the claim checks, has succeeded; until then there is no promise.
         """
-        if self.store_age(now) < NO_ACCESS_S:
+        if self.store_contact_age(now) < STORE_UNREACHABLE_S:
             return False
-        if self._claims_under_way or self._claim_unresolved:
+        if self._claims_in_flight or self._claim_unresolved:
             return False
         self.promised_at = now
         return True
 
     def extend(self, promises: dict[str, float], now: float) -> None:
         """Extend the tenure by promises of members."""
-        if self.tenure.ended:
+        if self.lease.ended:
             return
-        self.tenure = ownership.extend(
-            self.tenure, self.lists, promises, now, self.timing
+        self.lease = ownership.extend(
+            self.lease, self.possible_member_lists, promises, now, self.timing
         )
-        if self.tenure.ended:
+        if self.lease.ended:
             log.warning("ownership has ended: neither the store nor a majority answers")
 
     # Writes
@@ -192,16 +192,16 @@
         with self._lock:
             if self.replaced:
                 return errors.Fenced(reason="another process uses this name")
-            self._claims_under_way += claim
+            self._claims_in_flight += claim
             try:
                 return self._write(checks or {}, writes or {}, claim)
             finally:
-                self._claims_under_way -= claim
+                self._claims_in_flight -= claim
 
     def remove(self) -> None:
         """Delete the row at shutdown, unless an ownership row still needs it."""
         with self._lock:
-            named = self.guard.named()
+            named = self.hooks.recorded_owners()
             if not self._registered or self.replaced or named is None:
                 return
             if self.identity.process not in named:
@@ -218,13 +218,13 @@
                     return failure
             # The lock may have been waited for, with a promise made meanwhile.
             silent_s = self._clock() - self.promised_at
-            if claim and silent_s < self.timing.quiet_s:
+            if claim and silent_s < self.timing.promise_expiry_s:
                 return errors.Refused(reason="promised to claim nothing")
-            guarded = {self.key, *self.guard.checks()}
+            guarded = {self.key, *self.hooks.expected_versions()}
             result = self._attempt(checks, writes)
             if not isinstance(result, errors.Conflict) or result.key not in guarded:
                 return result
-            reread = self._reread()
+            reread = self._handle_conflict()
             if reread is not None:
                 return reread
         return result
@@ -236,42 +236,42 @@
         # and its lease counts from its own send time.
         self._counter += 1
         counter = self._counter
-        known = self._known()
+        known = self._list_members()
         row = MemberRow(
             member=self.identity,
             counter=counter,
             known=known,
-            settled=self.guard.settled(),
+            settled=self.hooks.settled(),
             draining=self.draining,
             former=self._former,
         )
-        if known not in self.lists:
-            self.lists.append(known)
+        if known not in self.possible_member_lists:
+            self.possible_member_lists.append(known)
         if writes:
             self._claim_unresolved = True
         sent_at = self._clock()
         result = self._client().transact(
-            {**self.guard.checks(), **checks, self.key: self._version},
+            {**self.hooks.expected_versions(), **checks, self.key: self._version},
             {**writes, self.key: _encoder.encode(row)},
         )
         if isinstance(result, errors.Ambiguous):
-            result = self._resolve(counter, result, writes)
+            result = self._resolve_ambiguous(counter, result, writes)
         match result:
             case tables.Committed(versions=versions):
                 self._version = versions[self.key]
-                self.lists = [known]
+                self.possible_member_lists = [known]
                 self._claim_unresolved = False
-                self.answered(sent_at)
+                self.record_contact(sent_at)
                 self.registered_at = min(self.registered_at, self._clock())
-                self.tenure = ownership.renew(self.tenure, sent_at, self.timing)
+                self.lease = ownership.renew(self.lease, sent_at, self.timing)
                 for key, value in writes.items():
                     if versions[key] == 0:
-                        return self._overtaken(key, value)
+                        return self._overwritten(key, value)
             case errors.Conflict():
-                self.answered(sent_at)
+                self.record_contact(sent_at)
         return result
 
-    def _resolve(
+    def _resolve_ambiguous(
         self, counter: int, lost: errors.Ambiguous, writes: dict[str, bytes]
     ) -> tables.Committed | errors.Failure:
         """Find out whether a transaction with a lost answer took effect.
@@ -295,7 +295,7 @@
         return tables.Committed({**versions, self.key: rows[self.key].version})
 
     @staticmethod
-    def _overtaken(key: str, value: bytes) -> errors.Conflict:
+    def _overwritten(key: str, value: bytes) -> errors.Conflict:
         return errors.Conflict(
             reason=f"row {key} of {len(value)} bytes was written and then changed",
             key=key,
@@ -307,20 +307,20 @@
         rows = self._client().read([self.key])
         if isinstance(rows, errors.Failure):
             return rows
-        self.answered(sent_at)
+        self.record_contact(sent_at)
         row = rows[self.key]
         previous = decode_row(row)
         if previous is not None and previous.member != self.identity:
-            kept = list(previous.former.items())[-KEPT_FORMER:]
+            kept = list(previous.former.items())[-MAX_FORMER_LISTS:]
             incarnation = str(previous.member.incarnation)
             self._former = {**dict(kept), incarnation: previous.known}
         self._version = row.version
         self._registered = True
         return None
 
-    def _reread(self) -> None | errors.Failure:
+    def _handle_conflict(self) -> None | errors.Failure:
         """Learn why a renewal conflicted."""
-        rows = self._client().read([self.key, *self.guard.checks()])
+        rows = self._client().read([self.key, *self.hooks.expected_versions()])
         if isinstance(rows, errors.Failure):
             return rows
         row = rows[self.key]
@@ -328,10 +328,10 @@
         if current is not None:
             if current.member.incarnation != self.identity.incarnation:
                 self.replaced = True
-                self.tenure = ownership.Tenure()
+                self.lease = ownership.Lease()
                 log.critical("another process uses the name {}", self.identity.process)
                 return errors.Fenced(reason="another process uses this name")
             self._counter = max(self._counter, current.counter)
         self._version = row.version
-        self.guard.recheck(rows)
+        self.hooks.handle_conflict(rows)
         return None
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -24,11 +24,11 @@
 log = logbook.Logger(__name__)
 
 # A member whose counter stands still this long is not counted for majorities.
-COUNTED_S = 10.0
+MEMBER_TIMEOUT_S = 10.0
 SCAN_EVERY_POLLS = 4
 # With polls of the store every 0.5 s, an age beyond this means that one was missed.
-CALM_AGE_S = 0.75
-MAX_CALM_INTERVAL_S = heartbeat.REACHABLE_S / 2
+STEADY_CONTACT_AGE_S = 0.75
+MAX_STEADY_INTERVAL_S = heartbeat.REACHABLE_S / 2
 SCAN_ROWS = 500
 
 Member = member_rows.Member
@@ -59,23 +59,23 @@
             settings.http_port,
             settings.availability_zone,
         )
-        self.own = member_rows.OwnRow(
+        self.local_member = member_rows.LocalMember(
             identity,
             self.timing,
             clock,
             lambda: self._tables,
             lambda: sorted(self.members()),
         )
-        self.ledger = heartbeat.Ledger(incarnation, self.timing)
-        self.sightings: dict[str, ownership.Sighting] = {}
+        self.peer_tracker = heartbeat.PeerTracker(incarnation, self.timing)
+        self.observations: dict[str, ownership.Observation] = {}
         self.rows: dict[str, tuple[int, member_rows.MemberRow]] = {}
         self.free_resources: Callable[[], resources.Resources] = lambda: resources.ZERO
         self.statements: Callable[[], dict[int, need.Statement]] = dict
         self._watches: list[tuple[Callable, Callable]] = []
         self._listeners: list[HeartbeatListener] = []
         self._polls = 0
-        self._left_out = False
-        self._reporter = transitions.Reporter(self, kernel)
+        self._skipped_last = False
+        self._reporter = transitions.TransitionReporter(self, kernel)
         self._greenlets = pool.Group()
 
     def start(self) -> None:
@@ -83,10 +83,10 @@
         peers = self._kernel.find("peers")
         peers.incarnation = self.identity.incarnation
         if not self._settings.peer_port:
-            self.own.identity = msgspec.structs.replace(
+            self.local_member.identity = msgspec.structs.replace(
                 self.identity, peer_port=peers.port
             )
-        peers.handle_notice("heartbeat", self._take_heartbeat)
+        peers.handle_notice("heartbeat", self._handle_heartbeat)
         self._greenlets.spawn(self._repeat, self._settings.renew_s, self._renew)
         self._greenlets.spawn(self._repeat, self._settings.poll_s, self.poll)
         self._greenlets.spawn(self._send_heartbeats)
@@ -94,12 +94,12 @@
     def stop(self) -> None:
         """Stop all loops and delete the own row, which tells the others at once."""
         self._greenlets.kill()
-        self.own.remove()
+        self.local_member.remove()
 
     def drain(self) -> None:
         """Tell the other processes that this one is about to stop."""
-        self.own.draining = True
-        self.own.write()
+        self.local_member.draining = True
+        self.local_member.write()
         self.send_heartbeats()
 
     # Interface
@@ -107,19 +107,19 @@
     @property
     def identity(self) -> Member:
         """Return this process."""
-        return self.own.identity
+        return self.local_member.identity
 
     @property
     def replaced(self) -> bool:
         """Return whether another process has taken this one's name."""
-        return self.own.replaced
+        return self.local_member.replaced
 
     def members(self) -> dict[str, Member]:
         """Return the processes that count as members, this one included."""
         found = {
             name: row.member
             for name, (_, row) in self.rows.items()
-            if self._counts(name) and not row.gone
+            if self._is_recent(name) and not row.gone
         }
         found[self.identity.process] = self.identity
         return found
@@ -131,27 +131,27 @@
             name
             for name, (_, row) in self.rows.items()
             if not (row.draining or row.gone)
-            and not ownership.is_silent(
-                self.sightings[name], row.member.incarnation, now, self.timing
+            and not ownership.is_lease_expired(
+                self.observations[name], row.member.incarnation, now, self.timing
             )
         }
         names.discard(self.identity.process)
-        if not self.own.draining:
+        if not self.local_member.draining:
             names.add(self.identity.process)
         return sorted(names)
 
-    def store_age(self, now: float) -> float:
+    def store_contact_age(self, now: float) -> float:
         """Return seconds since the last request that the store answered was sent."""
-        return self.own.store_age(now)
+        return self.local_member.store_contact_age(now)
 
     def reachable(self) -> set[str]:
         """Return the processes with a heartbeat within 2 s, this one included."""
-        return self.ledger.reachable(self.clock()) | {self.identity.process}
+        return self.peer_tracker.reachable(self.clock()) | {self.identity.process}
 
     def peer_states(self) -> dict[str, heartbeat.Heartbeat]:
         """Return the latest heartbeat of each reachable process."""
-        reachable = self.ledger.reachable(self.clock())
-        return {name: self.ledger.peers[name].message for name in reachable}
+        reachable = self.peer_tracker.reachable(self.clock())
+        return {name: self.peer_tracker.peers[name].message for name in reachable}
 
     def watch(
         self, keys: Callable[[], Iterable[str]], take: Callable[[Rows, float], None]
@@ -173,26 +173,28 @@
     def promises(self) -> dict[str, float]:
         """Return the promises of all members, this one's included."""
         now = self.clock()
-        found = dict(self.ledger.promises)
-        if self.own.promise(now):
+        found = dict(self.peer_tracker.promises)
+        if self.local_member.try_promise(now):
             found[self.identity.process] = now
         return found
 
-    def quiet(self) -> dict[str, ownership.Quiet]:
+    def promise_free(self) -> dict[str, ownership.PromiseFreeInterval]:
         """Return in which interval each member certainly sent no promise."""
         now = self.clock()
-        found = dict(self.ledger.quiet)
+        found = dict(self.peer_tracker.promise_free)
         for name, (_, row) in self.rows.items():
             if row.gone:
-                found[name] = ownership.Quiet(ownership.NEVER, now)
-        found[self.identity.process] = ownership.Quiet(self.own.promised_at, now)
+                found[name] = ownership.PromiseFreeInterval(ownership.NEVER, now)
+        found[self.identity.process] = ownership.PromiseFreeInterval(
+            self.local_member.promised_at, now
+        )
         return found
 
-    def standing(self, now: float) -> ownership.Standing:
+    def lease_state(self, now: float) -> ownership.LeaseState:
         """Return what this process may do as an owner."""
-        return ownership.judge(self.own.tenure, now)
+        return ownership.lease_state(self.local_member.lease, now)
 
-    def known_lists(self) -> dict[str, list[str]]:
+    def member_lists(self) -> dict[str, list[str]]:
         """Return the list in each member row, those of silent members included."""
         lists = {name: row.known for name, (_, row) in self.rows.items()}
         lists[self.identity.process] = sorted(self.members())
@@ -228,8 +230,8 @@
         if isinstance(rows, errors.Failure):
             return rows
         self._polls += 1
-        self.own.answered(sent_at)
-        self._take_rows(rows)
+        self.local_member.record_contact(sent_at)
+        self._handle_rows(rows)
         for keys, take in watched:
             take({key: rows[key] for key in keys}, sent_at)
         if scanning:
@@ -249,11 +251,11 @@
             if len(rows) < SCAN_ROWS:
                 break
             after = rows[-1].key
-        self.own.answered(sent_at)
-        self._take_rows(found)
+        self.local_member.record_contact(sent_at)
+        self._handle_rows(found)
         return None
 
-    def _take_rows(self, rows: Rows) -> None:
+    def _handle_rows(self, rows: Rows) -> None:
         received_at = self.clock()
         for key, row in rows.items():
             if not key.startswith(member_rows.PREFIX):
@@ -263,37 +265,42 @@
             if 0 < row.version < self.rows.get(name, (0, None))[0]:
                 continue
             current = member_rows.decode_row(row)
-            self.sightings[name] = ownership.observe(
-                self.sightings.get(name),
+            self.observations[name] = ownership.observe(
+                self.observations.get(name),
                 current.member.incarnation if current else 0,
                 current.counter if current else 0,
                 received_at,
             )
             if current is None:
                 self.rows.pop(name, None)
-                self.ledger.drop(name)
+                self.peer_tracker.drop(name)
             else:
                 self.rows[name] = (row.version, current)
         self._kernel.find("peers").set_targets(
             {
                 name: (row.member.address, row.member.peer_port)
                 for name, (_, row) in self.rows.items()
-                if name != self.identity.process and self._counts(name) and not row.gone
+                if name != self.identity.process
+                and self._is_recent(name)
+                and not row.gone
             }
         )
 
-    def _counts(self, name: str) -> bool:
+    def _is_recent(self, name: str) -> bool:
         """Return whether a member is recent enough to be counted for majorities.
 
         Without store access the list stays as it was last read.
         """
-        seen_at = self.sightings[name].counter_at
-        return max(self.own.answered_at, seen_at) - seen_at <= COUNTED_S
+        seen_at = self.observations[name].counter_seen_at
+        return (
+            max(self.local_member.last_contact_at, seen_at) - seen_at
+            <= MEMBER_TIMEOUT_S
+        )
 
     # Loops
 
     def _repeat(self, interval_s: float, work: Callable[[], object]) -> None:
-        on_pause = self._reporter.note_pause
+        on_pause = self._reporter.report_pause
         rounds.repeat(interval_s, work, self.clock, lambda: self.replaced, on_pause)
 
     def _renew(self) -> None:
@@ -301,7 +308,7 @@
         # would make it a majority of its own.
         if not self._polls:
             return
-        result = self.own.write()
+        result = self.local_member.write()
         if isinstance(result, errors.Failure):
             log.warning("renewal failed: {}", result.reason)
 
@@ -315,36 +322,41 @@
         """
         while True:
             try:
-                self.beat()
+                self.send_due_heartbeats()
             except Exception:
                 log.exception("heartbeats failed")
             wait_s = self._settings.heartbeat_s
-            lost_in_s = member_rows.NO_ACCESS_S - self.store_age(self.clock())
+            lost_in_s = member_rows.STORE_UNREACHABLE_S - self.store_contact_age(
+                self.clock()
+            )
             if 0 < lost_in_s < wait_s:
                 wait_s = lost_in_s + 0.001
             gevent.sleep(wait_s)
 
-    def beat(self) -> None:
+    def send_due_heartbeats(self) -> None:
         """Send heartbeats, every other time only while all is calm.
 
         Promises and views that others vouch for count from an echoed clock. As soon as
         any process may need them, all that hear of it send at the full rate.
         """
-        self._reporter.look()
-        self._left_out = not self._left_out and self.is_calm(self.clock())
-        if not self._left_out:
+        self._reporter.report_changes()
+        self._skipped_last = not self._skipped_last and self.is_steady(self.clock())
+        if not self._skipped_last:
             self.send_heartbeats()
 
-    def is_calm(self, now: float) -> bool:
+    def is_steady(self, now: float) -> bool:
         """Return whether all members are heard, read the store and promise nothing."""
         interval_s = 2 * self._settings.heartbeat_s
-        if interval_s > MAX_CALM_INTERVAL_S or self.store_age(now) > CALM_AGE_S:
+        if (
+            interval_s > MAX_STEADY_INTERVAL_S
+            or self.store_contact_age(now) > STEADY_CONTACT_AGE_S
+        ):
             return False
         names = self.members().keys() - {self.identity.process}
         messages = self.peer_states()
         return names <= messages.keys() and not any(
             messages[name].promise
-            or messages[name].view_age_ms > CALM_AGE_S * 1000
+            or messages[name].view_age_ms > STEADY_CONTACT_AGE_S * 1000
             or messages[name].draining
             for name in names
         )
@@ -355,7 +367,7 @@
         peers = self._kernel.find("peers")
         documents = self._kernel.find("documents")
         view = documents.view()
-        promise = self.own.promise(now)
+        promise = self.local_member.try_promise(now)
         message = heartbeat.Heartbeat(
             incarnation=self.identity.incarnation,
             clock=heartbeat.to_clock(now),
@@ -363,31 +375,31 @@
             echo_incarnation=0,
             versions=view.versions,
             view_age_ms=int(min(now - view.confirmed_at, 1e6) * 1000) + 1,
-            witness=documents.is_witness(),
+            has_read_head=documents.is_witness(),
             promise=promise,
-            quiet_ms=int((now - self.own.promised_at) * 1000),
-            owned=self.own.guard.owned(),
+            promise_free_ms=int((now - self.local_member.promised_at) * 1000),
+            owned=self.local_member.hooks.owned(),
             free=self.free_resources(),
-            draining=self.own.draining,
+            draining=self.local_member.draining,
             statements=self.statements(),
         )
         for name in self.members():
             if name != self.identity.process:
-                body = heartbeat.encode_for(message, *self.ledger.echo_for(name))
+                body = heartbeat.encode_for(message, *self.peer_tracker.echo_for(name))
                 peers.notify(name, "heartbeat", body)
-        self.own.extend(self.promises(), now)
+        self.local_member.extend(self.promises(), now)
         documents.extend(now)
 
-    def _take_heartbeat(self, sender: str, body: bytes) -> None:
+    def _handle_heartbeat(self, sender: str, body: bytes) -> None:
         message = heartbeat.decode(body)
         if isinstance(message, errors.Failure):
             log.warning("malformed heartbeat of {}: {}", sender, message.reason)
             return
         now = self.clock()
-        if not self.ledger.take(sender, message, now):
+        if not self.peer_tracker.record(sender, message, now):
             return
         if message.promise:
-            self.own.extend(self.promises(), now)
-        echoed_at = self.ledger.peers[sender].echoed_at
+            self.local_member.extend(self.promises(), now)
+        echoed_at = self.peer_tracker.peers[sender].echoed_at
         for listener in self._listeners:
             listener(sender, message, echoed_at)
--- a/toucanspring/cell/ownership.py
+++ b/toucanspring/cell/ownership.py
@@ -27,22 +27,22 @@
     extension_s: float = 1800.0
 
     @property
-    def extension_over_s(self) -> float:
+    def extension_expiry_s(self) -> float:
         """Return how long after a claim no former owner can be extended any more."""
         return (self.lease_s + self.extension_s) * (1 + self.drift)
 
     @property
-    def silence_s(self) -> float:
+    def lease_expiry_s(self) -> float:
         """Return how long a counter must stand still before a claim."""
         return self.lease_s * (1 + self.drift)
 
     @property
-    def quiet_s(self) -> float:
+    def promise_expiry_s(self) -> float:
         """Return how long after its last promise a member is certainly not counted."""
         return self.promise_s * (1 + self.drift)
 
 
-class Standing(enum.Enum):
+class LeaseState(enum.Enum):
     """What an owner may do with its partitions."""
 
     HELD = "held"  # the lease in the store is valid
@@ -51,23 +51,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tenure:
+class Lease:
     """Hold until when a process may act as owner without a further proof."""
 
-    lease_until: float = NEVER
+    granted_until: float = NEVER
     valid_until: float = NEVER
     ended: bool = True
 
 
-def renew(tenure: Tenure, sent_at: float, timing: Timing) -> Tenure:
+def renew(lease: Lease, sent_at: float, timing: Timing) -> Lease:
     """Count the lease from the moment a successful renewal was sent.
 
     Only a successful renewal, which reads the ownership rows, resumes an ended tenure.
     """
-    until = max(sent_at + timing.lease_s, tenure.lease_until)
-    return Tenure(
-        until, max(until, NEVER if tenure.ended else tenure.valid_until), False
-    )
+    until = max(sent_at + timing.lease_s, lease.granted_until)
+    return Lease(until, max(until, NEVER if lease.ended else lease.valid_until), False)
 
 
 def majority_since(members: Collection[str], promises: Mapping[str, float]) -> float:
@@ -89,12 +87,12 @@
 
 
 def extend(
-    tenure: Tenure,
+    lease: Lease,
     lists: Iterable[Collection[str]],
     promises: Mapping[str, float],
     now: float,
     timing: Timing,
-) -> Tenure:
+) -> Lease:
     """Move the end of a tenure with the promises known at `now`.
 
     `lists` holds each member list that the owner's row may contain: after a renewal
@@ -102,24 +100,24 @@
     has run out stays ended, even if promises arrive later: a successor may have
     concluded in between that this owner is gone.
     """
-    if tenure.ended or now >= tenure.valid_until:
-        return dataclasses.replace(tenure, ended=True)
+    if lease.ended or now >= lease.valid_until:
+        return dataclasses.replace(lease, ended=True)
     until = min(
         (majority_until(members, promises, timing) for members in lists), default=NEVER
     )
-    until = min(until, tenure.lease_until + timing.extension_s)
-    return dataclasses.replace(tenure, valid_until=max(tenure.valid_until, until))
+    until = min(until, lease.granted_until + timing.extension_s)
+    return dataclasses.replace(lease, valid_until=max(lease.valid_until, until))
 
 
-def judge(tenure: Tenure, now: float) -> Standing:
+def lease_state(lease: Lease, now: float) -> LeaseState:
     """Return what the owner may do at `now`."""
-    if tenure.ended or now >= tenure.valid_until:
-        return Standing.NARROWED
-    return Standing.HELD if now < tenure.lease_until else Standing.EXTENDED
+    if lease.ended or now >= lease.valid_until:
+        return LeaseState.NARROWED
+    return LeaseState.HELD if now < lease.granted_until else LeaseState.EXTENDED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighting:
+class Observation:
     """Hold when the present counter and incarnation of a member row were first read.
 
     Both times are those at which the answer arrived, hence later than the renewal.
@@ -127,65 +125,67 @@
 
     incarnation: int
     counter: int
-    counter_at: float
-    incarnation_at: float
+    counter_seen_at: float
+    incarnation_seen_at: float
 
 
 def observe(
-    last: Sighting | None, incarnation: int, counter: int, received_at: float
-) -> Sighting:
+    last: Observation | None, incarnation: int, counter: int, received_at: float
+) -> Observation:
     """Return the sighting after a read; an absent row has incarnation 0."""
     if last is None or last.incarnation != incarnation:
-        return Sighting(incarnation, counter, received_at, received_at)
+        return Observation(incarnation, counter, received_at, received_at)
     if last.counter != counter:
-        return dataclasses.replace(last, counter=counter, counter_at=received_at)
+        return dataclasses.replace(last, counter=counter, counter_seen_at=received_at)
     return last
 
 
-def is_silent(
-    sighting: Sighting | None, incarnation: int, now: float, timing: Timing
+def is_lease_expired(
+    observation: Observation | None, incarnation: int, now: float, timing: Timing
 ) -> bool:
     """Return whether the owner with this incarnation has certainly lost its lease.
 
     If the row shows another incarnation, the owner's renewals fail since that was
     first seen.
     """
-    if sighting is None:
+    if observation is None:
         return False
-    same = sighting.incarnation == incarnation
-    since = sighting.counter_at if same else sighting.incarnation_at
-    return now - since >= timing.silence_s
+    same = observation.incarnation == incarnation
+    since = observation.counter_seen_at if same else observation.incarnation_seen_at
+    return now - since >= timing.lease_expiry_s
 
 
 def may_claim(
-    owner_silent: bool, promised_at: float, now: float, timing: Timing
+    owner_expired: bool, promised_at: float, now: float, timing: Timing
 ) -> bool:
     """Return whether a claim may be sent; `promised_at` is the own last promise."""
-    return owner_silent and now - promised_at >= timing.quiet_s
+    return owner_expired and now - promised_at >= timing.promise_expiry_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Quiet:
+class PromiseFreeInterval:
     """Hold the interval of own time in which a member certainly sent no promise."""
 
     since: float
     until: float
 
 
-def quiet_interval(
-    echoed_at: float, received_at: float, quiet_for: float, timing: Timing
-) -> Quiet:
+def promise_free_interval(
+    echoed_at: float, received_at: float, promise_free_s: float, timing: Timing
+) -> PromiseFreeInterval:
     """Convert a heartbeat's time without a promise to own time.
 
     The heartbeat was sent between `echoed_at` and `received_at`, so the interval
     starts late and ends early.
     """
-    return Quiet(received_at - quiet_for * (1 - timing.drift), echoed_at)
+    return PromiseFreeInterval(
+        received_at - promise_free_s * (1 - timing.drift), echoed_at
+    )
 
 
-def lost_majority(
+def extension_ended(
     members: Collection[str],
-    quiet: Mapping[str, Quiet],
+    promise_free: Mapping[str, PromiseFreeInterval],
     claimed_at: float,
     now: float,
     timing: Timing,
@@ -196,14 +196,15 @@
     promise for as long as a promise can count: then no majority stood, and an ended
     extension is not resumed. It also holds once no extension can last any longer.
     """
-    if not members or now - claimed_at >= timing.extension_over_s:
+    if not members or now - claimed_at >= timing.extension_expiry_s:
         return True  # nobody's promise counts, or none counts any longer
-    known = [quiet[name] for name in members if name in quiet]
+    known = [promise_free[name] for name in members if name in promise_free]
     for moment in {interval.until for interval in known}:
         if moment < claimed_at:
             continue
         silent = sum(
-            interval.since <= moment - timing.quiet_s and moment <= interval.until
+            interval.since <= moment - timing.promise_expiry_s
+            and moment <= interval.until
             for interval in known
         )
         if silent * 2 >= len(members):
--- a/toucanspring/cell/ownership_rows.py
+++ b/toucanspring/cell/ownership_rows.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KnownRow:
+class VersionedRow:
     """Hold an ownership row as last read or written."""
 
     version: int
--- a/toucanspring/cell/peers.py
+++ b/toucanspring/cell/peers.py
@@ -18,14 +18,14 @@
 
 log = logbook.Logger(__name__)
 
-HELLO_TIMEOUT_S = 2.0
+HANDSHAKE_TIMEOUT_S = 2.0
 MAX_HELLO_BYTES = 4096
 # Streams that have not said hello; more are closed at once.
-MAX_UNIDENTIFIED = 64
+MAX_PENDING_HANDSHAKES = 64
 MAX_CALLS_PER_STREAM = 256
 BACKLOG = 128
 # Heartbeats arrive every 0.5 s; a silent stream belongs to a lost VM.
-IDLE_S = 10.0
+IDLE_TIMEOUT_S = 10.0
 
 Handler = Callable[[str, bytes], "bytes | Iterator[bytes] | errors.Failure"]
 NoticeHandler = Callable[[str, bytes], None]
@@ -61,9 +61,9 @@
         self.port = settings.peer_port
         self._handlers: dict[str, Handler] = {}
         self._notice_handlers: dict[str, NoticeHandler] = {}
-        self._links: dict[str, rpc.Link] = {}
+        self._connections: dict[str, rpc.PeerConnection] = {}
         self._accepted: dict[stream.Stream, outbox.Outbox | None] = {}
-        self._unidentified = 0
+        self._pending_handshakes = 0
         self._listener: socket.socket | None = None
         self._greenlets = pool.Group()
         self._server_tls = self.client_tls = None
@@ -86,22 +86,22 @@
         """Close all streams; waiting calls end with a failure."""
         if self._listener is not None:
             self._listener.close()
-        for process in list(self._links):
-            self._links.pop(process).close()
+        for process in list(self._connections):
+            self._connections.pop(process).close()
         for accepted in list(self._accepted):
             accepted.close()
         self._greenlets.kill()
 
     def set_targets(self, targets: dict[str, tuple[str, int]]) -> None:
         """Keep a stream to each process at the given address and port."""
-        for process in list(self._links):
-            if self._links[process].target != targets.get(process):
-                closed = self._links.pop(process)
+        for process in list(self._connections):
+            if self._connections[process].target != targets.get(process):
+                closed = self._connections.pop(process)
                 closed.close()
                 self._count_closed(closed.sent_bytes, closed.received_bytes)
         for process, target in targets.items():
-            if process not in self._links:
-                self._links[process] = rpc.Link(self, process, target)
+            if process not in self._connections:
+                self._connections[process] = rpc.PeerConnection(self, process, target)
 
     def handle(self, method: str, function: Handler) -> None:
         """Answer calls of a method with `function(sender, body)`."""
@@ -144,7 +144,7 @@
                         limit=rpc.MAX_JOINED_BYTES,
                     )
                 parts.append(chunk)
-        except rpc.StreamBroken as broken:
+        except rpc.StreamBrokenError as broken:
             return errors.Ambiguous(reason=str(broken))
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
@@ -156,27 +156,27 @@
         timeout_s: float,
         abandon: Callable[[], bool] | None = None,
     ) -> Iterator[bytes] | errors.Failure:
-        """Return the chunks of an answer; raises `StreamBroken` in mid-answer.
+        """Return the chunks of an answer; raises `StreamBrokenError` in mid-answer.
 
         `timeout_s` limits the wait for the first chunk and for each further one.
         """
-        target = self._links.get(process)
+        target = self._connections.get(process)
         if target is None:
             return errors.Unavailable(reason=f"process {process} is not known")
         return target.call(method, body, timeout_s, abandon)
 
     def notify(self, process: str, method: str, body: bytes) -> bool:
         """Send a notice unless the stream is down or busy; say whether it was sent."""
-        target = self._links.get(process)
+        target = self._connections.get(process)
         return target is not None and target.notify(method, body)
 
     def connected(self) -> list[str]:
         """Return the processes that calls can be sent to now."""
-        return [name for name, target in self._links.items() if target.is_up]
+        return [name for name, target in self._connections.items() if target.is_up]
 
     def traffic(self) -> tuple[int, int]:
         """Return the bytes sent to and received from other processes."""
-        streams = [*self._links.values(), *self._accepted]
+        streams = [*self._connections.values(), *self._accepted]
         sent = sum(each.sent_bytes for each in streams)
         received = sum(each.received_bytes for each in streams)
         return sent + self._closed_bytes[0], received + self._closed_bytes[1]
@@ -205,34 +205,34 @@
                 log.error("cannot accept a peer stream: {}", error)
                 gevent.sleep(0.1)
                 continue
-            if self._unidentified >= MAX_UNIDENTIFIED:
+            if self._pending_handshakes >= MAX_PENDING_HANDSHAKES:
                 log.warning("closing {}: too many streams without hello", address[0])
                 sock.close()
                 continue
-            self._unidentified += 1
+            self._pending_handshakes += 1
             self._greenlets.spawn(self._serve, sock, address)
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         accepted = None
         try:
             try:
-                accepted, sender = self._identify(sock, address)
+                accepted, sender = self._handshake(sock, address)
             finally:
-                self._unidentified -= 1
+                self._pending_handshakes -= 1
             if sender is not None:
-                self._serve_identified(accepted, sender)
+                self._serve_peer(accepted, sender)
         finally:
             (accepted or sock).close()
             if accepted is not None:
                 self._accepted.pop(accepted, None)
                 self._count_closed(accepted.sent_bytes, accepted.received_bytes)
 
-    def _identify(
+    def _handshake(
         self, sock: socket.socket, address: tuple[str, int]
     ) -> tuple[stream.Stream | None, str | None]:
         """Return the stream and the name of the dialling process, once proven."""
         try:
-            with gevent.Timeout(HELLO_TIMEOUT_S):
+            with gevent.Timeout(HANDSHAKE_TIMEOUT_S):
                 if self._server_tls is not None:
                     sock = self._server_tls.wrap_socket(sock, server_side=True)
                 accepted = stream.Stream(sock, frames.decode, MAX_HELLO_BYTES)
@@ -265,36 +265,38 @@
             return f"process {hello.process!r} belongs to cell {hello.cell!r}"
         return None
 
-    def _serve_identified(self, accepted: stream.Stream, sender: str) -> None:
+    def _serve_peer(self, accepted: stream.Stream, sender: str) -> None:
         answers = outbox.Outbox(accepted)
         self._accepted[accepted] = answers
-        if sender in self._links:
-            self._links[sender].hurry()
-        calls = rpc.Calls(self._handlers, answers, sender, MAX_CALLS_PER_STREAM)
+        if sender in self._connections:
+            self._connections[sender].reconnect_now()
+        calls = rpc.CallServer(self._handlers, answers, sender, MAX_CALLS_PER_STREAM)
 
         def end_silent() -> None:
-            log.warning("closing stream of {}: no frame within {} s", sender, IDLE_S)
+            log.warning(
+                "closing stream of {}: no frame within {} s", sender, IDLE_TIMEOUT_S
+            )
             accepted.close()
 
         silence = deadline.Deadline(end_silent)
         try:
             while not answers.closed:
-                silence.set(IDLE_S)
+                silence.set(IDLE_TIMEOUT_S)
                 message = accepted.receive()
                 if not isinstance(message, frames.Frame):
                     if not isinstance(message, errors.Closed):
                         log.warning("closing stream of {}: {}", sender, message.reason)
                     return
                 if message.kind == frames.Kind.NOTICE:
-                    self._take_notice(sender, message.body)
+                    self._dispatch_notice(sender, message.body)
                 else:
-                    calls.take(message)
+                    calls.dispatch(message)
         finally:
             silence.close()
             calls.close()
             answers.close()
 
-    def _take_notice(self, sender: str, body: bytes) -> None:
+    def _dispatch_notice(self, sender: str, body: bytes) -> None:
         notice = frames.decode_as(frames.Call, body)
         handler = self._notice_handlers.get(getattr(notice, "method", ""))
         if handler is None:
--- a/toucanspring/cell/reply.py
+++ b/toucanspring/cell/reply.py
@@ -44,7 +44,7 @@
     return errors.from_dict(item) if isinstance(item, dict) else item
 
 
-def moved(answers: list[str | errors.Failure]) -> errors.Failure | None:
+def resubmission_failure(answers: list[str | errors.Failure]) -> errors.Failure | None:
     """Return why a whole submission is to be repeated, to the successor of an owner.
 
     `Fenced` says that some of its jobs may be in the log. Jobs that were accepted are
--- a/toucanspring/cell/rpc.py
+++ b/toucanspring/cell/rpc.py
@@ -16,7 +16,7 @@
 
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
-HELLO_TIMEOUT_S = 2.0
+HANDSHAKE_TIMEOUT_S = 2.0
 ABANDON_CHECK_S = 0.25
 MAX_JOINED_BYTES = 16 << 20
 MAX_BODY_BYTES = wire.MAX_FRAME_BYTES - 1024
@@ -26,7 +26,7 @@
 ANSWER_STALL_S = 10.0
 
 
-class StreamBroken(Exception):
+class StreamBrokenError(Exception):
     """Raised by a streamed answer that ended before its end marker."""
 
 
@@ -46,7 +46,7 @@
     return errors.Timeout(reason=f"no answer within {timeout_s} s")
 
 
-class Link:
+class PeerConnection:
     """Own the stream that this process dials to another one."""
 
     def __init__(self, peers: object, process: str, target: tuple[str, int]) -> None:
@@ -56,21 +56,23 @@
         self._outbox: outbox.Outbox | None = None
         self._waiting: dict[int, queue.SimpleQueue] = {}
         self._notices: dict[str, outbox.Item | None] = {}
-        self._woken = event.Event()
+        self._reconnect = event.Event()
         self._correlations = itertools.count(1)
         self._stream: stream.Stream | None = None
-        self._old_bytes = [0, 0]
+        self._closed_bytes = [0, 0]
         self._dialler = gevent.spawn(self._run)
 
     @property
     def sent_bytes(self) -> int:
         """Return the bytes sent since the link exists."""
-        return self._old_bytes[0] + (self._stream.sent_bytes if self._stream else 0)
+        return self._closed_bytes[0] + (self._stream.sent_bytes if self._stream else 0)
 
     @property
     def received_bytes(self) -> int:
         """Return the bytes received since the link exists."""
-        return self._old_bytes[1] + (self._stream.received_bytes if self._stream else 0)
+        return self._closed_bytes[1] + (
+            self._stream.received_bytes if self._stream else 0
+        )
 
     @property
     def is_up(self) -> bool:
@@ -82,10 +84,10 @@
         self._disconnect("the link was closed")
         self._dialler.kill(block=False)
 
-    def hurry(self) -> None:
+    def reconnect_now(self) -> None:
         """Dial now, since the other process has just shown that it is up."""
         if self._outbox is None:
-            self._woken.set()
+            self._reconnect.set()
 
     def notify(self, method: str, body: bytes) -> bool:
         """Queue a notice; it replaces an earlier one that was not sent yet."""
@@ -160,18 +162,18 @@
                         finished = True
                         length = frames.decode_as(int, body)
                         if length != size:
-                            raise StreamBroken(f"got {size} bytes of {length}")
+                            raise StreamBrokenError(f"got {size} bytes of {length}")
                         return
                     case frames.Frame(kind=frames.Kind.FAILURE, body=body):
                         finished = True
-                        raise StreamBroken(frames.decode_failure(body).reason)
+                        raise StreamBrokenError(frames.decode_failure(body).reason)
                     case errors.Closed():
                         finished = True
-                        raise StreamBroken(frame.reason)
+                        raise StreamBrokenError(frame.reason)
                 try:
                     frame = answers.get(timeout=timeout_s)
                 except queue.Empty:
-                    raise StreamBroken(f"no chunk within {timeout_s} s") from None
+                    raise StreamBrokenError(f"no chunk within {timeout_s} s") from None
         finally:
             if finished:
                 self._waiting.pop(correlation, None)
@@ -191,8 +193,8 @@
                     backoff = FIRST_BACKOFF_S
                     self._receive()
                 # Jitter keeps the processes of a cell from dialling in step.
-                self._woken.clear()
-                self._woken.wait(backoff * self._peers.rng.uniform(0.5, 1.5))
+                self._reconnect.clear()
+                self._reconnect.wait(backoff * self._peers.rng.uniform(0.5, 1.5))
                 backoff = min(backoff * 2, MAX_BACKOFF_S)
         finally:
             self._disconnect("the link was closed")
@@ -200,7 +202,7 @@
     def _connect(self) -> bool:
         address, port = self.target
         try:
-            with gevent.Timeout(HELLO_TIMEOUT_S * 2):
+            with gevent.Timeout(HANDSHAKE_TIMEOUT_S * 2):
                 connected = stream.connect(
                     address, port, frames.decode, tls=self._peers.client_tls
                 )
@@ -209,7 +211,7 @@
                     return False
                 hello = frames.encode(self._peers.hello())
                 connected.send(frames.Frame(frames.Kind.HELLO, 0, hello))
-                message = connected.receive(HELLO_TIMEOUT_S)
+                message = connected.receive(HANDSHAKE_TIMEOUT_S)
         except gevent.Timeout:
             return False
         if not isinstance(message, frames.Frame) or message.kind != frames.Kind.WELCOME:
@@ -246,15 +248,15 @@
             self._outbox.close()
             self._outbox = None
         if self._stream is not None:
-            self._old_bytes[0] += self._stream.sent_bytes
-            self._old_bytes[1] += self._stream.received_bytes
+            self._closed_bytes[0] += self._stream.sent_bytes
+            self._closed_bytes[1] += self._stream.received_bytes
             self._stream = None
         waiting, self._waiting = self._waiting, {}
         for answers in waiting.values():
             answers.put(errors.Closed(reason=f"stream to {self._process}: {reason}"))
 
 
-class Calls:
+class CallServer:
     """Run the calls that arrive on one accepted stream."""
 
     def __init__(
@@ -267,7 +269,7 @@
         self._body_bytes = 0
         self._running: dict[int, tuple[gevent.Greenlet, lock.Semaphore]] = {}
 
-    def take(self, frame: frames.Frame) -> None:
+    def dispatch(self, frame: frames.Frame) -> None:
         """Act on a frame of the caller."""
         match frame.kind:
             case frames.Kind.CALL:
--- a/toucanspring/configuration/confirmation.py
+++ b/toucanspring/configuration/confirmation.py
@@ -60,7 +60,7 @@
             self._announced.clear()
             scanned = scanned or self._members.read_members() is None
             confirmed = self.processes(name, version)
-            rows = self._members.known_lists()
+            rows = self._members.member_lists()
             if scanned and freshness.is_accepted(rows, confirmed):
                 return None
             wait_s = deadline - time.monotonic()
--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -73,7 +73,7 @@
         self._cell = self._parse("")
         self._view = freshness.View()
         self._wanted = freshness.Versions()
-        self._currency = ownership.Tenure()
+        self._currency = ownership.Lease()
         self._witness = False
         self._stale_heads = 0
         self._pending: tuple[freshness.Versions, float] | None = None
@@ -119,22 +119,22 @@
 
     def fresh(self, now: float) -> bool:
         """Return whether keyed work may be accepted and tasks may be started."""
-        standing = ownership.judge(self._currency, now)
-        if standing is ownership.Standing.EXTENDED:
+        standing = ownership.lease_state(self._currency, now)
+        if standing is ownership.LeaseState.EXTENDED:
             return self._view.versions.covers(self._wanted)
-        return standing is ownership.Standing.HELD
+        return standing is ownership.LeaseState.HELD
 
     def extend(self, now: float) -> None:
         """Extend the view by the promises known now; called with each heartbeat."""
         # A process that has not read the head itself has no list to count against.
         if self._witness and not self._currency.ended:
             members = self._members
-            known = dict(members.ledger.promised_versions)
+            known = dict(members.peer_tracker.promised_versions)
             known[members.identity.process] = self._view.versions
             self._currency = freshness.extend(
                 self._currency,
                 self._view,
-                members.own.lists,
+                members.local_member.possible_member_lists,
                 members.promises(),
                 known,
                 now,
@@ -252,8 +252,10 @@
                 log.error("the store shows {}, which is too old", head.versions)
             return
         self._stale_heads = 0
-        self._witness = self._witness or sent_at >= self._members.own.registered_at
-        self._confirm(freshness.confirm(self._view, head.versions, sent_at))
+        self._witness = (
+            self._witness or sent_at >= self._members.local_member.registered_at
+        )
+        self._confirm(freshness.confirm_by_head(self._view, head.versions, sent_at))
         if head.versions != self._view.versions:
             self._pending = (head.versions, sent_at)
             self._want(head.versions)
@@ -268,7 +270,9 @@
             drift = self._members.timing.drift
             age_s = message.view_age_ms / 1000
             self._confirm(
-                freshness.vouch(self._view, message.versions, age_s, echoed_at, drift)
+                freshness.confirm_by_peer(
+                    self._view, message.versions, age_s, echoed_at, drift
+                )
             )
         if message.promise:
             self.extend(self._members.clock())
@@ -295,7 +299,7 @@
                 if not progressed:
                     gevent.sleep(RETRY_S)
             if self._pending is not None:
-                self._confirm(freshness.confirm(self._view, *self._pending))
+                self._confirm(freshness.confirm_by_head(self._view, *self._pending))
                 self._pending = None
 
     def _fetch(self) -> bool:
@@ -306,7 +310,7 @@
             if getattr(self._view.versions, name) < getattr(self._wanted, name)
         ]
         now = self._members.clock()
-        if self._members.store_age(now) < member_rows.NO_ACCESS_S:
+        if self._members.store_contact_age(now) < member_rows.STORE_UNREACHABLE_S:
             rows = self._tables.read([records.ROWS[name].key for name in behind])
             if not isinstance(rows, errors.Failure):
                 adopted = [
--- a/toucanspring/daemon.py
+++ b/toucanspring/daemon.py
@@ -93,12 +93,12 @@
         sent, received = core.find("fleet").traffic()
         worker_traffic.set({"direction": "sent"}, sent)
         worker_traffic.set({"direction": "received"}, received)
-        held = members.standing(now) is not ownership.Standing.NARROWED
+        held = members.lease_state(now) is not ownership.LeaseState.NARROWED
         view_age_s = min(now - documents.view().confirmed_at, members.clock())
         for name, value in (
             ("members", len(members.members())),
             ("members_reachable", len(members.reachable())),
-            ("store_age_seconds", members.store_age(now)),
+            ("store_age_seconds", members.store_contact_age(now)),
             ("view_age_seconds", view_age_s),
             ("view_fresh", int(documents.fresh(now))),
             ("may_own", int(held)),
--- a/toucanspring/owners/clearance.py
+++ b/toucanspring/owners/clearance.py
@@ -41,7 +41,7 @@
         self._routes = calls
 
     @property
-    def _view(self) -> layout.View:
+    def _view(self) -> layout.VersionedLayout:
         return self._kernel.find("layout").view
 
     def clear(self, owner: partition.Partition, specs: list[job.JobSpec]) -> Cleared:
@@ -53,7 +53,7 @@
         for spec in specs:
             if owner.holds_job(spec.id):
                 continue
-            first, *others = view.layout.numbers_of(spec.id)
+            first, *others = view.layout.possible_partitions(spec.id)
             if first != owner.number:
                 answers[spec.id] = not_here()
                 continue
@@ -69,7 +69,7 @@
         """Return the version of the row under which a request may be begun here."""
         self._follow([request_id], owner)
         view = self._view
-        first, *others = view.layout.numbers_of(request_id)
+        first, *others = view.layout.possible_partitions(request_id)
         if first != owner.number:
             return not_here()
         question = Question(view.layout.generation, requests=[request_id])
@@ -86,7 +86,7 @@
     def _follow(self, names: list[str], owner: partition.Partition) -> None:
         """Read the row if callers may know a later layout than this process."""
         present = self._view.layout
-        if any(present.number_of(name) != owner.number for name in names):
+        if any(present.partition_of(name) != owner.number for name in names):
             self._kernel.find("layout").reread()
 
     def _ask_all(
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         """Begin polling the VM list and the worker map."""
-        self._kernel.find("claims").holds_back = self.has_unreachable
+        self._kernel.find("claims").is_pinned = self.has_unreachable
         self._greenlet = gevent.spawn(self._poll)
 
     def stop(self) -> None:
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -99,7 +99,7 @@
         return self._kernel.find("partitions").routes
 
     @property
-    def _view(self) -> layout.View:
+    def _view(self) -> layout.VersionedLayout:
         return self._kernel.find("layout").view
 
     # Answering
@@ -136,7 +136,7 @@
         entries = transfer.entries
         names = [each.spec.id for each in entries.jobs] + list(entries.requests)
         if view.layout.generation != transfer.generation or any(
-            view.layout.number_of(name) != number for name in names
+            view.layout.partition_of(name) != number for name in names
         ):
             return reply.encode_result(clearance.not_here())
         # Like an acceptance: in a later generation another partition is asked for it.
@@ -223,7 +223,7 @@
                 (list(state.requests), known.request_ids),
             ):
                 for index, name in enumerate(names):
-                    if present.number_of(name) != owner.number:
+                    if present.partition_of(name) != owner.number:
                         found.add(name)
                     if index % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
                         gevent.sleep(0)
@@ -248,9 +248,9 @@
         }
         for name in found.job_ids:
             if state.is_finished(name) and owner.is_durable(name):
-                receivers[present.number_of(name)].append(name)
+                receivers[present.partition_of(name)].append(name)
         for name in ended_requests:
-            receivers[present.number_of(name)].append(name)
+            receivers[present.partition_of(name)].append(name)
         for receiver, names in receivers.items():
             self._send(owner, found.generation, receiver, names)
 
@@ -306,11 +306,11 @@
         ended = set(present.former) - needed
         if not ended:
             return
-        count = layout.without(present, ended).count
+        count = layout.without_former(present, ended).count
         workers = self._kernel.find("fleet").roster
         if any(number >= count for number in workers.partitions.values()):
             return
-        failure = service.release(
+        failure = service.remove_former(
             ended,
             present.generation,
             {
--- a/toucanspring/owners/journal.py
+++ b/toucanspring/owners/journal.py
@@ -284,7 +284,7 @@
             return []
         owned = rows[self._owner_key].version == self._owner_check[self._owner_key]
         if not row.version and owned and layout.ROW in rows:
-            self._layout.take(rows[layout.ROW])
+            self._layout.apply_row(rows[layout.ROW])
             return self._drop_outdated(batch)
         log.warning(
             "partition {}: log row {} was not written; ownership is lost",
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -75,7 +75,9 @@
             ),
         )
         if isinstance(found, list):
-            found = reply.moved(found) or [reply.pack(item) for item in found]
+            found = reply.resubmission_failure(found) or [
+                reply.pack(item) for item in found
+            ]
         return reply.encode_result(found)
 
     def _serve_cancel(self, _sender: str, envelope: bytes) -> bytes:
--- a/toucanspring/owners/partitions.py
+++ b/toucanspring/owners/partitions.py
@@ -296,11 +296,11 @@
 
     def number_of(self, name: str) -> int:
         """Return the partition that accepts a job or request ID."""
-        return self._layout.layout.number_of(name)
+        return self._layout.layout.partition_of(name)
 
     def request_partition(self, request_id: str) -> int:
         """Return the owned partition that has a request, else the accepting one."""
-        numbers = self._layout.layout.numbers_of(request_id)
+        numbers = self._layout.layout.possible_partitions(request_id)
         for number in numbers:
             owned = self._owned.get(number)
             if owned is not None and owned.requests.holds(request_id):
--- a/toucanspring/owners/search.py
+++ b/toucanspring/owners/search.py
@@ -24,7 +24,7 @@
     """
     for _ in range(MAX_ROUNDS):
         view = service.view
-        numbers = view.layout.numbers_of(name)
+        numbers = view.layout.possible_partitions(name)
         if len(numbers) > 1:
             numbers.append(numbers[0])
         for number in numbers:
