--- a/toucanspring/cell/__init__.py
+++ b/toucanspring/cell/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes there are, how they talk and which of them owns what."""
+"""Cell membership, calls between processes and partition ownership."""
--- a/toucanspring/cell/assignment.py
+++ b/toucanspring/cell/assignment.py
@@ -1,4 +1,4 @@
-"""Which process should own each partition."""
+"""Assignment of partitions to processes by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def score(partition: int, process: str) -> int:
-    """Return the rendezvous weight of a process for a partition."""
+    """Return the rendezvous hash of a partition and a process."""
     return zlib.crc32(f"{partition}\0{process}".encode())
 
 
 def rank(partition: int, processes: Iterable[str]) -> list[str]:
-    """Order processes by preference for a partition."""
+    """Return the processes in descending order of their score for a partition."""
     return sorted(processes, key=lambda name: (-score(partition, name), name))
 
 
 def assign(partitions: int, processes: Sequence[str]) -> dict[int, str]:
     """Return the preferred owner of each partition.
 
-    Rendezvous hashing alone may give one process several partitions while others have
-    none, so each takes at most its even part, rounded up.
+    Plain rendezvous hashing may assign several partitions to one process and none to
+    others, so each process gets at most ceil(partitions / processes).
     """
     preferred: dict[int, str] = {}
     if not processes:
@@ -37,7 +37,7 @@
 
 
 class PreferredOwnersCache:
-    """Keep the preferred owners until the partitions or the candidates change."""
+    """Cache the preferred owners until the partition count or the candidates change."""
 
     def __init__(self) -> None:
         self._partitions = 0
@@ -45,7 +45,7 @@
         self._preferred: dict[int, str] = {}
 
     def get(self, partitions: int, candidates: list[str]) -> dict[int, str]:
-        """Return the preferred owner of each partition among some processes."""
+        """Return the preferred owner of each partition among the candidates."""
         if (self._partitions, self._candidates) != (partitions, candidates):
             self._partitions, self._candidates = partitions, candidates
             self._preferred = assign(partitions, candidates)
--- a/toucanspring/cell/claims.py
+++ b/toucanspring/cell/claims.py
@@ -1,4 +1,4 @@
-"""Which partitions this process owns, and who owns the others."""
+"""Service `claims`: claims, renewals and releases of partitions by this process."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 log = logbook.Logger(__name__)
 
-# A process that is not the preferred owner waits this much longer for each rank.
+# A process waits this long before a claim for each process that is ranked above it.
 RANK_DELAY_S = 1.0
-# An uneven distribution is left alone for this long, since processes that restart
-# together come back one after the other.
+# Rebalancing starts only after this time, since processes that restart together come
+# back one after the other.
 REBALANCE_AFTER_S = 10.0
-# How long a release waits for listeners to write what is pending.
+# How long a release waits for listeners of `PartitionLost` to write pending records.
 DELIVERY_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """Name the owner of a partition."""
+    """Owner of a partition."""
 
     process: str
     incarnation: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionAcquired:
-    """This process now owns a partition."""
+    """Event: this process now owns a partition."""
 
     partition: int
     epoch: int
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionLost:
-    """This process no longer owns a partition.
+    """Event: this process no longer owns a partition.
 
-    `superseded` says that another process owns it, so that its log takes no more
-    records of this one.
+    `superseded` is set if another process owns it, so that the partition's log accepts
+    no more records of this process.
     """
 
     partition: int
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnedPartition:
-    """Hold one own partition."""
+    """State of a partition that this process owns."""
 
     epoch: int
     version: int
@@ -74,7 +74,7 @@
 
 
 class Service(member_rows.RenewalHooks):
-    """Claim, keep and release partitions."""
+    """Claim, renew and release partitions (kernel name `claims`)."""
 
     def __init__(self, kernel: object, settings: object) -> None:
         del settings
@@ -85,15 +85,15 @@
         self._unbalanced_since: float | None = None
         self._preferred = assignment.PreferredOwnersCache()
         # A listener may write the log of a partition and wait for the store, which must
-        # not hold up renewals and polls.
+        # not delay renewals and polls.
         self._deliveries = deliveries.Deliveries(kernel)
         self._members: membership.Service | None = None
         self._layout: layout.Service | None = None
-        # A partition for which this is true is not handed over to even out.
+        # Rebalancing does not hand over a partition for which this returns true.
         self.is_pinned: Callable[[int], bool] = lambda _partition: False
 
     def start(self) -> None:
-        """Follow the ownership rows; claims are made after each poll."""
+        """Poll the ownership rows; claims are made after each poll."""
         self._deliveries.start()
         self._members = self._kernel.find("membership")
         self._layout = self._kernel.find("layout")
@@ -118,16 +118,16 @@
         return self._layout.layout.count
 
     def owned(self) -> dict[int, int]:
-        """Return the epoch of each own partition."""
-        return {partition: owned.epoch for partition, owned in self._owned.items()}
+        """Return the epoch of each owned partition."""
+        return {partition: entry.epoch for partition, entry in self._owned.items()}
 
     def owner_of(self, partition: int) -> Owner | errors.NotFound:
-        """Return the owner of a partition, as last read or heard from the owner."""
+        """Return the owner of a partition as last read or announced by a heartbeat."""
         found = self._rows.get(partition)
         epoch = found.row.epoch if found else 0
         for name, message in self._members.peer_states().items():
             claimed = message.owned.get(partition, 0)
-            # A claim is known from a heartbeat earlier than from the next poll.
+            # A heartbeat announces a claim earlier than the next poll reads it.
             if claimed > epoch:
                 return Owner(name, message.incarnation, claimed)
         if found is None or not found.row.process:
@@ -136,25 +136,26 @@
         return Owner(row.process, row.incarnation, row.epoch)
 
     def may_start(self, partition: int, now: float) -> bool:
-        """Return whether tasks of an own partition may be started."""
+        """Return whether tasks of an owned partition may be started."""
         return partition in self._owned and (
             self._members.lease_state(now) is not ownership.LeaseState.NARROWED
         )
 
     def may_renew_workers(self, partition: int, now: float) -> bool:
-        """Return whether worker leases of an own partition may be renewed."""
+        """Return whether worker leases of an owned partition may be renewed."""
         return self.may_start(partition, now)
 
     def row_version(self, partition: int) -> int:
-        """Return the version of the ownership row, for checks in transactions."""
+        """Return the version of the ownership row for checks in transactions."""
         owned = self._owned.get(partition)
-        # No row ever has version -1, so a check for a lost partition always fails.
+        # No row ever has version -1, so the check for a lost partition always fails.
         return owned.version if owned else -1
 
     def previous_owner_gone(self, partition: int, now: float) -> bool:
-        """Return whether no former owner can extend its ownership any more.
+        """Return whether no former owner's lease can be extended any more.
 
-        A worker that it renewed last may still run tasks for its lease from then on.
+        Workers that a former owner renewed last may still run tasks until their worker
+        leases expire.
         """
         owned = self._owned.get(partition)
         if owned is None:
@@ -171,14 +172,14 @@
         return not owned.former
 
     def release(self, partition: int, reason: str = "fenced") -> None | errors.Failure:
-        """Hand over a partition; `PartitionLost` is delivered before the row changes.
+        """Release a partition; `PartitionLost` is delivered before the row changes.
 
-        If the store does not answer, the successor waits for the lease instead.
+        If the store does not answer, the successor has to wait for the lease to expire.
         """
         return self._release([partition] if partition in self._owned else [], reason)
 
     def _release(self, partitions: list[int], reason: str) -> None | errors.Failure:
-        """Release partitions in one transaction; a slow store delays it only once."""
+        """Release partitions in one transaction; a slow store delays them only once."""
         if not partitions:
             return None
         checks, rows, delivered = {}, {}, []
@@ -200,7 +201,7 @@
         }
         result = self._members.local_member.write(checks, writes)
         if isinstance(result, errors.Failure):
-            log.warning("partitions {} are not released: {}", partitions, result.reason)
+            log.warning("cannot release partitions {}: {}", partitions, result.reason)
             return result
         for partition, row in rows.items():
             self._rows[partition] = ownership_rows.VersionedRow(
@@ -208,17 +209,17 @@
             )
         return None
 
-    # Guard of renewals
+    # Hooks of renewals
 
     def expected_versions(self) -> dict[str, int]:
-        """Return the versions of the ownership rows of own partitions."""
+        """Return the versions of the ownership rows of owned partitions."""
         return {
             ownership_rows.key_of(partition): owned.version
             for partition, owned in self._owned.items()
         }
 
     def settled(self) -> list[int]:
-        """Return the own partitions whose former owners are gone."""
+        """Return the owned partitions whose former owners are gone."""
         now = self._members.clock()
         return [
             partition
@@ -227,14 +228,14 @@
         ]
 
     def handle_conflict(self, rows: Mapping[str, tables.Row]) -> None:
-        """Give up each partition whose ownership row was changed or deleted."""
+        """Drop each partition whose ownership row was changed or deleted."""
         self._drop_changed(
             lambda owned, row: row is not None and row.version != owned.version,
             rows,
         )
 
     def recorded_owners(self) -> set[str] | None:
-        """Return the processes in ownership rows; `None` if not all rows are known."""
+        """Return the processes in ownership rows; `None` unless all rows are known."""
         if any(number not in self._rows for number in range(self._count)):
             return None
         return {known.row.process for known in self._rows.values() if known.row.process}
@@ -252,10 +253,10 @@
     def _handle_heartbeat(
         self, sender: str, message: heartbeat.Heartbeat, _echoed_at: float
     ) -> None:
-        """Give up each partition that another process owns under a later epoch.
+        """Drop each partition that another process owns with a later epoch.
 
-        A process that alone cannot reach the store learns of its successor this way
-        only. Until then it kept callers waiting for a log that it could not write.
+        This is the only way in which a process that alone cannot reach the store learns
+        of its successor. Otherwise callers would wait for a log that it cannot write.
         """
         for partition, epoch in message.owned.items():
             owned = self._owned.get(partition)
@@ -282,7 +283,8 @@
             if current is None or (last is not None and row.version < last.version):
                 continue
             self._rows[partition] = ownership_rows.VersionedRow(row.version, current)
-        # These rows may have been read before an own claim, so only newer ones count.
+        # These rows may have been read before a claim of this process, so only newer
+        # ones count.
         self._drop_changed(
             lambda owned, row: row is not None and row.version > owned.version,
             rows,
@@ -292,16 +294,16 @@
         self._rebalance()
 
     def _release_surplus(self) -> None:
-        """Give up partitions that hold nothing after the number has shrunk."""
+        """Release partitions beyond the partition count after it has been reduced."""
         surplus = [number for number in self._owned if number >= self._count]
         if surplus:
-            log.info("releasing partitions {}, which are not used any more", surplus)
+            log.info("releasing partitions {} beyond the partition count", surplus)
             self._release(surplus)
         for number in [each for each in self._rows if each >= self._count]:
             del self._rows[number]
 
     def _claim_all(self) -> None:
-        """Claim each partition without a live owner that prefers this process."""
+        """Claim partitions without a live owner, with a delay by preference."""
         members = self._members
         now = members.clock()
         candidates = members.candidates()
@@ -327,7 +329,7 @@
         row = self._rows[partition].row
         own = members.identity
         if (row.process, row.incarnation) == (own.process, own.incarnation):
-            return True  # an own claim whose answer was lost
+            return True  # a claim of this process whose response was lost
         silent = not row.process or ownership.is_lease_expired(
             members.observations.get(row.process), row.incarnation, now, members.timing
         )
@@ -348,13 +350,13 @@
         )
         checks = {ownership_rows.key_of(partition): known.version}
         if row.process and row.process != own.process:
-            # Fails if the owner has renewed in the meantime.
+            # Makes the claim fail if the owner has renewed its lease in the meantime.
             seen = members.rows.get(row.process)
             checks[member_rows.key_of(row.process)] = seen[0] if seen else 0
         writes = {ownership_rows.key_of(partition): ownership_rows.encode(claim)}
         result = members.local_member.write(checks, writes, claim=True)
         if isinstance(result, errors.Failure):
-            log.info("no claim of partition {}: {}", partition, result.reason)
+            log.info("claim of partition {} failed: {}", partition, result.reason)
             return
         version = result.versions[ownership_rows.key_of(partition)]
         self._rows[partition] = ownership_rows.VersionedRow(version, claim)
@@ -370,7 +372,7 @@
         self._deliveries.publish(PartitionAcquired(partition, claim.epoch))
 
     def _rebalance(self) -> None:
-        """Release one partition above the even part, if that lasts."""
+        """Release one partition if this process has owned too many for some time."""
         members = self._members
         candidates = members.candidates()
         now = members.clock()
@@ -389,5 +391,9 @@
             p for p in self._owned if preferred[p] != own and not self.is_pinned(p)
         ]
         if foreign:
-            log.info("handing partition {} to {}", foreign[0], preferred[foreign[0]])
+            log.info(
+                "releasing partition {} for {} to rebalance",
+                foreign[0],
+                preferred[foreign[0]],
+            )
             self.release(foreign[0], "even_out")
--- a/toucanspring/cell/former_owners.py
+++ b/toucanspring/cell/former_owners.py
@@ -1,4 +1,4 @@
-"""Former owners of a partition that this process claims."""
+"""Former owners of a partition that this process is about to claim."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def former_member_lists(
     members: membership.Service, partition: int, row: ownership_rows.PartitionRow
 ) -> list[list[str]]:
-    """Return the member lists of owners that may still extend after a claim."""
+    """Return the member lists of owners whose leases may be extended after a claim."""
     if not row.process:
         return row.former
     own = members.identity
--- a/toucanspring/cell/freshness.py
+++ b/toucanspring/cell/freshness.py
@@ -1,6 +1,8 @@
-"""Decide how old a process's view of the documents may be.
+"""Validity of a process's view of the configuration documents.
 
-All functions are pure. Times are monotonic seconds of the deciding process.
+A view may be used while it is known to be at most `MAX_AGE_S` old, or while a majority
+of members confirms it during an outage of the store. All functions are pure. Times are
+monotonic seconds of the process that evaluates them.
 """
 
 from __future__ import annotations
@@ -13,20 +15,20 @@
 from toucanspring.cell import ownership
 
 MAX_AGE_S = 1.5
-# Promises count no longer than a view that was read: a member may confirm a change
-# right after its promise.
+# Promises count no longer than a view that was read, since a member may confirm a
+# change right after its promise.
 VIEW_TIMING = ownership.Timing(lease_s=MAX_AGE_S, promise_s=MAX_AGE_S)
 
 
 class Versions(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Hold the versions of the three documents; 0 means that none exists."""
+    """Versions of the three documents; 0 if a document does not exist."""
 
     config: int = 0
     keys: int = 0
     zones: int = 0
 
     def covers(self, other: Versions) -> bool:
-        """Return whether no document of `other` is newer."""
+        """Return whether each document is at least as new as in `other`."""
         return (
             self.config >= other.config
             and self.keys >= other.keys
@@ -36,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """Hold the versions in force and when they were last known to be the latest."""
+    """Versions in force and the latest time at which they were known to be current."""
 
     versions: Versions = Versions()
     confirmed_at: float = ownership.NEVER
 
 
 def merge(first: Versions, second: Versions) -> Versions:
-    """Return the newer version of each document."""
+    """Return the higher version of each document."""
     return Versions(
         max(first.config, second.config),
         max(first.keys, second.keys),
@@ -52,9 +54,10 @@
 
 
 def confirm_by_head(view: View, head: Versions, sent_at: float) -> View:
-    """Take in a head read that was requested at `sent_at`.
+    """Confirm a view by a read of the head row that was sent at `sent_at`.
 
-    A head that is older than the view is stale and confirms nothing.
+    A head with other versions leaves the view unchanged: it is either stale or names
+    documents that are yet to be fetched.
     """
     if head != view.versions or sent_at <= view.confirmed_at:
         return view
@@ -64,9 +67,10 @@
 def confirm_by_peer(
     view: View, versions: Versions, age_s: float, echoed_at: float, drift: float
 ) -> View:
-    """Take in a peer's view; its age counts back from the echoed own clock.
+    """Confirm a view by the equal view in a peer's heartbeat.
 
-    The heartbeat was sent after `echoed_at`, so the view is at least as fresh as that.
+    The heartbeat was sent after the echoed local time `echoed_at`, so the view was
+    current `age_s` before that at the earliest, allowing for clock drift.
     """
     if versions != view.versions:
         return view
@@ -77,7 +81,7 @@
 
 
 def renew(validity: ownership.Lease, confirmed_at: float) -> ownership.Lease:
-    """Let a view count as the latest for `MAX_AGE_S` since it was known to be so."""
+    """Extend the validity to `MAX_AGE_S` after the view was last confirmed."""
     return ownership.renew(validity, confirmed_at, VIEW_TIMING)
 
 
@@ -89,28 +93,28 @@
     known: Mapping[str, Versions],
     now: float,
 ) -> ownership.Lease:
-    """Let a view count as the latest while a majority cannot reach the store.
-
-    `known` holds the versions of the witnesses: members that have read the head row
-    since they wrote their row. A change is answered as accepted only once at least
-    half of the list in each member row have it, or that member itself, so a majority
-    of witnesses with the same versions as this view includes one that would know the
-    change. As with ownership, an extension that has ended is not resumed by promises:
-    in between, members that lost this process from their lists may accept changes.
+    """Extend the validity of a view while a majority cannot reach the store.
+
+    `known` maps the members that have read the head row since they wrote their member
+    row to their versions. A change is reported as accepted only after at least half of
+    the list in each member row, or the member itself, have confirmed it. A majority of
+    such members with the same versions as this view therefore includes one that would
+    know a newer change. As with ownership, promises do not resume an extension that
+    has ended: members that no longer list this process may have accepted changes.
     """
-    standing = {
+    eligible = {
         name: at for name, at in promises.items() if known.get(name) == view.versions
     }
-    return ownership.extend(validity, lists, standing, now, VIEW_TIMING)
+    return ownership.extend(validity, lists, eligible, now, VIEW_TIMING)
 
 
 def is_accepted(
     rows: Mapping[str, Collection[str]], confirmed: Collection[str]
 ) -> bool:
-    """Return whether a change can be answered as accepted.
+    """Return whether a change can be reported as accepted.
 
-    `rows` maps each member to the list in its row: that member may extend its view by
-    promises of more than half of this list.
+    `rows` maps each member to the list in its row. A member may extend its view by
+    promises of more than half of its list, so half of each list must have confirmed.
     """
     return all(
         name in confirmed or 2 * len(set(members) & set(confirmed)) >= len(members)
--- a/toucanspring/cell/heartbeat.py
+++ b/toucanspring/cell/heartbeat.py
@@ -1,6 +1,6 @@
-"""Heartbeats between processes and what can be concluded from them.
+"""Heartbeats between processes and the peer state derived from them.
 
-`PeerTracker` has no I/O and takes time as an argument.
+`PeerTracker` performs no I/O; the current time is passed as an argument.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """State of the sender; clocks are monotonic microseconds.
+    """State of the sender; clock values are monotonic microseconds.
 
-    `echo` is the latest clock that the sender has received from the receiver's
-    incarnation `echo_incarnation`.
+    `echo` is the latest clock value that the sender has received from incarnation
+    `echo_incarnation` of the receiver.
     """
 
     incarnation: int
@@ -30,15 +30,15 @@
     echo_incarnation: int
     versions: freshness.Versions
     view_age_ms: int
-    # The sender has read the head row itself since it started, so that it knows each
-    # change that it has ever confirmed.
+    # Whether the sender has read the head row since it wrote its member row, so that
+    # it knows each change that it has ever confirmed.
     has_read_head: bool
     promise: bool
-    promise_free_ms: int  # time without a promise, at most the time since the start
+    promise_free_ms: int  # since the last promise, or since the start
     owned: dict[int, int]  # partition -> epoch
     free: resources.Resources = resources.ZERO
     draining: bool = False
-    statements: dict[int, need.Statement] = {}  # by own partition
+    statements: dict[int, need.Statement] = {}  # by owned partition
 
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
@@ -46,7 +46,7 @@
 
 
 def decode(body: bytes) -> Heartbeat | errors.Malformed:
-    """Return the heartbeat in a notice body."""
+    """Decode the body of a heartbeat notice."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
@@ -54,20 +54,20 @@
 
 
 def encode_for(message: Heartbeat, echo: int, echo_incarnation: int) -> bytes:
-    """Return a heartbeat's body with the echo for one receiver."""
+    """Encode a heartbeat with the echo for one receiver."""
     return encode(
         msgspec.structs.replace(message, echo=echo, echo_incarnation=echo_incarnation)
     )
 
 
 def to_clock(now: float) -> int:
-    """Return monotonic seconds as the clock of a heartbeat."""
+    """Convert monotonic seconds to the clock value of a heartbeat."""
     return int(now * MICROSECONDS_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
 class PeerState:
-    """Hold the latest heartbeat of one process."""
+    """Latest heartbeat of a process; times are local monotonic seconds."""
 
     message: Heartbeat
     received_at: float
@@ -75,22 +75,21 @@
 
 
 class PeerTracker:
-    """Keep what the heartbeats of the other processes prove."""
+    """Track liveness and promises of the other processes from their heartbeats."""
 
     def __init__(self, incarnation: int, timing: ownership.Timing) -> None:
         self.incarnation = incarnation
         self.timing = timing
         self.peers: dict[str, PeerState] = {}
         self.promises: dict[str, float] = {}
-        # Versions known to the promising members that are witnesses.
+        # Of the promising members that have read the head row themselves.
         self.promised_versions: dict[str, freshness.Versions] = {}
         self.promise_free: dict[str, ownership.PromiseFreeInterval] = {}
 
     def record(self, process: str, message: Heartbeat, now: float) -> bool:
-        """Take in a heartbeat; return whether it is news.
+        """Record a heartbeat; return `False` if it is a duplicate or out of order.
 
-        A duplicate or a heartbeat overtaken by a later one is dropped: its promise
-        may have been superseded.
+        Such a heartbeat is dropped, since its promise may have been withdrawn.
         """
         last = self.peers.get(process)
         if last is not None:
@@ -100,7 +99,7 @@
         peer = PeerState(message, now)
         self.peers[process] = peer
         echoed_at = message.echo / MICROSECONDS_PER_S
-        # An echo of an earlier incarnation is a value of another clock.
+        # The echo of an earlier incarnation comes from a clock with another origin.
         if message.echo_incarnation != self.incarnation or not 0 < echoed_at <= now:
             self._forget(process)
             return True
@@ -112,8 +111,9 @@
                 self.promised_versions[process] = message.versions
             self.promise_free.pop(process, None)
         else:
-            # A member with store access withdraws its promise: counting it on would
-            # be allowed but of no use, since that member may claim soon.
+            # A member that reaches the store again withdraws its promise. Counting the
+            # promise until it expires would be allowed but of no use, since that
+            # member may claim soon.
             self.promises.pop(process, None)
             self.promise_free[process] = ownership.promise_free_interval(
                 echoed_at, now, message.promise_free_ms / 1000, self.timing
@@ -133,13 +133,13 @@
         }
 
     def echo_for(self, process: str) -> tuple[int, int]:
-        """Return the clock and incarnation to echo to a process."""
+        """Return the last clock value and the incarnation received from a process."""
         peer = self.peers.get(process)
         if peer is None:
             return 0, 0
         return peer.message.clock, peer.message.incarnation
 
     def drop(self, process: str) -> None:
-        """Forget a process that has left the cell."""
+        """Remove a process that has left the cell."""
         self.peers.pop(process, None)
         self._forget(process)
--- a/toucanspring/cell/layout.py
+++ b/toucanspring/cell/layout.py
@@ -1,7 +1,8 @@
-"""Service `layout`: the number of partitions, which operators may change.
+"""Service `layout`: the partition count, which operators may change.
 
-Work stays in the partition that accepted it, so former numbers are kept as long as
-one of them may still lead to work.
+Work stays in the partition that accepted it, so each former partition count is kept
+until no work remains that was assigned by it. Texts for operators call these counts
+former numbers.
 """
 
 from __future__ import annotations
@@ -21,20 +22,20 @@
 log = logbook.Logger(__name__)
 
 ROW = "layout"
-# Each former number may cost one question for each new ID.
+# Each former partition count may cost one more lookup for each new ID.
 MAX_FORMER = 3
 CHANGE_TIMEOUT_S = 5.0
-# Each look-up of an unknown ID needs a read. 20 reads a second leave the store to the
-# others even if all of 16 processes of a region get such look-ups without end.
+# Each lookup of an unknown ID needs a read. 20 reads a second leave the store enough
+# capacity even if all of 16 processes of a region receive such lookups continuously.
 READ_INTERVAL_S = 0.05
 RETRY_S = 0.1
 
 
 class Layout(msgspec.Struct, frozen=True, kw_only=True):
-    """Row `layout`; `former` are numbers of partitions that may still hold work.
+    """Row `layout`; `current` and `former` are partition counts.
 
-    `change` identifies the last change of `current`, so that a lost answer can be
-    settled by reading the row.
+    Work may still be placed by a former count. `change` identifies the last change of
+    `current`, so that a lost response can be resolved by reading the row.
     """
 
     generation: int = 0
@@ -45,11 +46,11 @@
 
     @property
     def count(self) -> int:
-        """Return how many partitions need an owner."""
+        """Return the number of partitions that need an owner."""
         return max(self.current, *self.former, 1)
 
     def partition_of(self, name: str) -> int:
-        """Return the partition that accepts a job or request ID."""
+        """Return the partition that accepts new work with a job or request ID."""
         return job.partition_of(name, self.current)
 
     def possible_partitions(self, name: str) -> list[int]:
@@ -60,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionedLayout:
-    """Pair a layout with the version of its row, which transactions check."""
+    """Layout with the version of its row, which transactions check."""
 
     layout: Layout
     version: int
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LayoutChanged:
-    """The number of partitions or the former numbers have changed."""
+    """Event: the layout has changed."""
 
     layout: Layout
 
@@ -78,17 +79,17 @@
 
 
 def with_partition_count(
-    present: Layout, number: int, change: str, operator: str
+    present: Layout, count: int, change: str, operator: str
 ) -> Layout | errors.Refused:
-    """Return the layout after a change of the number of partitions."""
-    former = {*present.former, present.current} - {number}
+    """Return the layout after a change of the partition count."""
+    former = {*present.former, present.current} - {count}
     if len(former) > MAX_FORMER:
         return errors.Refused(
             reason=f"work of the former numbers {sorted(present.former)} has not ended"
         )
     return Layout(
         generation=present.generation + 1,
-        current=number,
+        current=count,
         former=tuple(sorted(former)),
         change=change,
         operator=operator,
@@ -96,7 +97,7 @@
 
 
 def without_former(present: Layout, ended: set[int]) -> Layout:
-    """Return the layout without former numbers that hold no work any more."""
+    """Return the layout without the former partition counts in `ended`."""
     return msgspec.structs.replace(
         present,
         generation=present.generation + 1,
@@ -105,7 +106,7 @@
 
 
 class Service:
-    """Follow the row `layout` and change it (kernel name `layout`)."""
+    """Poll and change the row `layout` (kernel name `layout`)."""
 
     def __init__(
         self,
@@ -117,15 +118,15 @@
         self._clock = clock
         self._shared = shared_read.SharedRead(self._read, READ_INTERVAL_S)
         self._resizable = getattr(options, "moves", "on") == "on"
-        # Applies until the row exists.
+        # The setting applies until the row exists.
         self.view = VersionedLayout(Layout(current=options.partitions), 0)
 
     def start(self) -> None:
-        """Follow the row with the shared poll."""
+        """Read the row with the polls of `membership`."""
         self._kernel.find("membership").watch(lambda: [ROW], self._handle_rows)
 
     def stop(self) -> None:
-        """Do nothing; the poll belongs to `membership`."""
+        """Do nothing; `membership` stops the polls."""
 
     @property
     def layout(self) -> Layout:
@@ -133,7 +134,7 @@
         return self.view.layout
 
     def reread(self) -> None | errors.Failure:
-        """Read the row; a success shows all changes made before the call."""
+        """Read the row; on success all changes made before the call are applied."""
         return self._shared.get()
 
     def _read(self) -> None | errors.Failure:
@@ -144,7 +145,7 @@
         return None
 
     def apply_row(self, row: tables.Row) -> None:
-        """Take in a row unless a later version is known."""
+        """Apply a row unless the same or a later version is known."""
         if row.version <= self.view.version:
             return
         try:
@@ -164,10 +165,10 @@
     def change(
         self, number: int, expected: int, operator: str
     ) -> Layout | errors.Failure:
-        """Set the number of partitions, based on generation `expected`.
+        """Set the partition count, based on generation `expected`.
 
-        Fails with `Conflict` if another change came first, and with `Ambiguous` if an
-        answer was lost and the row could not be read in time.
+        Fails with `Conflict` if another change came first, and with `Ambiguous` if a
+        response was lost and the row could not be read in time.
         """
         if not self._resizable:
             return errors.Refused(reason="needs the setting moves to be on")
@@ -185,13 +186,13 @@
     def remove_former(
         self, ended: set[int], expected: int, checks: Mapping[str, int]
     ) -> None | errors.Failure:
-        """Remove former numbers that hold no work, if nothing was changed since.
+        """Remove former partition counts without work, based on generation `expected`.
 
-        A lost answer needs no care: the next try finds the row as it is.
+        A lost response needs no handling, since the next attempt reads the row again.
         """
         view = self.view
         if view.layout.generation != expected:
-            return errors.Conflict(reason="the number of partitions was changed")
+            return errors.Conflict(reason="the partition count was changed")
         value = _encode(without_former(view.layout, ended))
         answer = self._tables.transact({**checks, ROW: view.version}, {ROW: value}, ())
         if isinstance(answer, tables.Committed):
@@ -214,10 +215,10 @@
         expected: int,
         name: str,
     ) -> Layout | errors.Failure:
-        """Write the planned layout; repeat until its effect is certain.
+        """Write the planned layout; retry until the outcome is certain.
 
         Each attempt checks the version that was read, so no earlier attempt can take
-        effect after a later one, or after any other change.
+        effect after a later one or after any other change.
         """
         deadline = self._clock() + CHANGE_TIMEOUT_S
         lost: errors.Ambiguous | None = None
@@ -229,7 +230,7 @@
                 case errors.Unavailable() if lost is not None:
                     pass
                 case errors.Conflict(key="layout"):
-                    pass  # the next attempt sees what came first
+                    pass  # the next attempt reads the other change
                 case _:
                     return result
             if self._clock() + RETRY_S > deadline:
@@ -244,14 +245,14 @@
     ) -> Layout | errors.Failure:
         failure = self.reread()
         if failure is not None:
-            # A read has no effect, whether or not it was answered.
+            # A failed read has no effect, so the outcome is not ambiguous.
             return errors.StoreUnavailable(reason=f"store: {failure.reason}")
         present, version = self.view.layout, self.view.version
         if present.change == name:
-            return present  # an earlier attempt whose answer was lost
+            return present  # an earlier attempt whose response was lost
         if present.generation != expected:
             return errors.Conflict(
-                reason="the number of partitions was changed meanwhile",
+                reason="the partition count was changed in the meantime",
                 current_version=present.generation,
                 given_version=expected,
             )
--- a/toucanspring/cell/member_removal.py
+++ b/toucanspring/cell/member_removal.py
@@ -1,9 +1,10 @@
-"""Rows of processes that are gone: their deletion, and operators' confirmations.
+"""Removal of members that are gone: deletion of rows and operators' confirmations.
 
-Majorities count the members in an owner's last list, since each of them could have
-promised. When more than half of a list are destroyed at once, nobody can say that they
-promised nothing, and successors wait until no extension can last (31.5 minutes). Only
-the operators can know better.
+Majorities are counted over the last member list of an owner, since each member in it
+may have promised. When more than half of a list is destroyed at once, no process can
+tell that these members promised nothing, and successors wait until the longest
+extension is over (31.5 minutes). Operators can end this wait by confirming that a
+process is gone.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from toucanspring.cell import member_rows, ownership
 
 ATTEMPTS = 5
-# Rows of members that own nothing are deleted after this time.
+# Rows of silent members that own nothing are deleted after this time.
 DELETE_AFTER_S = 60.0
 
 
 class Members(Protocol):
-    """What this process knows of the others."""
+    """The part of the membership service that is used here."""
 
     identity: member_rows.Member
     local_member: member_rows.LocalMember
@@ -37,10 +38,10 @@
         """Return the processes with a recent heartbeat."""
 
     def candidates(self) -> list[str]:
-        """Return the processes that may own partitions, sorted."""
+        """Return the live processes that may own partitions, sorted."""
 
     def promise_free(self) -> dict[str, ownership.PromiseFreeInterval]:
-        """Return the processes that have promised to claim nothing."""
+        """Return the interval in which each member sent no promise."""
 
     def read_members(self) -> None | errors.Failure:
         """Read the rows of all processes."""
@@ -49,11 +50,11 @@
 def confirm(
     members: Members, client: tables.TableClient, process: str
 ) -> None | errors.Failure:
-    """Replace the row of a dead process by one that fences it.
+    """Fence a process that operators have confirmed to be gone.
 
-    The row gets a higher incarnation, so that the process, should it run after all,
-    finds its name taken at its next renewal and stops. Its list is empty: it can no
-    longer extend an ownership or a view.
+    Its row gets a higher incarnation, so that the process, if it still runs, finds
+    its name taken at its next renewal and stops. The member list is emptied, so that
+    the process can no longer extend its lease or its view.
     """
     key = member_rows.key_of(process)
     result: object = errors.Unavailable(reason=f"{key} was not written")
@@ -68,7 +69,7 @@
             return None
         if _is_alive(members, process, row):
             return errors.Refused(
-                reason=f"process {process} is alive: it renews its row or is heard"
+                reason=f"process {process} is alive: it renews its row or is reachable"
             )
         fenced = member_rows.MemberRow(
             member=msgspec.structs.replace(
@@ -87,7 +88,7 @@
 
 
 def _is_alive(members: Members, process: str, row: member_rows.MemberRow) -> bool:
-    """Return whether a process was heard, or renewed within its lease."""
+    """Return whether a process sent a heartbeat or renewed its row recently."""
     if process in members.reachable():
         return True
     observation = members.observations.get(process)
@@ -100,15 +101,16 @@
 
 
 def delete_dead(members: Members, client: tables.TableClient) -> None:
-    """Delete rows of long dead members, from one process only.
+    """Delete the rows of members that have been silent for long.
 
-    A member that owns a partition keeps its row: successors need its list. So does
-    one that a majority of its list may still extend. The version check lets a
-    member that came back win.
+    Only the first live process does so. The row of a member that owns a partition is
+    kept, since successors need its list, and so is one whose lease a majority of its
+    list may still extend. If a member returns at the same time, the version check
+    fails and its row is kept.
     """
     live = members.candidates()
-    named = members.local_member.hooks.recorded_owners()
-    if not live or live[0] != members.identity.process or named is None:
+    owners = members.local_member.hooks.recorded_owners()
+    if not live or live[0] != members.identity.process or owners is None:
         return
     now = members.clock()
     promise_free = members.promise_free()
@@ -118,6 +120,6 @@
         ended = ownership.extension_ended(
             row.known, promise_free, seen_at + timing.lease_expiry_s, now, timing
         )
-        if ended and now - seen_at >= DELETE_AFTER_S and name not in named:
+        if ended and now - seen_at >= DELETE_AFTER_S and name not in owners:
             key = member_rows.key_of(name)
             client.transact({key: version}, {}, [key])
--- a/toucanspring/cell/member_rows.py
+++ b/toucanspring/cell/member_rows.py
@@ -1,4 +1,4 @@
-"""The row of this process in the table service: renewals, claims and promises."""
+"""Member rows in the table service; renewals, claims and promises of this process."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 log = logbook.Logger(__name__)
 
 PREFIX = "members/"
-# Two polls without an answer; early enough that all members have promised before the
-# ownership lease ends.
+# Two polls without a response. Early enough that all members have promised before the
+# leases of owners expire.
 STORE_UNREACHABLE_S = 1.0
 WRITE_ATTEMPTS = 3
 MAX_FORMER_LISTS = 3
@@ -25,7 +25,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Describe one process."""
+    """Identity and addresses of a process."""
 
     process: str
     incarnation: int
@@ -36,17 +36,17 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Row `members/<process>`; `known` is the list that majorities count against.
+    """Row `members/<process>`; majorities are counted over the list `known`.
 
-    `gone` says that operators confirmed that no incarnation up to this one runs.
+    `gone` is set once operators have confirmed that no incarnation up to this one runs.
     """
 
     member: Member
     counter: int = 0
     known: list[str] = []
-    settled: list[int] = []  # own partitions whose former owners are gone
+    settled: list[int] = []  # owned partitions whose former owners are gone
     draining: bool = False
-    # Lists of former incarnations of this process, for successors of their partitions.
+    # Member lists by former incarnation of this process, for their successors.
     former: dict[str, list[str]] = {}
     gone: bool = False
 
@@ -56,54 +56,54 @@
 
 
 def key_of(process: str) -> str:
-    """Return the key of a member row."""
+    """Return the key of a process's member row."""
     return PREFIX + process
 
 
 def encode_row(row: MemberRow) -> bytes:
-    """Return the value of a member row."""
+    """Encode a member row."""
     return _encoder.encode(row)
 
 
 def decode_row(row: tables.Row) -> MemberRow | None:
-    """Return the member in a row, or `None` if it is absent or malformed."""
+    """Decode a member row; `None` if it is absent or malformed."""
     if not row.version:
         return None
     try:
         return _decoder.decode(row.value)
     except msgspec.MsgspecError as error:
-        log.error("a member row is malformed: {}", error)
+        log.error("malformed member row: {}", error)
         return None
 
 
 class RenewalHooks:
-    """Rows that each renewal must find unchanged; `claims` replaces this default."""
+    """Ownership rows that each renewal checks; implemented by `claims`."""
 
     def expected_versions(self) -> dict[str, int]:
-        """Return the versions of the ownership rows of own partitions."""
+        """Return the versions of the ownership rows of owned partitions."""
         return {}
 
     def handle_conflict(self, rows: Rows) -> None:
-        """Take in the own ownership rows after a renewal found one changed."""
+        """Handle a change of an ownership row that a renewal has found."""
 
     def settled(self) -> list[int]:
-        """Return the own partitions whose former owners are gone."""
+        """Return the owned partitions whose former owners are gone."""
         return []
 
     def owned(self) -> dict[int, int]:
-        """Return the epoch of each own partition."""
+        """Return the epoch of each owned partition."""
         return {}
 
     def recorded_owners(self) -> set[str] | None:
-        """Return the processes in ownership rows; `None` if not all rows are known."""
+        """Return the processes in ownership rows; `None` unless all rows are known."""
         return set()
 
 
 class LocalMember:
-    """Write the row of this process and hold what its answers prove.
+    """Member row and lease of this process.
 
-    All writes go through `write`, so that a claim and a renewal with a lost answer
-    are resolved in one way: by the counter in the row.
+    All writes go through `write`, so that a claim and a renewal with a lost response
+    are resolved in the same way: by the counter in the row.
     """
 
     def __init__(
@@ -112,13 +112,13 @@
         timing: ownership.Timing,
         clock: Callable[[], float],
         client: Callable[[], tables.TableClient],
-        known: Callable[[], list[str]],
+        list_members: Callable[[], list[str]],
     ) -> None:
         self.identity = identity
         self.timing = timing
         self.hooks = RenewalHooks()
         self.lease = ownership.Lease()
-        # Each member list that the row may contain; two after a lost answer.
+        # Each member list that the row may contain; two after a lost response.
         self.possible_member_lists: list[list[str]] = []
         self.draining = False
         self.replaced = False  # another incarnation has taken this process's name
@@ -129,7 +129,7 @@
         self.registered_at = -ownership.NEVER  # when the row was first written
         self._clock = clock
         self._client = client
-        self._list_members = known
+        self._list_members = list_members
         self._version = 0
         self._counter = 0
         self._former: dict[str, list[str]] = {}
@@ -150,14 +150,15 @@
         return now - max(self.last_contact_at, self.started_at)
 
     def record_contact(self, sent_at: float) -> None:
-        """Note that the store answered a request sent at `sent_at`."""
+        """Record that the store answered a request sent at `sent_at`."""
         self.last_contact_at = max(self.last_contact_at, sent_at)
 
     def try_promise(self, now: float) -> bool:
-        """Promise to claim nothing, if the store cannot be reached.
+        """Promise to claim nothing if the store is unreachable; return whether done.
 
-        A claim with a lost answer may still take effect until a later write of the own
-        row, which the claim checks, has succeeded; until then there is no promise.
+        A claim with a lost response may take effect until a later write of the member
+        row, whose version the claim checks, has succeeded. Until then no promise is
+        made.
         """
         if self.store_contact_age(now) < STORE_UNREACHABLE_S:
             return False
@@ -167,14 +168,16 @@
         return True
 
     def extend(self, promises: dict[str, float], now: float) -> None:
-        """Extend the tenure by promises of members."""
+        """Extend the lease by promises of members."""
         if self.lease.ended:
             return
         self.lease = ownership.extend(
             self.lease, self.possible_member_lists, promises, now, self.timing
         )
         if self.lease.ended:
-            log.warning("ownership has ended: neither the store nor a majority answers")
+            log.warning(
+                "ownership has ended: neither the store nor a majority is reachable"
+            )
 
     # Writes
 
@@ -184,10 +187,10 @@
         writes: dict[str, bytes] | None = None,
         claim: bool = False,
     ) -> tables.Committed | errors.Failure:
-        """Renew the row, together with further checks and writes.
+        """Renew the member row, with further checks and writes in the transaction.
 
         The renewal checks the ownership rows, so a success proves that no other
-        process had claimed a partition of this one.
+        process has claimed a partition of this one.
         """
         with self._lock:
             if self.replaced:
@@ -201,10 +204,10 @@
     def remove(self) -> None:
         """Delete the row at shutdown, unless an ownership row still needs it."""
         with self._lock:
-            named = self.hooks.recorded_owners()
-            if not self._registered or self.replaced or named is None:
+            owners = self.hooks.recorded_owners()
+            if not self._registered or self.replaced or owners is None:
                 return
-            if self.identity.process not in named:
+            if self.identity.process not in owners:
                 self._client().transact({self.key: self._version}, {}, [self.key])
 
     def _write(
@@ -216,24 +219,24 @@
                 failure = self._register()
                 if failure is not None:
                     return failure
-            # The lock may have been waited for, with a promise made meanwhile.
-            silent_s = self._clock() - self.promised_at
-            if claim and silent_s < self.timing.promise_expiry_s:
+            # A promise may have been made while this write waited for the lock.
+            promise_age_s = self._clock() - self.promised_at
+            if claim and promise_age_s < self.timing.promise_expiry_s:
                 return errors.Refused(reason="promised to claim nothing")
             guarded = {self.key, *self.hooks.expected_versions()}
             result = self._attempt(checks, writes)
             if not isinstance(result, errors.Conflict) or result.key not in guarded:
                 return result
-            reread = self._handle_conflict()
-            if reread is not None:
-                return reread
+            conflict_failure = self._handle_conflict()
+            if conflict_failure is not None:
+                return conflict_failure
         return result
 
     def _attempt(
         self, checks: dict[str, int], writes: dict[str, bytes]
     ) -> tables.Committed | errors.Failure:
-        # Unique to the attempt: an earlier one whose answer was lost may be in effect,
-        # and its lease counts from its own send time.
+        # Unique to the attempt: an earlier one whose response was lost may have taken
+        # effect, and its lease counts from its own send time.
         self._counter += 1
         counter = self._counter
         known = self._list_members()
@@ -274,9 +277,9 @@
     def _resolve_ambiguous(
         self, counter: int, lost: errors.Ambiguous, writes: dict[str, bytes]
     ) -> tables.Committed | errors.Failure:
-        """Find out whether a transaction with a lost answer took effect.
+        """Find out whether a transaction with a lost response took effect.
 
-        A further row that another process has changed since gets version 0.
+        A further row that another process has changed since is reported as version 0.
         """
         rows = self._client().read([self.key, *writes])
         if isinstance(rows, errors.Failure):
@@ -302,7 +305,7 @@
         )
 
     def _register(self) -> errors.Failure | None:
-        """Take over the row of a former incarnation of this process."""
+        """Read the row of a former incarnation of this process before replacing it."""
         sent_at = self._clock()
         rows = self._client().read([self.key])
         if isinstance(rows, errors.Failure):
@@ -319,7 +322,7 @@
         return None
 
     def _handle_conflict(self) -> None | errors.Failure:
-        """Learn why a renewal conflicted."""
+        """Read the rows again to find the reason for a conflict of a renewal."""
         rows = self._client().read([self.key, *self.hooks.expected_versions()])
         if isinstance(rows, errors.Failure):
             return rows
@@ -329,7 +332,9 @@
             if current.member.incarnation != self.identity.incarnation:
                 self.replaced = True
                 self.lease = ownership.Lease()
-                log.critical("another process uses the name {}", self.identity.process)
+                log.critical(
+                    "another process runs under the name {}", self.identity.process
+                )
                 return errors.Fenced(reason="another process uses this name")
             self._counter = max(self._counter, current.counter)
         self._version = row.version
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -1,4 +1,4 @@
-"""The processes of the cell: member rows, heartbeats and what they prove."""
+"""Membership of the cell: polls of the member rows, renewals and heartbeats."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 log = logbook.Logger(__name__)
 
-# A member whose counter stands still this long is not counted for majorities.
+# A member whose counter has not changed for this long is not counted for majorities.
 MEMBER_TIMEOUT_S = 10.0
 SCAN_EVERY_POLLS = 4
-# With polls of the store every 0.5 s, an age beyond this means that one was missed.
+# With polls of the store every 0.5 s, a higher age means that one was missed.
 STEADY_CONTACT_AGE_S = 0.75
 MAX_STEADY_INTERVAL_S = heartbeat.REACHABLE_S / 2
 SCAN_ROWS = 500
@@ -37,7 +37,7 @@
 
 
 class Service:
-    """Own the row of this process and the view of the other processes."""
+    """Maintain the member row of this process and track the other processes."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._settings = settings
         self.clock = clock
         self.timing = ownership.Timing(lease_s=settings.lease_s)
-        # Only compared for equality, so a step of the wall clock does no harm.
+        # Only compared for equality, so a step of the wall clock is harmless.
         incarnation = time.time_ns() // 1000
         identity = Member(
             settings.process,
@@ -79,7 +79,7 @@
         self._greenlets = pool.Group()
 
     def start(self) -> None:
-        """Start renewing, polling and sending heartbeats."""
+        """Start the loops for renewals, polls and heartbeats."""
         peers = self._kernel.find("peers")
         peers.incarnation = self.identity.incarnation
         if not self._settings.peer_port:
@@ -92,12 +92,12 @@
         self._greenlets.spawn(self._send_heartbeats)
 
     def stop(self) -> None:
-        """Stop all loops and delete the own row, which tells the others at once."""
+        """Stop all loops and delete the member row, so that others notice at once."""
         self._greenlets.kill()
         self.local_member.remove()
 
     def drain(self) -> None:
-        """Tell the other processes that this one is about to stop."""
+        """Announce to the other processes that this one is about to stop."""
         self.local_member.draining = True
         self.local_member.write()
         self.send_heartbeats()
@@ -106,16 +106,16 @@
 
     @property
     def identity(self) -> Member:
-        """Return this process."""
+        """Return the identity of this process."""
         return self.local_member.identity
 
     @property
     def replaced(self) -> bool:
-        """Return whether another process has taken this one's name."""
+        """Return whether another process has taken over the name of this one."""
         return self.local_member.replaced
 
     def members(self) -> dict[str, Member]:
-        """Return the processes that count as members, this one included."""
+        """Return the processes that are counted for majorities, including this one."""
         found = {
             name: row.member
             for name, (_, row) in self.rows.items()
@@ -125,7 +125,7 @@
         return found
 
     def candidates(self) -> list[str]:
-        """Return the live processes that may own partitions."""
+        """Return the live processes that may own partitions, sorted."""
         now = self.clock()
         names = {
             name
@@ -145,7 +145,7 @@
         return self.local_member.store_contact_age(now)
 
     def reachable(self) -> set[str]:
-        """Return the processes with a heartbeat within 2 s, this one included."""
+        """Return this process and those with a heartbeat within 2 s."""
         return self.peer_tracker.reachable(self.clock()) | {self.identity.process}
 
     def peer_states(self) -> dict[str, heartbeat.Heartbeat]:
@@ -154,24 +154,24 @@
         return {name: self.peer_tracker.peers[name].message for name in reachable}
 
     def watch(
-        self, keys: Callable[[], Iterable[str]], take: Callable[[Rows, float], None]
+        self, keys: Callable[[], Iterable[str]], callback: Callable[[Rows, float], None]
     ) -> None:
-        """Read rows with each poll; `take(rows, sent_at)` gets them.
+        """Read rows with each poll and pass them to `callback(rows, sent_at)`.
 
-        Sharing one read among the services keeps the load on the store low.
+        The services share one read, which keeps the load on the store low.
         """
-        self._watches.append((keys, take))
+        self._watches.append((keys, callback))
 
-    def unwatch(self, take: Callable[[Rows, float], None]) -> None:
-        """Stop reading rows for `take`."""
-        self._watches = [watch for watch in self._watches if watch[1] != take]
+    def unwatch(self, callback: Callable[[Rows, float], None]) -> None:
+        """Stop reading rows for `callback`."""
+        self._watches = [watch for watch in self._watches if watch[1] != callback]
 
     def on_heartbeat(self, listener: HeartbeatListener) -> None:
         """Call `listener(process, message, echoed_at)` for each new heartbeat."""
         self._listeners.append(listener)
 
     def promises(self) -> dict[str, float]:
-        """Return the promises of all members, this one's included."""
+        """Return the time that each member's latest promise counts from."""
         now = self.clock()
         found = dict(self.peer_tracker.promises)
         if self.local_member.try_promise(now):
@@ -179,7 +179,7 @@
         return found
 
     def promise_free(self) -> dict[str, ownership.PromiseFreeInterval]:
-        """Return in which interval each member certainly sent no promise."""
+        """Return the interval in which each member sent no promise."""
         now = self.clock()
         found = dict(self.peer_tracker.promise_free)
         for name, (_, row) in self.rows.items():
@@ -191,20 +191,20 @@
         return found
 
     def lease_state(self, now: float) -> ownership.LeaseState:
-        """Return what this process may do as an owner."""
+        """Return the state of the lease of this process."""
         return ownership.lease_state(self.local_member.lease, now)
 
     def member_lists(self) -> dict[str, list[str]]:
-        """Return the list in each member row, those of silent members included."""
+        """Return the list in each member row, including those of silent members."""
         lists = {name: row.known for name, (_, row) in self.rows.items()}
         lists[self.identity.process] = sorted(self.members())
         return lists
 
     def confirm_gone(self, process: str) -> None | errors.Failure:
-        """Take an operator's word that no incarnation of a process runs any more.
+        """Record an operator's confirmation that no incarnation of a process runs.
 
-        Fails with `NotFound`, `Refused` if the process was seen alive, or a failure of
-        the store.
+        Fails with `NotFound`, with `Refused` if the process is alive, or with a failure
+        of the store.
         """
         return member_removal.confirm(self, self._tables, process)
 
@@ -216,7 +216,7 @@
 
     def poll(self) -> None | errors.Failure:
         """Read the member rows and the watched rows in one request."""
-        watched = [(list(keys()), take) for keys, take in self._watches]
+        watched = [(list(keys()), callback) for keys, callback in self._watches]
         wanted = {key for keys, _ in watched for key in keys}
         scanning = self._polls % SCAN_EVERY_POLLS == 0
         if scanning:
@@ -232,14 +232,14 @@
         self._polls += 1
         self.local_member.record_contact(sent_at)
         self._handle_rows(rows)
-        for keys, take in watched:
-            take({key: rows[key] for key in keys}, sent_at)
+        for keys, callback in watched:
+            callback({key: rows[key] for key in keys}, sent_at)
         if scanning:
             member_removal.delete_dead(self, self._tables)
         return None
 
     def read_members(self) -> None | errors.Failure:
-        """Read all member rows, also those that are new."""
+        """Read all member rows, including new ones."""
         sent_at = self.clock()
         found: dict[str, tables.Row] = {}
         after = ""
@@ -261,7 +261,7 @@
             if not key.startswith(member_rows.PREFIX):
                 continue
             name = key.removeprefix(member_rows.PREFIX)
-            # Two reads under way at once may be answered in the other order.
+            # The responses to two concurrent reads may arrive in the other order.
             if 0 < row.version < self.rows.get(name, (0, None))[0]:
                 continue
             current = member_rows.decode_row(row)
@@ -287,9 +287,10 @@
         )
 
     def _is_recent(self, name: str) -> bool:
-        """Return whether a member is recent enough to be counted for majorities.
+        """Return whether a member was recently seen to renew its row.
 
-        Without store access the list stays as it was last read.
+        Time counts up to the last contact with the store, so that the member list does
+        not change during an outage.
         """
         seen_at = self.observations[name].counter_seen_at
         return (
@@ -304,8 +305,8 @@
         rounds.repeat(interval_s, work, self.clock, lambda: self.replaced, on_pause)
 
     def _renew(self) -> None:
-        # The list in the first row must come from a read: a list of this process alone
-        # would make it a majority of its own.
+        # The member list in the first row must come from a read: in a list of this
+        # process alone, it would be a majority by itself.
         if not self._polls:
             return
         result = self.local_member.write()
@@ -315,16 +316,16 @@
     # Heartbeats
 
     def _send_heartbeats(self) -> None:
-        """Send heartbeats at a fixed rate, and at once when store access is lost.
+        """Send heartbeats at a fixed rate and as soon as the store is unreachable.
 
-        The ownership lease may end half a second after that, so promises must not wait
-        for the next regular heartbeat.
+        Leases may expire half a second after that, so promises must not wait for the
+        next regular heartbeat.
         """
         while True:
             try:
                 self.send_due_heartbeats()
             except Exception:
-                log.exception("heartbeats failed")
+                log.exception("sending heartbeats failed")
             wait_s = self._settings.heartbeat_s
             lost_in_s = member_rows.STORE_UNREACHABLE_S - self.store_contact_age(
                 self.clock()
@@ -334,10 +335,10 @@
             gevent.sleep(wait_s)
 
     def send_due_heartbeats(self) -> None:
-        """Send heartbeats, every other time only while all is calm.
+        """Send heartbeats, but only every other time in the steady state.
 
-        Promises and views that others vouch for count from an echoed clock. As soon as
-        any process may need them, all that hear of it send at the full rate.
+        Promises and confirmations of views count from an echoed clock value. As soon as
+        any process may need them, all processes that notice send at the full rate.
         """
         self._reporter.report_changes()
         self._skipped_last = not self._skipped_last and self.is_steady(self.clock())
@@ -345,7 +346,7 @@
             self.send_heartbeats()
 
     def is_steady(self, now: float) -> bool:
-        """Return whether all members are heard, read the store and promise nothing."""
+        """Return whether all members are reachable and none has lost the store."""
         interval_s = 2 * self._settings.heartbeat_s
         if (
             interval_s > MAX_STEADY_INTERVAL_S
@@ -362,7 +363,7 @@
         )
 
     def send_heartbeats(self) -> None:
-        """Send the own state to all other members."""
+        """Send the state of this process to all other members."""
         now = self.clock()
         peers = self._kernel.find("peers")
         documents = self._kernel.find("documents")
@@ -393,7 +394,7 @@
     def _handle_heartbeat(self, sender: str, body: bytes) -> None:
         message = heartbeat.decode(body)
         if isinstance(message, errors.Failure):
-            log.warning("malformed heartbeat of {}: {}", sender, message.reason)
+            log.warning("malformed heartbeat from {}: {}", sender, message.reason)
             return
         now = self.clock()
         if not self.peer_tracker.record(sender, message, now):
--- a/toucanspring/cell/ownership.py
+++ b/toucanspring/cell/ownership.py
@@ -1,7 +1,9 @@
-"""Decide who owns a partition, from leases, row sightings and promises.
+"""Partition ownership by leases in the store and majority promises.
 
-All functions are pure. Times are monotonic seconds of the deciding process; no
-time of another process is ever compared with them.
+An owner renews a lease in the store. While neither it nor a majority of the members
+reaches the store, the lease is extended by promises of these members to claim nothing.
+All functions are pure. Times are monotonic seconds of the process that evaluates them;
+no time of another process is ever compared with them.
 """
 
 from __future__ import annotations
@@ -15,44 +17,46 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Hold the durations that all processes of a cell must agree on."""
+    """Durations that must be equal in all processes of a cell."""
 
     lease_s: float = 2.5
     promise_s: float = 2.0
-    # The only clock assumption: over a lease, two monotonic clocks differ by less.
+    # Upper bound for the relative rate difference of two monotonic clocks over a lease,
+    # the only assumption about clocks.
     drift: float = 0.05
-    # Longest extension after the last renewal. It outlasts an outage of ten minutes
-    # three times, and bounds the wait of a successor when all members of the former
-    # owner's list are gone for good, since nobody can then say that none promised.
+    # Longest extension after the last renewal. It covers a store outage three times as
+    # long as the expected ten minutes. It also bounds the wait of a successor when all
+    # members of the former owner's list are permanently gone, since then no process
+    # can tell whether they promised.
     extension_s: float = 1800.0
 
     @property
     def extension_expiry_s(self) -> float:
-        """Return how long after a claim no former owner can be extended any more."""
+        """Return the time after a claim when all former owners' extensions are over."""
         return (self.lease_s + self.extension_s) * (1 + self.drift)
 
     @property
     def lease_expiry_s(self) -> float:
-        """Return how long a counter must stand still before a claim."""
+        """Return how long a member row must be unchanged for its lease to be over."""
         return self.lease_s * (1 + self.drift)
 
     @property
     def promise_expiry_s(self) -> float:
-        """Return how long after its last promise a member is certainly not counted."""
+        """Return after which time a promise no longer counts on any process's clock."""
         return self.promise_s * (1 + self.drift)
 
 
 class LeaseState(enum.Enum):
-    """What an owner may do with its partitions."""
+    """State of the lease, which determines what an owner may do."""
 
     HELD = "held"  # the lease in the store is valid
-    EXTENDED = "extended"  # a majority promises that it cannot reach the store
-    NARROWED = "narrowed"  # starts nothing and renews no worker leases
+    EXTENDED = "extended"  # by promises of a majority without store access
+    NARROWED = "narrowed"  # expired: no tasks are started, no worker leases renewed
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """Hold until when a process may act as owner without a further proof."""
+    """Lease of a process: granted by the store, extended by promises."""
 
     granted_until: float = NEVER
     valid_until: float = NEVER
@@ -60,18 +64,19 @@
 
 
 def renew(lease: Lease, sent_at: float, timing: Timing) -> Lease:
-    """Count the lease from the moment a successful renewal was sent.
+    """Return the lease after a successful renewal that was sent at `sent_at`.
 
-    Only a successful renewal, which reads the ownership rows, resumes an ended tenure.
+    Only a successful renewal, which checks the ownership rows, resumes an ended lease.
     """
     until = max(sent_at + timing.lease_s, lease.granted_until)
     return Lease(until, max(until, NEVER if lease.ended else lease.valid_until), False)
 
 
 def majority_since(members: Collection[str], promises: Mapping[str, float]) -> float:
-    """Return the latest time since which more than half of `members` have promised.
+    """Return the time of the oldest promise in the most recent majority of `members`.
 
-    `promises` maps a process to the echoed own clock its latest promise counts from.
+    `promises` maps a process to the echoed local time that its latest promise counts
+    from.
     """
     if not members:
         return NEVER
@@ -82,7 +87,7 @@
 def majority_until(
     members: Collection[str], promises: Mapping[str, float], timing: Timing
 ) -> float:
-    """Return until when more than half of `members` stand by a promise."""
+    """Return until when promises of more than half of `members` count."""
     return majority_since(members, promises) + timing.promise_s
 
 
@@ -93,12 +98,12 @@
     now: float,
     timing: Timing,
 ) -> Lease:
-    """Move the end of a tenure with the promises known at `now`.
+    """Extend a lease by the promises known at `now`.
 
     `lists` holds each member list that the owner's row may contain: after a renewal
-    with a lost answer there are two, and the majority must hold in both. A tenure that
-    has run out stays ended, even if promises arrive later: a successor may have
-    concluded in between that this owner is gone.
+    with a lost response there are two, and a majority is needed in both. An expired
+    lease stays ended even if promises arrive later, since a successor may have found
+    in the meantime that this owner has ended.
     """
     if lease.ended or now >= lease.valid_until:
         return dataclasses.replace(lease, ended=True)
@@ -110,7 +115,7 @@
 
 
 def lease_state(lease: Lease, now: float) -> LeaseState:
-    """Return what the owner may do at `now`."""
+    """Return the state of a lease at `now`."""
     if lease.ended or now >= lease.valid_until:
         return LeaseState.NARROWED
     return LeaseState.HELD if now < lease.granted_until else LeaseState.EXTENDED
@@ -118,9 +123,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """Hold when the present counter and incarnation of a member row were first read.
+    """Time at which the current counter and incarnation of a row were first read.
 
-    Both times are those at which the answer arrived, hence later than the renewal.
+    Both are the times at which the response arrived, hence later than the renewal.
     """
 
     incarnation: int
@@ -132,7 +137,7 @@
 def observe(
     last: Observation | None, incarnation: int, counter: int, received_at: float
 ) -> Observation:
-    """Return the sighting after a read; an absent row has incarnation 0."""
+    """Return the observation after a read; an absent row has incarnation 0."""
     if last is None or last.incarnation != incarnation:
         return Observation(incarnation, counter, received_at, received_at)
     if last.counter != counter:
@@ -143,10 +148,10 @@
 def is_lease_expired(
     observation: Observation | None, incarnation: int, now: float, timing: Timing
 ) -> bool:
-    """Return whether the owner with this incarnation has certainly lost its lease.
+    """Return whether the lease of an owner's incarnation has expired on any clock.
 
-    If the row shows another incarnation, the owner's renewals fail since that was
-    first seen.
+    Once the row shows another incarnation, renewals of the earlier one fail, so its
+    lease counts from the time when the new incarnation was first read.
     """
     if observation is None:
         return False
@@ -158,13 +163,13 @@
 def may_claim(
     owner_expired: bool, promised_at: float, now: float, timing: Timing
 ) -> bool:
-    """Return whether a claim may be sent; `promised_at` is the own last promise."""
+    """Return whether to send a claim; `promised_at` is the caller's last promise."""
     return owner_expired and now - promised_at >= timing.promise_expiry_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromiseFreeInterval:
-    """Hold the interval of own time in which a member certainly sent no promise."""
+    """Interval of local time in which a member sent no promise."""
 
     since: float
     until: float
@@ -173,10 +178,10 @@
 def promise_free_interval(
     echoed_at: float, received_at: float, promise_free_s: float, timing: Timing
 ) -> PromiseFreeInterval:
-    """Convert a heartbeat's time without a promise to own time.
+    """Convert the promise-free time in a heartbeat to local time.
 
-    The heartbeat was sent between `echoed_at` and `received_at`, so the interval
-    starts late and ends early.
+    The heartbeat was sent between `echoed_at` and `received_at`; the interval is
+    shortened at both ends accordingly.
     """
     return PromiseFreeInterval(
         received_at - promise_free_s * (1 - timing.drift), echoed_at
@@ -190,14 +195,14 @@
     now: float,
     timing: Timing,
 ) -> bool:
-    """Return whether an owner with this list must have ended since `claimed_at`.
+    """Return whether an owner with this member list has ended since `claimed_at`.
 
-    That holds if at one moment after the claim at least half of the list had sent no
-    promise for as long as a promise can count: then no majority stood, and an ended
-    extension is not resumed. It also holds once no extension can last any longer.
+    That is so if at some time after the claim at least half of the list had sent no
+    promise for as long as a promise counts: there was no majority then, and an ended
+    extension is not resumed. It is also so once the longest extension is over.
     """
     if not members or now - claimed_at >= timing.extension_expiry_s:
-        return True  # nobody's promise counts, or none counts any longer
+        return True  # no promise can count, or the longest extension is over
     known = [promise_free[name] for name in members if name in promise_free]
     for moment in {interval.until for interval in known}:
         if moment < claimed_at:
--- a/toucanspring/cell/ownership_rows.py
+++ b/toucanspring/cell/ownership_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table service that name the owner of each partition."""
+"""Rows of the table service that record the owner of each partition."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class PartitionRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Row `partitions/<p>`; an empty `process` means that it was released.
+    """Row `partitions/<p>`; `process` is empty after a release.
 
-    `former` holds the member lists of former owners that may still extend.
+    `former` holds the member lists of former owners whose leases may still be extended.
     """
 
     process: str = ""
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionedRow:
-    """Hold an ownership row as last read or written."""
+    """Ownership row and its version as last read or written."""
 
     version: int
     row: PartitionRow
@@ -44,11 +44,11 @@
 
 
 def decode_row(row: tables.Row) -> PartitionRow | None:
-    """Return an ownership row; an absent row has epoch 0, a malformed one is `None`."""
+    """Decode a row: with epoch 0 if it is absent, `None` if it is malformed."""
     if not row.version:
         return PartitionRow()
     try:
         return _decoder.decode(row.value)
     except msgspec.MsgspecError as error:
-        log.error("an ownership row is malformed: {}", error)
+        log.error("malformed ownership row: {}", error)
         return None
--- a/toucanspring/cell/peers.py
+++ b/toucanspring/cell/peers.py
@@ -1,4 +1,4 @@
-"""Calls and notices between the processes of a cell."""
+"""Service `peers`: calls and notices between the processes of a cell."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 HANDSHAKE_TIMEOUT_S = 2.0
 MAX_HELLO_BYTES = 4096
-# Streams that have not said hello; more are closed at once.
+# Accepted streams before their hello frame; further ones are closed at once.
 MAX_PENDING_HANDSHAKES = 64
 MAX_CALLS_PER_STREAM = 256
 BACKLOG = 128
-# Heartbeats arrive every 0.5 s; a silent stream belongs to a lost VM.
+# Heartbeats arrive every 0.5 s or, in the steady state, every 1 s, so a silent stream
+# belongs to a lost VM.
 IDLE_TIMEOUT_S = 10.0
 
 Handler = Callable[[str, bytes], "bytes | Iterator[bytes] | errors.Failure"]
@@ -36,7 +37,7 @@
     if not settings.tls_certificate:
         log.warning("peer streams are not encrypted: no TLS certificate is set")
         return None
-    import ssl  # only needed here; it costs memory
+    import ssl  # imported only if needed, to save memory
 
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -49,7 +50,7 @@
 
 
 class Service:
-    """Own the streams to and from the other processes."""
+    """Manage the streams to and from the other processes (kernel name `peers`)."""
 
     def __init__(
         self, kernel: object, settings: object, rng: random.Random | None = None
@@ -83,7 +84,7 @@
         self._greenlets.spawn(self._accept)
 
     def stop(self) -> None:
-        """Close all streams; waiting calls end with a failure."""
+        """Close all streams; pending calls fail."""
         if self._listener is not None:
             self._listener.close()
         for process in list(self._connections):
@@ -93,7 +94,7 @@
         self._greenlets.kill()
 
     def set_targets(self, targets: dict[str, tuple[str, int]]) -> None:
-        """Keep a stream to each process at the given address and port."""
+        """Set the address and port of each process to keep a stream to."""
         for process in list(self._connections):
             if self._connections[process].target != targets.get(process):
                 closed = self._connections.pop(process)
@@ -104,11 +105,11 @@
                 self._connections[process] = rpc.PeerConnection(self, process, target)
 
     def handle(self, method: str, function: Handler) -> None:
-        """Answer calls of a method with `function(sender, body)`."""
+        """Register `function(sender, body)` to answer calls of a method."""
         self._handlers[method] = function
 
     def handle_notice(self, method: str, function: NoticeHandler) -> None:
-        """Pass notices to `function(sender, body)`, which must not block."""
+        """Register `function(sender, body)` for notices; it must not block."""
         self._notice_handlers[method] = function
 
     def call(
@@ -119,11 +120,11 @@
         timeout_s: float,
         abandon: Callable[[], bool] | None = None,
     ) -> bytes | errors.Failure:
-        """Return the answer of another process.
+        """Call a method of another process and return its answer.
 
-        Fails with the peer's failure, `Unavailable` (certainly not sent) or
-        `Ambiguous` (sent, no answer). A streamed answer is joined, up to 16 MiB.
-        The wait ends early once `abandon` returns true.
+        Fails with the peer's failure, `Unavailable` (not sent) or `Ambiguous` (sent, no
+        answer). A streamed answer is joined, up to 16 MiB. The wait ends early once
+        `abandon` returns true.
         """
         chunks = self.call_stream(process, method, body, timeout_s, abandon)
         if isinstance(chunks, errors.Failure):
@@ -136,7 +137,7 @@
                 size += len(chunk)
                 if time.monotonic() > deadline:
                     chunks.close()
-                    return errors.Ambiguous(reason=f"no whole answer to {method}")
+                    return errors.Ambiguous(reason=f"no complete answer to {method}")
                 if size > rpc.MAX_JOINED_BYTES:
                     chunks.close()
                     return errors.Oversized(
@@ -156,9 +157,10 @@
         timeout_s: float,
         abandon: Callable[[], bool] | None = None,
     ) -> Iterator[bytes] | errors.Failure:
-        """Return the chunks of an answer; raises `StreamBrokenError` in mid-answer.
+        """Call a method and return its answer as chunks.
 
-        `timeout_s` limits the wait for the first chunk and for each further one.
+        `timeout_s` limits the wait for the first chunk and for each further one. The
+        iterator raises `StreamBrokenError` if the answer ends early.
         """
         target = self._connections.get(process)
         if target is None:
@@ -166,12 +168,12 @@
         return target.call(method, body, timeout_s, abandon)
 
     def notify(self, process: str, method: str, body: bytes) -> bool:
-        """Send a notice unless the stream is down or busy; say whether it was sent."""
+        """Queue a notice; return `False` if the stream is down or its queue is full."""
         target = self._connections.get(process)
         return target is not None and target.notify(method, body)
 
     def connected(self) -> list[str]:
-        """Return the processes that calls can be sent to now."""
+        """Return the processes with an established stream."""
         return [name for name, target in self._connections.items() if target.is_up]
 
     def traffic(self) -> tuple[int, int]:
@@ -182,7 +184,7 @@
         return sent + self._closed_bytes[0], received + self._closed_bytes[1]
 
     def hello(self) -> frames.Hello:
-        """Return the introduction of this process."""
+        """Return the hello frame's content for this process."""
         return frames.Hello(
             self.settings.process,
             self.incarnation,
@@ -201,12 +203,14 @@
             except OSError as error:
                 if self._listener.fileno() < 0:
                     return
-                # Out of file descriptors, for example; retry instead of ending.
+                # For example out of file descriptors; retry instead of ending.
                 log.error("cannot accept a peer stream: {}", error)
                 gevent.sleep(0.1)
                 continue
             if self._pending_handshakes >= MAX_PENDING_HANDSHAKES:
-                log.warning("closing {}: too many streams without hello", address[0])
+                log.warning(
+                    "closing stream from {}: too many pending handshakes", address[0]
+                )
                 sock.close()
                 continue
             self._pending_handshakes += 1
@@ -230,7 +234,7 @@
     def _handshake(
         self, sock: socket.socket, address: tuple[str, int]
     ) -> tuple[stream.Stream | None, str | None]:
-        """Return the stream and the name of the dialling process, once proven."""
+        """Return the stream, and the name of the dialling process if it is accepted."""
         try:
             with gevent.Timeout(HANDSHAKE_TIMEOUT_S):
                 if self._server_tls is not None:
@@ -239,7 +243,7 @@
                 self._accepted[accepted] = None
                 message = accepted.receive()
         except (gevent.Timeout, OSError) as error:
-            log.warning("peer stream from {} gave no hello: {}", address[0], error)
+            log.warning("no hello on peer stream from {}: {}", address[0], error)
             return None, None
         refusal = self._check_hello(message)
         if refusal is not None:
@@ -251,7 +255,7 @@
         return accepted, frames.decode_as(frames.Hello, message.body).process
 
     def _check_hello(self, message: object) -> str | None:
-        """Return why a first message is refused."""
+        """Return why the first message is refused, or `None` if it is valid."""
         if not isinstance(message, frames.Frame):
             return message.reason
         hello = frames.decode_as(frames.Hello, message.body)
@@ -300,7 +304,7 @@
         notice = frames.decode_as(frames.Call, body)
         handler = self._notice_handlers.get(getattr(notice, "method", ""))
         if handler is None:
-            log.warning("ignoring a notice of {} without a handler", sender)
+            log.warning("ignoring notice from {}: no handler", sender)
             return
         try:
             handler(sender, notice.body)
--- a/toucanspring/cell/reply.py
+++ b/toucanspring/cell/reply.py
@@ -1,4 +1,4 @@
-"""Values and failures as bytes between processes."""
+"""Encoding of results of calls between processes."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Carry a value or a failure between processes."""
+    """Result of a call: an encoded value or a failure."""
 
     value: bytes | None = None
     failure: dict[str, object] | None = None
 
 
 def encode_result(value: object) -> bytes:
-    """Return a value or failure as bytes for a peer."""
+    """Encode a value or failure for a peer."""
     if isinstance(value, errors.Failure):
         return encode(Reply(failure=errors.to_dict(value)))
     return encode(Reply(value=encode(value)))
 
 
 def decode_result(body: bytes, kind: type) -> object | errors.Failure:
-    """Return the value or failure that a peer sent."""
+    """Decode the value or failure that a peer sent."""
     try:
         reply = msgspec.msgpack.decode(body, type=Reply)
         if reply.failure is not None:
@@ -35,20 +35,20 @@
 
 
 def pack(item: str | errors.Failure) -> str | dict[str, object]:
-    """Return an item of a list of results in the form that is encoded."""
+    """Return an item of a list of results in its encodable form."""
     return errors.to_dict(item) if isinstance(item, errors.Failure) else item
 
 
 def unpack(item: str | dict[str, object]) -> str | errors.Failure:
-    """Return an item of a decoded list of results."""
+    """Return the result that an item of a decoded list stands for."""
     return errors.from_dict(item) if isinstance(item, dict) else item
 
 
 def resubmission_failure(answers: list[str | errors.Failure]) -> errors.Failure | None:
-    """Return why a whole submission is to be repeated, to the successor of an owner.
+    """Return why a whole submission must be sent again, to the successor of an owner.
 
-    `Fenced` says that some of its jobs may be in the log. Jobs that were accepted are
-    repeated with the others, which changes nothing.
+    `Fenced` means that some of its jobs may be in the log. Accepted jobs are sent again
+    with the others; accepting a job twice has no effect.
     """
     lost = [each for each in answers if isinstance(each, errors.Failure)]
     for failure in lost:
--- a/toucanspring/cell/rpc.py
+++ b/toucanspring/cell/rpc.py
@@ -1,4 +1,4 @@
-"""Both ends of a stream between processes: a caller's link, a callee's calls."""
+"""Remote procedure calls over a stream: the caller's and the callee's side."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 ABANDON_CHECK_S = 0.25
 MAX_JOINED_BYTES = 16 << 20
 MAX_BODY_BYTES = wire.MAX_FRAME_BYTES - 1024
-# Bodies of running calls of one stream.
+# Total size of the bodies of running calls of one stream.
 MAX_RUNNING_BYTES = 8 << 20
-# How long an answer waits for room in the queue or in the caller's window.
+# How long an answer waits for space in the send queue or in the caller's window.
 ANSWER_STALL_S = 10.0
 
 
 class StreamBrokenError(Exception):
-    """Raised by a streamed answer that ended before its end marker."""
+    """A streamed answer ended before its end marker."""
 
 
 def _wait_for_answer(
     answers: queue.SimpleQueue, timeout_s: float, abandon: Callable[[], bool] | None
 ) -> frames.Frame | errors.Timeout | errors.Closed:
-    """Return the first frame of an answer, or `Timeout`, early if `abandon` says so."""
+    """Return the first frame of an answer; time out early once `abandon` is true."""
     left_s = timeout_s
     while left_s > 0:
         step_s = left_s if abandon is None else min(left_s, ABANDON_CHECK_S)
@@ -47,7 +47,7 @@
 
 
 class PeerConnection:
-    """Own the stream that this process dials to another one."""
+    """Stream that this process dials to another one, and the calls on it."""
 
     def __init__(self, peers: object, process: str, target: tuple[str, int]) -> None:
         self.target = target
@@ -64,12 +64,12 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes sent since the link exists."""
+        """Return the bytes sent over all streams of this connection."""
         return self._closed_bytes[0] + (self._stream.sent_bytes if self._stream else 0)
 
     @property
     def received_bytes(self) -> int:
-        """Return the bytes received since the link exists."""
+        """Return the bytes received over all streams of this connection."""
         return self._closed_bytes[1] + (
             self._stream.received_bytes if self._stream else 0
         )
@@ -81,16 +81,16 @@
 
     def close(self) -> None:
         """Close the stream and stop dialling."""
-        self._disconnect("the link was closed")
+        self._disconnect("the connection was closed")
         self._dialler.kill(block=False)
 
     def reconnect_now(self) -> None:
-        """Dial now, since the other process has just shown that it is up."""
+        """Dial at once, since the other process has just shown that it is up."""
         if self._outbox is None:
             self._reconnect.set()
 
     def notify(self, method: str, body: bytes) -> bool:
-        """Queue a notice; it replaces an earlier one that was not sent yet."""
+        """Queue a notice; it replaces an unsent one of the same method."""
         box = self._outbox
         if box is None:
             return False
@@ -106,7 +106,7 @@
         timeout_s: float,
         abandon: Callable[[], bool] | None = None,
     ) -> Iterator[bytes] | errors.Failure:
-        """Send a call and return its answer's chunks, once the first has arrived."""
+        """Send a call, wait for the first frame and return the chunks of the answer."""
         box = self._outbox
         if box is None:
             return errors.Unavailable(reason=f"no stream to process {self._process}")
@@ -123,7 +123,7 @@
             return errors.Unavailable(reason=f"queue to {self._process} is full")
         first = _wait_for_answer(answers, timeout_s, abandon)
         if isinstance(first, errors.Timeout | errors.Closed):
-            self._forget(box, correlation)
+            self._cancel(box, correlation)
             reason = f"call {method} to {self._process}: {first.reason}"
             if box.withdraw(item):
                 return errors.Unavailable(reason=reason)
@@ -141,7 +141,7 @@
         frame: frames.Frame,
         timeout_s: float,
     ) -> Iterator[bytes]:
-        size = taken = 0
+        size = consumed = 0
         finished = False
         try:
             while True:
@@ -153,11 +153,13 @@
                     case frames.Frame(kind=frames.Kind.CHUNK, body=body):
                         size += len(body)
                         yield body
-                        taken += 1
-                        if taken * 2 >= frames.WINDOW_CHUNKS:
-                            room = frames.encode(taken)
-                            box.put(frames.Frame(frames.Kind.WINDOW, correlation, room))
-                            taken = 0
+                        consumed += 1
+                        if consumed * 2 >= frames.WINDOW_CHUNKS:
+                            credit = frames.encode(consumed)
+                            box.put(
+                                frames.Frame(frames.Kind.WINDOW, correlation, credit)
+                            )
+                            consumed = 0
                     case frames.Frame(kind=frames.Kind.END, body=body):
                         finished = True
                         length = frames.decode_as(int, body)
@@ -178,10 +180,10 @@
             if finished:
                 self._waiting.pop(correlation, None)
             else:
-                self._forget(box, correlation)
+                self._cancel(box, correlation)
 
-    def _forget(self, box: outbox.Outbox, correlation: int) -> None:
-        """Stop waiting for a call and let the peer stop answering."""
+    def _cancel(self, box: outbox.Outbox, correlation: int) -> None:
+        """Stop waiting for a call and cancel it at the peer."""
         if self._waiting.pop(correlation, None) is not None:
             box.put(frames.Frame(frames.Kind.CANCEL, correlation))
 
@@ -192,12 +194,12 @@
                 if self._connect():
                     backoff = FIRST_BACKOFF_S
                     self._receive()
-                # Jitter keeps the processes of a cell from dialling in step.
+                # Jitter keeps the processes of a cell from dialling at the same time.
                 self._reconnect.clear()
                 self._reconnect.wait(backoff * self._peers.rng.uniform(0.5, 1.5))
                 backoff = min(backoff * 2, MAX_BACKOFF_S)
         finally:
-            self._disconnect("the link was closed")
+            self._disconnect("the connection was closed")
 
     def _connect(self) -> bool:
         address, port = self.target
@@ -216,7 +218,7 @@
             return False
         if not isinstance(message, frames.Frame) or message.kind != frames.Kind.WELCOME:
             reason = getattr(message, "reason", "unexpected frame")
-            log.warning("process {} did not welcome us: {}", self._process, reason)
+            log.warning("handshake with {} failed: {}", self._process, reason)
             connected.close()
             return False
         welcome = frames.decode_as(frames.Welcome, message.body)
@@ -257,7 +259,7 @@
 
 
 class CallServer:
-    """Run the calls that arrive on one accepted stream."""
+    """Serve the calls that arrive on one accepted stream."""
 
     def __init__(
         self, handlers: dict, answers: outbox.Outbox, sender: str, limit: int
@@ -270,26 +272,26 @@
         self._running: dict[int, tuple[gevent.Greenlet, lock.Semaphore]] = {}
 
     def dispatch(self, frame: frames.Frame) -> None:
-        """Act on a frame of the caller."""
+        """Handle a frame of the caller."""
         match frame.kind:
             case frames.Kind.CALL:
                 self._start(frame)
             case frames.Kind.WINDOW:
                 running = self._running.get(frame.correlation)
-                room = frames.decode_as(int, frame.body)
-                if running is not None and isinstance(room, int):
-                    for _ in range(min(room, frames.WINDOW_CHUNKS)):
+                credit = frames.decode_as(int, frame.body)
+                if running is not None and isinstance(credit, int):
+                    for _ in range(min(credit, frames.WINDOW_CHUNKS)):
                         running[1].release()
             case frames.Kind.CANCEL:
                 running = self._running.get(frame.correlation)
                 if running is not None:
-                    # Ends a streamed answer at its next chunk; a call that is still
-                    # computing goes on, since it may be in the middle of a write.
+                    # Ends a streamed answer at its next chunk. A handler that is still
+                    # running is not interrupted, since it may be writing.
                     running[0].cancelled = True
                     running[1].release()
 
     def close(self) -> None:
-        """Let running calls end without an answer."""
+        """Cancel the running calls; their answers are dropped."""
         for greenlet, window in self._running.values():
             greenlet.cancelled = True
             window.release()
@@ -356,8 +358,8 @@
                             return
                         size += len(part)
             except Exception as error:
-                log.warning("streamed answer to {} broke: {!r}", self._sender, error)
-                failure = errors.Unknown(reason=f"answer broke: {error!r}")
+                log.warning("streamed answer to {} failed: {!r}", self._sender, error)
+                failure = errors.Unknown(reason=f"streamed answer failed: {error!r}")
                 self._reply(frames.Kind.FAILURE, frame, frames.encode_failure(failure))
                 return
         self._reply(frames.Kind.END, frame, frames.encode(size))
--- a/toucanspring/cell/transitions.py
+++ b/toucanspring/cell/transitions.py
@@ -1,4 +1,4 @@
-"""Changes of what a process may do and whether it reaches the store, as events."""
+"""Events for changes of the lease state and of the access to the store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Members(Protocol):
-    """What this process knows of its own standing."""
+    """The part of the membership service that is used here."""
 
     local_member: member_rows.LocalMember
 
@@ -18,31 +18,31 @@
         """Return the monotonic time in seconds."""
 
     def lease_state(self, now: float) -> ownership.LeaseState:
-        """Return whether the partitions are held, extended or narrowed."""
+        """Return the state of the lease of this process."""
 
     def store_contact_age(self, now: float) -> float:
-        """Return the seconds since the last answer of the store was requested."""
+        """Return seconds since the last request that the store answered was sent."""
 
 
 class TransitionDetector:
-    """Compare each look with the one before; times are monotonic seconds."""
+    """Detect changes between successive updates; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._state = ownership.LeaseState.HELD
-        self._lease_expired_at = 0.0  # when the lease was last seen to be over
+        self._lease_expired_at = 0.0  # as last detected
         self._store_lost_at: float | None = (
-            None  # last answer before the store was lost
+            None  # when the last answered request was sent
         )
         self._was_missed = False
 
-    def look(
+    def update(
         self,
         state: ownership.LeaseState,
         partitions: int,
         store_age_s: float,
         now: float,
     ) -> list[event_kinds.Event]:
-        """Return what has changed; a process without partitions has no standing."""
+        """Return the changes; the lease state is ignored without partitions."""
         found = self._update_store(store_age_s, now)
         if not partitions:
             state = ownership.LeaseState.HELD
@@ -69,7 +69,8 @@
         if self._store_lost_at is not None and not self._was_missed:
             seconds, self._store_lost_at = now - age_s - self._store_lost_at, None
             return [event_kinds.StoreAvailable(seconds)]
-        # Once alone, the process was paused, and polls when it goes on.
+        # A single missed update means that the process was paused; it polls the store
+        # as soon as it resumes.
         if self._store_lost_at is None and missed and self._was_missed:
             self._store_lost_at = now - age_s
             return [event_kinds.StoreUnavailable(age_s)]
@@ -77,7 +78,7 @@
 
 
 class TransitionReporter:
-    """Publish the transitions and pauses of this process."""
+    """Publish the lease and store transitions and the pauses of this process."""
 
     def __init__(self, members: Members, core: kernel.Kernel) -> None:
         self._members = members
@@ -85,8 +86,8 @@
         self._transitions = TransitionDetector()
         self._paused_at = ownership.NEVER
 
-    def look(self) -> None:
-        """Publish what has changed since the last look."""
+    def report_changes(self) -> None:
+        """Publish the changes since the last call."""
         members = self._members
         now = members.clock()
         held = len(members.local_member.hooks.owned())
@@ -96,7 +97,7 @@
             self._kernel.publish(event)
 
     def report_pause(self, late_s: float) -> None:
-        """Publish a pause once, although each loop sees it."""
+        """Publish a pause once, although each loop reports it."""
         now = self._members.clock()
         if now - self._paused_at >= rounds.PAUSE_S:
             self._kernel.publish(event_kinds.ProcessPaused(late_s))
