--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -30,34 +30,34 @@
         owner.kill()
         del self.cell.nodes[owner.name]
         taken_s = self.cell.run_until(lambda: self.cell.owners(0))
-        # Lease and drift count from the sight of the last renewal, up to one renewal
-        # and one poll before the death; another poll may pass until the claim.
+        # The lease and drift count from the read of the last renewal, up to one renewal
+        # and one poll before the failure. The claim follows up to one poll later.
         self.assertTrue(1.5 <= taken_s <= 3.4, taken_s)
         self.assertEqual(2, self.owner().claims.owned()[0])
 
-    def test_changes_of_owners_are_told_with_their_cause(self):
+    def test_changes_of_owners_are_published_with_their_cause(self):
         self.make(count=2, partitions=1)
         former = self.owner()
         (successor,) = [n for n in self.cell.nodes.values() if n is not former]
-        told = []
+        published = []
         for node in (former, successor):
             for kind in event_kinds.KINDS:
-                node.kernel.subscribe(kind, told.append)
+                node.kernel.subscribe(kind, published.append)
         former.paused = True
         self.assertIsNotNone(self.cell.run_until(lambda: successor.claims.owned()))
         former.paused = False
         self.cell.run(1)
         claimed = event_kinds.PartitionClaimed(0, 2, former.name, "silent")
-        self.assertIn(claimed, told)
-        self.assertIn(event_kinds.OwnershipEnded(0, 1), told)
-        told.clear()
+        self.assertIn(claimed, published)
+        self.assertIn(event_kinds.OwnershipEnded(0, 1), published)
+        published.clear()
         successor.membership.drain()
         successor.claims.stop()
-        self.assertIn(event_kinds.PartitionReleased(0, 2, "stopping"), told)
+        self.assertIn(event_kinds.PartitionReleased(0, 2, "stopping"), published)
         self.assertIsNotNone(self.cell.run_until(lambda: former.claims.owned()))
-        self.assertIn(event_kinds.PartitionClaimed(0, 3, "", "released"), told)
+        self.assertIn(event_kinds.PartitionClaimed(0, 3, "", "released"), published)
 
-    def test_lists_of_owners_that_are_gone_do_not_pile_up(self):
+    def test_member_lists_of_owners_that_are_gone_are_removed(self):
         # Guards against an ownership row that grows with each takeover.
         self.make(count=4, partitions=1)
         for _ in range(2):
@@ -80,7 +80,7 @@
         now = successor.clock()
         self.assertTrue(successor.claims.previous_owner_gone(0, now))
 
-    def test_a_lost_answer_to_a_claim_in_effect_is_a_claim(self):
+    def test_a_claim_with_a_lost_response_takes_effect(self):
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
@@ -89,8 +89,8 @@
         self.cell.run(5)
         self.assertEqual({0: 2}, other.claims.owned())
 
-    def test_a_claim_that_took_effect_late_is_found_and_raised(self):
-        # Guards against a partition that names this process but that nobody serves.
+    def test_a_claim_that_took_effect_late_is_repeated_with_a_higher_epoch(self):
+        # Guards against a partition that names this process but is not served.
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
@@ -101,7 +101,7 @@
         self.cell.run(2)
         self.assertEqual({0: 3}, other.claims.owned())
 
-    def test_of_two_claimers_one_wins(self):
+    def test_one_of_two_concurrent_claims_succeeds(self):
         self.make(count=3, partitions=1)
         owner = self.owner()
         owner.kill()
@@ -114,7 +114,7 @@
         self.assertEqual(({}, {0: 2}), (first.claims.owned(), second.claims.owned()))
 
     def test_a_claim_fails_if_the_owner_renews_just_before_it(self):
-        # Guards against a claim from an old sighting.
+        # Guards against a claim based on an outdated observation.
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
@@ -123,7 +123,7 @@
         self.assertEqual([owner.name], self.cell.owners(0))
         self.assertEqual({}, other.claims.owned())
 
-    def test_a_renewal_learns_of_a_claim(self):
+    def test_a_renewal_detects_a_claim(self):
         self.make(count=2, partitions=1)
         owner = self.owner()
         (other,) = [n for n in self.cell.nodes.values() if n is not owner]
@@ -134,20 +134,20 @@
         gevent.sleep(0)
         self.assertEqual(claims.PartitionLost(0, superseded=True), owner.events[-1])
 
-    def test_a_process_cut_off_from_the_store_learns_of_its_successor(self):
-        # Guards against callers that wait for the log of a former owner: in CI, 9 of
-        # the 10 jobs that were due after a withdrawal of a key had ended in time.
+    def test_a_process_without_store_access_learns_of_its_successor(self):
+        # Guards against callers that wait for the log of a former owner: in a CI run,
+        # only 9 of the 10 jobs due after the withdrawal of a key ended in time.
         self.make(count=4, partitions=1)
         owner = self.owner()
         owner.client.down = True
         self.cell.run_until(lambda: self.cell.owners(0) not in ([], [owner.name]))
-        self.cell.run(1.1)  # one heartbeat in calm
+        self.cell.run(1.1)  # one heartbeat in the steady state
         self.assertEqual({}, owner.claims.owned())
         gevent.sleep(0)
         self.assertEqual(claims.PartitionLost(0, superseded=True), owner.events[-1])
         self.assertEqual(self.owner().name, owner.claims.owner_of(0).process)
 
-    def test_a_heartbeat_with_the_own_or_an_earlier_epoch_changes_nothing(self):
+    def test_a_heartbeat_with_the_same_or_an_earlier_epoch_changes_nothing(self):
         # Guards against a late heartbeat of a former owner that ends an ownership.
         self.make(count=2, partitions=1)
         owner = self.owner()
@@ -158,18 +158,18 @@
             owner.claims._handle_heartbeat(other.name, late, 0.0)
             self.assertEqual(held, owner.claims.owned())
 
-    def test_a_slow_listener_does_not_hold_up_renewals(self):
-        # Guards against other partitions lost while one writes its log.
+    def test_a_slow_listener_does_not_delay_renewals(self):
+        # Guards against losing other partitions while one writes its log.
         self.make(count=2, partitions=1)
         owner = self.owner()
         handled = event.Event()
         self.addCleanup(handled.set)
         owner.kernel.subscribe(claims.PartitionLost, lambda _lost: handled.wait())
-        owner.claims._drop_changed(lambda holding, row: True, {})
+        owner.claims._drop_changed(lambda owned, row: True, {})
         result = owner.membership.local_member.write()
         self.assertNotIsInstance(result, errors.Failure)
 
-    def test_a_release_waits_until_its_loss_is_handled(self):
+    def test_a_release_waits_for_the_listeners_of_the_loss(self):
         # Guards against a successor that reads the log before its last records.
         self.make(count=2, partitions=1)
         owner = self.owner()
@@ -185,7 +185,7 @@
         self.assertEqual("", self.stored().process)
 
     def test_all_partitions_are_released_in_one_transaction(self):
-        # Guards against a stop that takes one timeout of the store per partition.
+        # Guards against a shutdown that takes one store timeout per partition.
         self.make(count=1)
         owner = self.owner()
         writes = []
@@ -195,14 +195,14 @@
         self.assertEqual(1, len(writes))
         self.assertEqual(["", "", ""], [self.stored(p).process for p in range(3)])
 
-    def test_a_lost_answer_to_a_release_hands_over_all_the_same(self):
+    def test_a_release_with_a_lost_response_takes_effect(self):
         self.make(count=2, partitions=1)
         owner = self.owner()
         owner.client.lose["partitions/0"] = 1
         self.assertIsNone(owner.claims.release(0))
         self.assertEqual("", self.stored().process)
 
-    def test_store_down_for_one_moves_its_partitions(self):
+    def test_partitions_move_from_a_process_without_store_access(self):
         self.make()
         owner = self.owner()
         owner.client.down = True
@@ -213,7 +213,7 @@
         now = successor.clock()
         self.assertTrue(successor.claims.previous_owner_gone(0, now))
 
-    def test_store_down_for_all_keeps_each_owner_and_nobody_claims(self):
+    def test_owners_stay_during_an_outage_of_the_store(self):
         self.make(count=5)
         owners = [self.cell.owners(partition) for partition in range(3)]
         for node in self.cell.nodes.values():
@@ -230,7 +230,7 @@
         self.assertTrue(all(self.owner(p).held() for p in range(3)))
 
     def test_owners_in_the_minority_stop_during_an_outage(self):
-        # Guards against an owner cut off from its peers and the store.
+        # Guards against an owner that goes on without its peers and the store.
         self.make(count=5)
         owner = self.owner()
         for node in self.cell.nodes.values():
@@ -238,7 +238,7 @@
             self.cell.cuts.append({owner.name, node.name})
         self.cell.run(6)
         self.assertFalse(owner.owns(0))
-        # Once ended, the extension is not resumed without the store.
+        # An ended extension is not resumed without the store.
         self.cell.cuts.clear()
         self.cell.run(3)
         self.assertFalse(owner.owns(0))
@@ -247,7 +247,7 @@
         self.assertTrue(owner.owns(0))
 
     def test_a_successor_waits_for_every_former_owner(self):
-        # Guards against an owner that extends while two successors follow each other.
+        # Guards against an owner whose lease is extended during two takeovers.
         self.make(count=5, partitions=1)
         first = self.owner()
         followers = [n for n in self.cell.nodes.values() if n is not first][:3]
@@ -288,7 +288,7 @@
         self.cell.run_until(lambda: self.stored().epoch == 2)
         self.assertIn(known, self.stored().former)
 
-    def test_an_uneven_distribution_is_evened_out(self):
+    def test_an_uneven_distribution_is_rebalanced(self):
         self.make(count=1)
         for index in (1, 2):
             self.cell.add(f"p{index}")
@@ -296,9 +296,9 @@
         owners = {self.cell.owners(partition)[0] for partition in range(3)}
         self.assertEqual(3, len(owners))
 
-    def test_a_partition_with_an_unreachable_worker_is_not_moved_to_even_out(self):
-        # Each new owner waits for the worker's lease from the beginning; in a
-        # scenario a hand-over after 20 s more than doubled the wait.
+    def test_a_partition_with_an_unreachable_worker_is_not_rebalanced(self):
+        # Each new owner waits for the full worker lease; in a scenario, a handover
+        # after 20 s more than doubled the wait.
         self.make(count=1)
         first = self.cell.nodes["p0"]
         first.claims.is_pinned = lambda partition: partition == 0
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -18,7 +18,7 @@
         )
 
     def test_a_stale_or_newer_head_confirms_nothing(self):
-        # Guards against a lagging read that makes an old view look like the latest.
+        # Guards against a stale read that makes an old view look current.
         view = freshness.View(NEW, 5.0)
         self.assertEqual(view, freshness.confirm_by_head(view, OLD, 10.0))
         self.assertEqual(view, freshness.confirm_by_head(view, NEW, 4.0))
@@ -33,8 +33,8 @@
         )
         self.assertEqual(ownership.NEVER, other.confirmed_at)
 
-    def test_vouching_in_a_circle_does_not_make_a_view_younger(self):
-        # Guards against two processes without the store that keep each other fresh.
+    def test_mutual_confirmation_does_not_refresh_a_view(self):
+        # Guards against two processes that keep each other fresh without the store.
         first = freshness.View(OLD, 10.0)
         second = freshness.View(OLD)
         for now in (10.5, 11.0, 11.5):
@@ -46,8 +46,8 @@
         self.assertTrue(second.confirmed_at <= 10.0)
 
     def test_only_a_majority_with_the_same_versions_extends_a_view(self):
-        # Guards against going on with an old view when half of the members, which
-        # confirmed a change to the operator, know a newer one.
+        # Guards against use of an old view after half of the members have confirmed a
+        # newer one, so that the change was reported as accepted.
         promises = dict.fromkeys(MEMBERS, 11.0)
         view = freshness.View(OLD, 10.0)
         validity = freshness.renew(ownership.Lease(), 10.0)
@@ -63,7 +63,7 @@
         self.assertEqual(11.5, found.valid_until)
 
     def test_an_ended_extension_needs_a_confirmed_view(self):
-        # Guards against a process that was cut off while others forgot its list.
+        # Guards against a partitioned process that the others no longer list.
         view = freshness.View(OLD, 10.0)
         validity = freshness.renew(ownership.Lease(), 10.0)
         known = dict.fromkeys(MEMBERS, OLD)
@@ -76,8 +76,8 @@
         self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(validity, 12.1))
 
     def test_a_change_needs_half_of_each_list_or_the_member_itself(self):
-        # Guards against a minority with the store that has lost the others from its
-        # own list and accepts a change that the others, who go on, do not know.
+        # Guards against a minority with store access that no longer lists the others
+        # and accepts a change that these do not know while they go on.
         rows = dict.fromkeys(MEMBERS, MEMBERS)
         for confirmed, accepted in (
             ({"a"}, False),
--- a/test/test_heartbeat.py
+++ b/test/test_heartbeat.py
@@ -23,18 +23,18 @@
     return heartbeat.Heartbeat(**{**values, **fields})
 
 
-class LedgerTest(testtools.TestCase):
+class PeerTrackerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.tracker = heartbeat.PeerTracker(OWN, TIMING)
 
     def test_a_promise_counts_from_the_echoed_clock(self):
-        # Guards against a promise that was delayed on its way.
+        # Guards against counting a delayed promise from its arrival.
         self.tracker.record("a", message(promise=True, echo=10.0), 11.9)
         self.assertEqual({"a": 10.0}, self.tracker.promises)
 
     def test_duplicates_and_reordered_heartbeats_change_nothing(self):
-        # Guards against an old promise that replaces its withdrawal.
+        # Guards against an old promise that arrives after its withdrawal.
         promise = message(clock=1.0, promise=True)
         self.assertTrue(self.tracker.record("a", promise, 10.1))
         self.assertTrue(self.tracker.record("a", message(clock=2.0, echo=10.5), 10.6))
@@ -43,7 +43,7 @@
         self.assertEqual({"a"}, self.tracker.reachable(12.6))
         self.assertEqual(set(), self.tracker.reachable(12.7))
 
-    def test_an_echo_of_another_clock_proves_nothing(self):
+    def test_an_echo_of_another_clock_is_ignored(self):
         # Guards against a restart on another VM, whose clock has another origin.
         for foreign in (
             message(promise=True, echo_incarnation=OWN - 1),
@@ -54,17 +54,17 @@
             self.tracker = heartbeat.PeerTracker(OWN, TIMING)
             self.assertTrue(self.tracker.record("a", foreign, 11.0))
             self.assertEqual(
-                ({}, {}), (self.tracker.promises, self.peer_tracker.promise_free)
+                ({}, {}), (self.tracker.promises, self.tracker.promise_free)
             )
 
-    def test_a_restart_withdraws_what_the_former_incarnation_proved(self):
+    def test_a_restart_withdraws_the_promise_of_the_former_incarnation(self):
         self.tracker.record("a", message(promise=True), 11.0)
         restarted = message(clock=0.5, incarnation=4, echo=0.0, echo_incarnation=0)
         self.assertTrue(self.tracker.record("a", restarted, 11.1))
         self.assertEqual({}, self.tracker.promises)
 
-    def test_only_witnesses_speak_for_the_documents(self):
-        # Guards against a process that confirmed a change and forgot it by a restart.
+    def test_only_members_that_have_read_the_head_confirm_versions(self):
+        # Guards against a process that confirmed a change and lost it in a restart.
         self.tracker.record("a", message(promise=True, has_read_head=True), 11.0)
         self.assertEqual({"a"}, set(self.tracker.promised_versions))
         later = message(clock=2.0, promise=True, has_read_head=False)
--- a/test/test_layout.py
+++ b/test/test_layout.py
@@ -10,7 +10,7 @@
     now = 0.0
 
     def __call__(self):
-        self.now += 0.3  # each look at the clock is later
+        self.now += 0.3  # each read of the clock is later
         return self.now
 
 
@@ -37,7 +37,7 @@
         row = self.shared.rows.get(layout.ROW, tables.Row(0, b""))
         return layout._decoder.decode(row.value) if row.version else None
 
-    def test_the_setting_counts_until_the_row_exists(self):
+    def test_the_setting_applies_until_the_row_exists(self):
         self.assertEqual(2, self.one.layout.current)
         self.assertEqual((5, (2,)), self.numbers(self.change(self.one, 5)))
         self.other.reread()
@@ -48,21 +48,21 @@
     def numbers(found):
         return found.current, found.former
 
-    def test_a_lost_answer_is_settled_by_reading_the_row(self):
-        # Guards against a change that took effect and is reported as a conflict.
+    def test_a_lost_response_is_resolved_by_reading_the_row(self):
+        # Guards against reporting a change that took effect as a conflict.
         self.one.client.lose[layout.ROW] = 1
         self.assertEqual((5, (2,)), self.numbers(self.change(self.one, 5)))
         self.assertEqual(1, self.row().generation)
 
-    def test_a_lost_request_is_repeated_and_a_late_one_has_no_effect(self):
+    def test_a_lost_request_is_retried_and_a_late_one_has_no_effect(self):
         self.one.client.late[layout.ROW] = 1
         self.assertEqual((5, (2,)), self.numbers(self.change(self.one, 5)))
         [late] = self.one.client.deliver_late()
         self.assertIsInstance(late, errors.Conflict)
         self.assertEqual(1, self.row().generation)
 
-    def test_of_two_changes_at_once_one_is_a_conflict(self):
-        # Guards against operators of whom each believes that theirs is in force.
+    def test_one_of_two_concurrent_changes_is_a_conflict(self):
+        # Guards against two operators who both believe that their change is in force.
         self.one.client.before_commit = lambda: self.change(self.other, 7)
         found = self.change(self.one, 5)
         self.assertIsInstance(found, errors.Conflict)
@@ -75,8 +75,8 @@
         self.assertIsInstance(found, errors.StoreUnavailable)
         self.assertIsNone(self.row())
 
-    def test_an_answer_that_cannot_be_settled_is_ambiguous(self):
-        # Guards against "not changed" for a change that is in force.
+    def test_a_lost_response_that_cannot_be_resolved_is_ambiguous(self):
+        # Guards against reporting a change that is in force as not made.
         client = self.one.client
         client.lose[layout.ROW] = 1
 
@@ -87,27 +87,27 @@
         self.assertIsInstance(self.change(self.one, 5), errors.Ambiguous)
         self.assertEqual(5, self.row().current)
 
-    def test_without_moves_the_number_stays(self):
+    def test_without_moves_the_partition_count_is_fixed(self):
         # Guards against new partitions that never get a worker.
         found = self.change(self.open("c", moves="off"), 5)
         self.assertIsInstance(found, errors.Refused)
 
-    def test_former_numbers_are_kept_until_released(self):
+    def test_former_partition_counts_are_kept_until_removed(self):
         self.change(self.one, 5)
         back = self.change(self.one, 2, 1)
         self.assertEqual(((2, (5,)), 5), (self.numbers(back), back.count))
         self.assertIsNone(self.one.remove_former({5}, 2, {}))
         self.assertEqual(((2, ()), 2), (self.numbers(self.row()), self.row().count))
 
-    def test_a_release_that_another_change_overtook_does_nothing(self):
-        # Guards against a former number that is removed while it is in use again.
+    def test_a_removal_after_another_change_has_no_effect(self):
+        # Guards against removal of a former partition count that is in use again.
         self.change(self.one, 5)
         self.change(self.other, 2, 1)
         found = self.one.remove_former({2}, 1, {})
         self.assertIsInstance(found, errors.Conflict)
         self.assertEqual((2, (5,)), self.numbers(self.row()))
 
-    def test_too_many_former_numbers_are_refused(self):
+    def test_too_many_former_partition_counts_are_refused(self):
         for generation, number in enumerate((3, 4, 5)):
             self.change(self.one, number, generation)
         self.assertIsInstance(self.change(self.one, 6, 3), errors.Refused)
--- a/test/test_member_removal.py
+++ b/test/test_member_removal.py
@@ -7,7 +7,7 @@
 from toucanspring.configuration import confirmation
 
 
-class DepartureTest(testtools.TestCase):
+class MemberRemovalTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.patch(confirmation, "LIMIT_S", 1.0)
@@ -30,7 +30,7 @@
         return self.cell.nodes[self.cell.owners(0)[0]]
 
     def change(self, node, zone):
-        """Change a document while the other processes go on."""
+        """Change a document while the other processes run."""
         changing = gevent.spawn(node.documents.set_zone, zone, True, "operator")
         while not changing.ready():
             self.cell.run(0.5)
@@ -41,8 +41,8 @@
         return owner.claims.previous_owner_gone(0, owner.clock())
 
     def test_a_confirmation_ends_the_wait_for_destroyed_processes(self):
-        # Guards against waiting work and changes that are held up for half an hour
-        # after all processes were destroyed and replaced under other names.
+        # Guards against work and changes that are blocked for half an hour after all
+        # processes were destroyed and replaced under other names.
         former, added = self.replace_all()
         self.cell.run(60)
         self.assertFalse(self.former_is_gone())
@@ -53,8 +53,8 @@
         self.assertTrue(self.former_is_gone())
         self.assertIsInstance(self.change(added[0], "b"), int)
 
-    def test_half_of_the_former_list_is_needed(self):
-        # Guards against one confirmation that ends the wait for a living majority.
+    def test_half_of_the_former_member_list_is_needed(self):
+        # Guards against one confirmation that ends the wait for a live majority.
         former, added = self.replace_all()
         added[0].membership.confirm_gone(
             next(name for name in former if name != self.former_owner(added))
@@ -66,13 +66,13 @@
         rows = added[0].membership.rows
         return next(name for name, (_, row) in rows.items() if row.settled)
 
-    def test_a_process_that_lives_cannot_be_confirmed(self):
+    def test_a_live_process_cannot_be_confirmed(self):
         # Guards against an operator's mistake that gives a partition two owners.
         first, second, third = self.cell.nodes.values()
         for name in (first.name, second.name):
             result = first.membership.confirm_gone(name)
             self.assertIsInstance(result, errors.Refused)
-        # Cut off from this process, but renewing its row.
+        # Unreachable for this process, but renewing its row.
         self.cell.cuts.append({first.name, third.name})
         self.cell.run(5)
         self.assertIsInstance(first.membership.confirm_gone(third.name), errors.Refused)
@@ -80,7 +80,7 @@
         self.assertIsInstance(result, errors.NotFound)
 
     def test_a_process_that_resumes_after_its_confirmation_is_fenced(self):
-        # Guards against a VM that was only paused when its end was confirmed.
+        # Guards against a VM that was only paused when it was confirmed to be gone.
         owner = self.owner()
         owner.paused = True
         self.assertIsNotNone(
@@ -95,7 +95,7 @@
         self.assertEqual([successor.name], self.cell.owners(0))
         self.assertNotIn(owner.name, successor.membership.members())
 
-    def test_a_lost_answer_confirms_once(self):
+    def test_a_confirmation_with_a_lost_response_takes_effect(self):
         # Guards against an error for a confirmation that took effect.
         former, added = self.replace_all()
         key = member_rows.key_of(former[0])
--- a/test/test_member_rows.py
+++ b/test/test_member_rows.py
@@ -5,7 +5,7 @@
 from toucanspring.cell import claims, member_rows, ownership
 
 
-class RenewalTest(testtools.TestCase):
+class LocalMemberTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.cell = fake_cell.Cell(3, partitions=1)
@@ -19,7 +19,7 @@
     def row(self):
         return member_rows.decode_row(self.cell.shared.rows[self.member.key])
 
-    def test_a_lost_answer_to_a_renewal_in_effect_counts_from_its_sending(self):
+    def test_a_renewal_with_a_lost_response_counts_from_its_sending(self):
         self.node.client.lose[self.member.key] = 1
         result = self.member.write()
         self.assertNotIsInstance(result, errors.Failure)
@@ -28,7 +28,7 @@
         )
 
     def test_a_lost_renewal_does_not_extend_the_lease(self):
-        # Guards against taking the row of an earlier attempt for this one.
+        # Guards against mistaking the row of an earlier attempt for this one.
         self.node.client.lose[self.member.key] = 1
         self.node.client.read = lambda keys: errors.Unavailable(reason="down")
         self.assertIsInstance(self.member.write(), errors.Ambiguous)
@@ -39,7 +39,7 @@
         self.assertIsInstance(self.member.write(), errors.Unavailable)
         self.assertEqual(before, self.member.lease)
 
-    def test_a_renewal_delayed_in_the_store_does_no_harm(self):
+    def test_a_renewal_delayed_in_the_store_is_harmless(self):
         self.node.client.late[self.member.key] = 1
         self.assertIsInstance(self.member.write(), errors.Unavailable)
         self.assertIsInstance(self.member.write(), claims.tables.Committed)
@@ -53,7 +53,7 @@
         self.assertIsInstance(self.member.write(), claims.tables.Committed)
 
     def test_both_lists_count_until_a_renewal_is_known_to_be_in_effect(self):
-        # Guards against a majority of a list that the row no longer contains.
+        # Guards against a majority of a member list that the row no longer contains.
         self.cell.add("p9", partitions=1)
         self.cell.run(4)
         self.member.possible_member_lists = [["p0", "p1", "p2"]]
@@ -76,7 +76,7 @@
         self.assertEqual(-1, self.node.claims.row_version(0))
 
     def test_no_promise_while_a_claim_may_still_take_effect(self):
-        # Guards against a claim in flight that lands after the promise.
+        # Guards against a claim in flight that takes effect after the promise.
         claimer = self.others[0].membership.local_member
         self.others[0].client.late[claimer.key] = 1
         claimer.write({}, {"partitions/9": b""}, claim=True)
@@ -90,7 +90,7 @@
         self.assertTrue(claimer.try_promise(self.others[0].clock()))
 
     def test_no_claim_is_sent_after_a_promise(self):
-        # Guards against a promise made while the claim waited for the row's lock.
+        # Guards against a promise made while the claim waited for the lock of the row.
         other = self.others[0]
         other.membership.local_member.promised_at = other.clock()
         result = other.membership.local_member.write(
@@ -112,12 +112,12 @@
         )
 
     def test_a_deleted_row_is_written_again(self):
-        # Guards against an operator's mistake or an overeager clean-up.
+        # Guards against a row deleted by an operator or by another process.
         del self.cell.shared.rows[self.member.key]
         self.assertIsInstance(self.member.write(), claims.tables.Committed)
         self.assertEqual(self.node.name, self.row().member.process)
 
-    def test_a_row_that_successors_need_survives_the_shutdown(self):
+    def test_a_row_that_successors_need_is_kept_at_shutdown(self):
         self.node.client.drop["partitions/0"] = 3
         self.node.claims.stop()
         self.member.remove()
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -6,8 +6,8 @@
 from test import fake_cell
 
 
-class CalmTest(testtools.TestCase):
-    """Count heartbeats of three processes in controlled time."""
+class HeartbeatRateTest(testtools.TestCase):
+    """Count heartbeats of three processes in simulated time."""
 
     def setUp(self):
         super().setUp()
@@ -29,11 +29,11 @@
         self.cell.run(4, check)
         return [sent[name] for name in self.cell.nodes]
 
-    def test_every_other_heartbeat_is_left_out_while_all_is_calm(self):
+    def test_every_other_heartbeat_is_skipped_in_the_steady_state(self):
         self.assertEqual([4, 4, 4], self.sent_in_4_s())
 
     def test_a_process_without_store_access_and_its_peers_send_all(self):
-        # Guards against views that age out although a peer could vouch for them.
+        # Guards against views that expire although a peer could confirm them.
         self.cell[1].client.down = True
         self.cell.run(2)
         node = self.cell[1]
@@ -45,13 +45,13 @@
         self.assertTrue(all(fresh))
 
     def test_a_process_that_misses_a_member_sends_all(self):
-        # Guards against promises that expire because one more heartbeat is lost.
+        # Guards against promises that expire because of one more lost heartbeat.
         self.cell.cuts.append({"p0", "p2"})
         self.cell.run(3)
         self.assertEqual([8, 4, 8], self.sent_in_4_s())
 
-    def test_owners_go_on_through_an_outage_that_begins_in_calm(self):
-        # Guards against a lease that ends before the first promises arrive.
+    def test_owners_stay_during_an_outage_that_begins_in_the_steady_state(self):
+        # Guards against a lease that expires before the first promises arrive.
         owners = {p: self.cell.owners(p) for p in range(3)}
         for node in self.cell.nodes.values():
             node.client.down = True
--- a/test/test_ownership.py
+++ b/test/test_ownership.py
@@ -12,8 +12,8 @@
 
 
 class OwnershipTest(testtools.TestCase):
-    def test_the_lease_counts_from_sending_even_if_the_answer_is_late(self):
-        # Guards against a pause between the store's commit and the answer.
+    def test_the_lease_counts_from_sending_even_if_the_response_is_late(self):
+        # Guards against a pause between the store's commit and the response.
         lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
         self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(lease, 12.4))
         self.assertIs(ownership.LeaseState.NARROWED, ownership.lease_state(lease, 12.5))
@@ -23,7 +23,7 @@
         self.assertEqual(lease, ownership.renew(lease, 9.0, TIMING))
 
     def test_an_extension_needs_more_than_half(self):
-        # Guards against two halves of a cell that both go on.
+        # Guards against two halves of a cell that both keep their partitions.
         for count, extended in ((2, False), (3, True)):
             promises = dict.fromkeys(FIVE[:count], 11.5)
             until = ownership.majority_until(FIVE, promises, TIMING)
@@ -33,7 +33,7 @@
         self.assertEqual(ownership.NEVER, until)
 
     def test_an_ended_extension_is_not_resumed_by_new_promises(self):
-        # Guards against an owner that pauses past its end: a successor may exist.
+        # Guards against an owner paused beyond its lease; a successor may exist.
         lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
         promises = dict.fromkeys(FIVE, 12.0)
         lease = ownership.extend(lease, [FIVE], promises, 12.1, TIMING)
@@ -45,14 +45,14 @@
         self.assertIs(ownership.LeaseState.HELD, ownership.lease_state(renewed, 15.1))
 
     def test_a_majority_must_hold_in_each_list_the_row_may_contain(self):
-        # Guards against a lost answer to a renewal that changed the list.
+        # Guards against a lost response to a renewal that changed the member list.
         lease = ownership.renew(ownership.Lease(), 10.0, TIMING)
         promises = dict.fromkeys(["a", "b"], 12.0)
         lists = [["a", "b", "c"], FIVE]
         lease = ownership.extend(lease, lists, promises, 12.1, TIMING)
         self.assertEqual(12.5, lease.valid_until)
 
-    def test_a_claim_waits_for_lease_and_drift_after_the_first_sight(self):
+    def test_a_claim_waits_for_lease_and_drift_after_the_first_read(self):
         seen = ownership.observe(None, 1, 7, 20.0)
         seen = ownership.observe(seen, 1, 7, 21.0)
         self.assertFalse(ownership.is_lease_expired(seen, 1, 22.6, TIMING))
@@ -60,9 +60,9 @@
         renewed = ownership.observe(seen, 1, 8, 22.6)
         self.assertFalse(ownership.is_lease_expired(renewed, 1, 25.2, TIMING))
 
-    def test_an_owner_with_a_restarted_name_is_waited_for_from_the_restart(self):
-        # Guards against taking the lease of a paused former incarnation as over at
-        # once, and against waiting forever since the new incarnation renews.
+    def test_the_lease_of_a_restarted_process_counts_from_the_restart(self):
+        # Guards against regarding the lease of a paused former incarnation as expired
+        # at once, and against waiting forever because the new incarnation renews.
         seen = ownership.observe(None, 1, 7, 20.0)
         seen = ownership.observe(seen, 2, 1, 21.0)
         seen = ownership.observe(seen, 2, 2, 22.0)
@@ -74,8 +74,8 @@
         self.assertTrue(ownership.may_claim(True, 10.0, 12.11, TIMING))
 
     def test_a_former_owner_is_gone_only_after_a_promise_free_moment(self):
-        # Guards against members that regain and lose the store in turn: each was
-        # seen without a promise, but at no moment was half of the list free of one.
+        # Guards against members that regain and lose the store in turn: each was seen
+        # without a promise, but half of the list was never promise-free at once.
         free = ownership.PromiseFreeInterval(20.0, 22.2)
         short = ownership.PromiseFreeInterval(21.0, 22.2)
         apart = ownership.PromiseFreeInterval(23.0, 25.2)
@@ -93,8 +93,8 @@
         )
 
     def test_an_extension_ends_after_its_limit(self):
-        # Guards against a successor that waits for ever, because all members of the
-        # former owner's list are gone; the successor must not be early either.
+        # Guards against a successor that waits forever because all members of the
+        # former owner's list are gone, and against one that does not wait long enough.
         limit = TIMING.extension_s
         lease = ownership.renew(ownership.Lease(), 0.0, TIMING)
         now = 1.0
@@ -111,13 +111,13 @@
         )
         self.assertTrue(ownership.extension_ended(FIVE, {}, 0.0, ended_at, TIMING))
 
-    def test_quiet_time_is_counted_short_on_both_ends(self):
+    def test_the_promise_free_interval_is_shortened_at_both_ends(self):
         promise_free = ownership.promise_free_interval(30.0, 30.4, 10.0, TIMING)
         self.assertEqual(ownership.PromiseFreeInterval(30.4 - 9.5, 30.0), promise_free)
 
 
 class SimulatedCellTest(testtools.TestCase):
-    """Random failures in a cell whose clocks drift as much as is assumed."""
+    """Random failures in a cell whose clocks drift up to the assumed bound."""
 
     def setUp(self):
         super().setUp()
@@ -160,8 +160,8 @@
         self.assertIsNotNone(recovered_s, "not every partition has an owner again")
 
     def test_at_most_one_owner_acts_and_the_cell_recovers(self):
-        # Guards against two holders of a lease, against an owner that goes on after
-        # its successor took it for gone, and against partitions without an owner.
+        # Guards against two holders of a lease, against an owner that goes on after its
+        # successor regards it as gone, and against partitions without an owner.
         self.extended = 0
         for seed in range(15):
             self.simulate(seed)
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -29,7 +29,7 @@
         return service
 
     def pair(self, **values):
-        """Return a caller, a callee that it is connected to, and their link."""
+        """Return a caller and a callee that it is connected to."""
         caller, callee = self.start("caller", **values), self.start("callee", **values)
         caller.set_targets({"callee": ("127.0.0.1", callee.port)})
         self.assert_connected(caller)
@@ -72,7 +72,7 @@
         self.assertIsInstance(long, errors.Oversized)
 
     def test_answers_arrive_at_their_own_calls_in_any_order(self):
-        # Guards against one caller receiving the answer to another's request.
+        # Guards against delivery of an answer to another call.
         caller, callee = self.pair()
 
         def answer(_sender, body):
@@ -92,18 +92,18 @@
         self.assertIsInstance(result, errors.Ambiguous)
         self.assertEqual({}, caller._connections["callee"]._waiting)
 
-    def test_an_abandoned_call_is_ambiguous_and_leaves_nothing_behind(self):
+    def test_an_abandoned_call_is_ambiguous_and_leaves_no_state(self):
         # Guards against calls to a former owner that wait for the whole timeout.
         caller, callee = self.pair()
         callee.handle("slow", lambda sender, body: gevent.sleep(600))
         self.patch(rpc, "ABANDON_CHECK_S", 0.01)
-        looks = iter([False, True])
-        result = caller.call("callee", "slow", b"", 600, abandon=lambda: next(looks))
+        results = iter([False, True])
+        result = caller.call("callee", "slow", b"", 600, abandon=lambda: next(results))
         self.assertIsInstance(result, errors.Ambiguous)
         self.assertIn("abandoned", result.reason)
         self.assertEqual({}, caller._connections["callee"]._waiting)
 
-    def test_a_call_whose_stream_breaks_is_ambiguous_and_is_dialled_again(self):
+    def test_a_call_on_a_broken_stream_is_ambiguous_and_the_peer_is_redialled(self):
         caller, callee = self.pair()
         callee.handle("slow", lambda sender, body: gevent.sleep(5))
         callee.handle("echo", lambda sender, body: body)
@@ -116,7 +116,7 @@
         self.assertEqual(b"x", caller.call("callee", "echo", b"x", 1))
 
     def test_a_call_that_was_never_sent_is_unavailable(self):
-        # Guards against doubt about work that certainly did not start.
+        # Guards against an ambiguous failure for work that did not start.
         caller, callee = self.pair()
         box = caller._connections["callee"]._outbox
         box._sender.kill()
@@ -126,7 +126,7 @@
         full = caller.call("callee", "echo", b"", 0.05)
         self.assertEqual("queue to callee is full", full.reason)
 
-    def test_a_long_answer_arrives_whole(self):
+    def test_a_long_answer_arrives_complete(self):
         caller, callee = self.pair()
         content = bytes(range(256)) * 12_000  # three frames
         callee.handle("bytes", lambda sender, body: content)
@@ -159,7 +159,7 @@
             self.assertIsInstance(joined, errors.Ambiguous)
 
     def test_an_end_marker_with_another_length_breaks_the_answer(self):
-        # Guards against chunks lost by a fault of the callee.
+        # Guards against chunks lost by a defect of the callee.
         caller, _ = self.pair()
         target = caller._connections["callee"]
         first = frames.Frame(frames.Kind.CHUNK, 1, b"part")
@@ -168,7 +168,7 @@
         chunks = target._chunks(target._outbox, 1, answers, first, 1)
         self.assertRaises(rpc.StreamBrokenError, list, chunks)
 
-    def test_a_slow_reader_of_an_answer_holds_back_only_its_own_chunks(self):
+    def test_a_slow_reader_of_an_answer_blocks_only_its_own_chunks(self):
         # Guards against unbounded memory at either end.
         caller, callee = self.pair()
         produced = []
@@ -204,7 +204,7 @@
         chunks.close()
         self.assertTrue(fake_tables.wait_for(lambda: ended, 2))
 
-    def test_notices_are_delivered_and_only_the_latest_waits(self):
+    def test_notices_are_delivered_and_only_the_latest_is_queued(self):
         caller, callee = self.pair()
         got = []
         callee.handle_notice("state", lambda sender, body: got.append(body))
@@ -215,7 +215,7 @@
         self.assertTrue(fake_tables.wait_for(lambda: got, 1))
         self.assertEqual([b"49"], got)
 
-    def test_a_peer_that_takes_no_bytes_costs_bounded_memory_and_time(self):
+    def test_a_stalled_peer_costs_bounded_memory_and_time(self):
         self.patch(outbox, "STALL_S", 0.3)
         caller = self.start("caller")
         listener = gevent_socket.socket()
@@ -254,8 +254,8 @@
         refusal = opened.receive(2)
         self.assertIsInstance(frames.decode_failure(refusal.body), errors.Overloaded)
 
-    def test_unproven_streams_are_closed(self):
-        # Guards against strangers, other cells and a hello that never comes.
+    def test_streams_without_a_valid_hello_are_closed(self):
+        # Guards against unknown callers, other cells and a missing hello.
         self.patch(peers, "HANDSHAKE_TIMEOUT_S", 0.2)
         callee = self.start("callee")
         huge = struct.pack(">I", peers.MAX_HELLO_BYTES + 1)
@@ -299,15 +299,15 @@
         self.assertIsInstance(refusal, errors.Malformed)
         self.assertEqual(b"x", caller.call("callee", "echo", b"x", 1))
 
-    def test_a_wrong_process_at_an_address_is_not_used(self):
-        # Guards against an address that a replaced VM has taken over.
+    def test_an_unexpected_process_at_an_address_is_not_used(self):
+        # Guards against an address that now belongs to another VM.
         caller, callee = self.start("caller"), self.start("other")
         caller.set_targets({"callee": ("127.0.0.1", callee.port)})
         gevent.sleep(0.3)
         result = caller.call("callee", "echo", b"", 0.1)
         self.assertIsInstance(result, errors.Unavailable)
 
-    def test_bytes_are_counted_over_reconnects(self):
+    def test_bytes_are_counted_across_reconnections(self):
         caller, callee = self.pair()
         callee.handle("echo", lambda sender, body: body)
         caller.call("callee", "echo", b"x" * 5000, 1)
--- a/test/test_transitions.py
+++ b/test/test_transitions.py
@@ -15,40 +15,40 @@
         self.transitions = transitions.TransitionDetector()
         self.now = 0.0
 
-    def look(self, standing=HELD, partitions=2, age_s=0.1, seconds=0.5):
+    def update(self, state=HELD, partitions=2, age_s=0.1, seconds=0.5):
         self.now += seconds
-        return self.transitions.update(standing, partitions, age_s, self.now)
+        return self.transitions.update(state, partitions, age_s, self.now)
 
-    def test_each_change_of_standing_is_told_once(self):
-        self.assertEqual([], self.look())
-        self.assertEqual([event_kinds.OwnershipExtended(2)], self.look(EXTENDED))
-        self.assertEqual([], self.look(EXTENDED))
-        self.assertEqual([event_kinds.OwnershipNarrowed(2)], self.look(NARROWED))
-        self.assertEqual([event_kinds.OwnershipResumed(2, 1.5)], self.look())
+    def test_each_change_of_the_lease_state_is_reported_once(self):
+        self.assertEqual([], self.update())
+        self.assertEqual([event_kinds.OwnershipExtended(2)], self.update(EXTENDED))
+        self.assertEqual([], self.update(EXTENDED))
+        self.assertEqual([event_kinds.OwnershipNarrowed(2)], self.update(NARROWED))
+        self.assertEqual([event_kinds.OwnershipResumed(2, 1.5)], self.update())
 
-    def test_a_process_without_partitions_has_no_standing(self):
-        # Guards against events of each start, when no lease exists yet.
-        self.assertEqual([], self.look(NARROWED, 0))
-        self.assertEqual([], self.look(HELD, 0))
+    def test_the_lease_state_is_ignored_without_partitions(self):
+        # Guards against events at each start, when no lease exists yet.
+        self.assertEqual([], self.update(NARROWED, 0))
+        self.assertEqual([], self.update(HELD, 0))
 
-    def test_an_outage_of_the_store_is_told_with_its_length(self):
-        self.look()
-        self.assertEqual([], self.look(age_s=1.1))
-        (lost,) = self.look(age_s=1.6)
+    def test_an_outage_of_the_store_is_reported_with_its_duration(self):
+        self.update()
+        self.assertEqual([], self.update(age_s=1.1))
+        (lost,) = self.update(age_s=1.6)
         self.assertIsInstance(lost, event_kinds.StoreUnavailable)
-        self.assertEqual([], self.look(age_s=2.1))
-        (back,) = self.look(age_s=0.1)
+        self.assertEqual([], self.update(age_s=2.1))
+        (back,) = self.update(age_s=0.1)
         self.assertAlmostEqual(2.5, back.seconds)
 
-    def test_a_pause_is_no_outage_of_the_store(self):
-        self.look()
-        self.assertEqual([], self.look(age_s=5.0, seconds=5.0))
-        self.assertEqual([], self.look())
+    def test_a_pause_is_not_an_outage_of_the_store(self):
+        self.update()
+        self.assertEqual([], self.update(age_s=5.0, seconds=5.0))
+        self.assertEqual([], self.update())
 
 
 class RoundsTest(testtools.TestCase):
     def test_a_round_that_comes_late_is_a_pause(self):
-        # Guards against slow work, such as a store that answers late, taken for one.
+        # Guards against reporting slow work, such as a late store response, as a pause.
         now, pauses, calls = [0.0], [], []
 
         def work():
--- a/toucanspring/cell/claims.py
+++ b/toucanspring/cell/claims.py
@@ -318,10 +318,10 @@
                 self._claimable_since.pop(partition, None)
                 continue
             since = self._claimable_since.setdefault(partition, now)
-            order = assignment.rank(partition, candidates)
-            order.remove(preferred[partition])
-            place = [preferred[partition], *order].index(own)
-            if now - since >= place * RANK_DELAY_S:
+            ranked = assignment.rank(partition, candidates)
+            ranked.remove(preferred[partition])
+            rank = [preferred[partition], *ranked].index(own)
+            if now - since >= rank * RANK_DELAY_S:
                 self._claim(partition)
 
     def _is_claimable(self, partition: int, now: float) -> bool:
@@ -330,11 +330,11 @@
         own = members.identity
         if (row.process, row.incarnation) == (own.process, own.incarnation):
             return True  # a claim of this process whose response was lost
-        silent = not row.process or ownership.is_lease_expired(
+        expired = not row.process or ownership.is_lease_expired(
             members.observations.get(row.process), row.incarnation, now, members.timing
         )
         return ownership.may_claim(
-            silent, members.local_member.promised_at, now, members.timing
+            expired, members.local_member.promised_at, now, members.timing
         )
 
     def _claim(self, partition: int) -> None:
@@ -387,13 +387,13 @@
         self._unbalanced_since = now
         preferred = self._preferred.get(self._count, candidates)
         own = members.identity.process
-        foreign = [
+        movable = [
             p for p in self._owned if preferred[p] != own and not self.is_pinned(p)
         ]
-        if foreign:
+        if movable:
             log.info(
                 "releasing partition {} for {} to rebalance",
-                foreign[0],
-                preferred[foreign[0]],
+                movable[0],
+                preferred[movable[0]],
             )
-            self.release(foreign[0], "even_out")
+            self.release(movable[0], "even_out")
--- a/toucanspring/cell/ownership_rows.py
+++ b/toucanspring/cell/ownership_rows.py
@@ -44,7 +44,7 @@
 
 
 def decode_row(row: tables.Row) -> PartitionRow | None:
-    """Decode a row: with epoch 0 if it is absent, `None` if it is malformed."""
+    """Decode a row; an absent one has epoch 0, a malformed one is `None`."""
     if not row.version:
         return PartitionRow()
     try:
--- a/toucanspring/cell/transitions.py
+++ b/toucanspring/cell/transitions.py
@@ -30,9 +30,8 @@
     def __init__(self) -> None:
         self._state = ownership.LeaseState.HELD
         self._lease_expired_at = 0.0  # as last detected
-        self._store_lost_at: float | None = (
-            None  # when the last answered request was sent
-        )
+        # When the last answered request was sent; `None` while the store is reachable.
+        self._store_lost_at: float | None = None
         self._was_missed = False
 
     def update(
