--- a/toucanspring/cell/claims.py
+++ b/toucanspring/cell/claims.py
@@ -1,4 +1,4 @@
-"""Which partitions this process owns, and who owns the others."""
+"""Service `claims`: claims, renewals and releases of partitions by this process."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from toucanspring.adapters import tables
 from toucanspring.cell import (
     assignment,
-    former,
+    former_owners,
     heartbeat,
     layout,
+    member_rows,
     membership,
     ownership,
     ownership_rows,
-    renewal,
 )
 from toucanspring.reporting import deliveries, event_kinds
 
 log = logbook.Logger(__name__)
 
-# A process that is not the preferred owner waits this much longer for each rank.
+# A process waits this long before a claim for each process that is ranked above it.
 RANK_DELAY_S = 1.0
-# An uneven distribution is left alone for this long, since processes that restart
-# together come back one after the other.
+# Rebalancing starts only after this time, since processes that restart together come
+# back one after the other.
 REBALANCE_AFTER_S = 10.0
-# How long a release waits for listeners to write what is pending.
-DELIVERY_LIMIT_S = 10.0
+# How long a release waits for listeners of `PartitionLost` to write pending records.
+DELIVERY_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """Name the owner of a partition."""
+    """Owner of a partition."""
 
     process: str
     incarnation: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionAcquired:
-    """This process now owns a partition."""
+    """Event: this process now owns a partition."""
 
     partition: int
     epoch: int
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionLost:
-    """This process no longer owns a partition.
+    """Event: this process no longer owns a partition.
 
-    `superseded` says that another process owns it, so that its log takes no more
-    records of this one.
+    `superseded` is set if another process owns it, so that the partition's log accepts
+    no more records of this process.
     """
 
     partition: int
@@ -64,8 +64,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Holding:
-    """Hold one own partition."""
+class OwnedPartition:
+    """State of a partition that this process owns."""
 
     epoch: int
     version: int
@@ -73,42 +73,42 @@
     former: list[list[str]]  # empty once all former owners are gone
 
 
-class Service(renewal.Guard):
-    """Claim, keep and release partitions."""
+class Service(member_rows.RenewalHooks):
+    """Claim, renew and release partitions (kernel name `claims`)."""
 
     def __init__(self, kernel: object, settings: object) -> None:
         del settings
         self._kernel = kernel
-        self._holdings: dict[int, Holding] = {}
-        self._rows: dict[int, ownership_rows.KnownRow] = {}
+        self._owned: dict[int, OwnedPartition] = {}
+        self._rows: dict[int, ownership_rows.VersionedRow] = {}
         self._claimable_since: dict[int, float] = {}
-        self._uneven_since: float | None = None
-        self._preferred = assignment.Preferences()
+        self._unbalanced_since: float | None = None
+        self._preferred = assignment.PreferredOwnersCache()
         # A listener may write the log of a partition and wait for the store, which must
-        # not hold up renewals and polls.
+        # not delay renewals and polls.
         self._deliveries = deliveries.Deliveries(kernel)
         self._members: membership.Service | None = None
         self._layout: layout.Service | None = None
-        # A partition for which this is true is not handed over to even out.
-        self.holds_back: Callable[[int], bool] = lambda _partition: False
+        # Rebalancing does not hand over a partition for which this returns true.
+        self.is_pinned: Callable[[int], bool] = lambda _partition: False
 
     def start(self) -> None:
-        """Follow the ownership rows; claims are made after each poll."""
+        """Poll the ownership rows; claims are made after each poll."""
         self._deliveries.start()
         self._members = self._kernel.find("membership")
         self._layout = self._kernel.find("layout")
-        self._members.own.guard = self
-        self._members.on_heartbeat(self._take_heartbeat)
+        self._members.local_member.hooks = self
+        self._members.on_heartbeat(self._handle_heartbeat)
         self._members.watch(
             lambda: [
                 ownership_rows.key_of(partition) for partition in range(self._count)
             ],
-            self._take_rows,
+            self._handle_rows,
         )
 
     def stop(self) -> None:
         """Release all partitions."""
-        self._release(list(self._holdings), "stopping")
+        self._release(list(self._owned), "stopping")
         self._deliveries.stop()
 
     # Interface
@@ -118,18 +118,16 @@
         return self._layout.layout.count
 
     def owned(self) -> dict[int, int]:
-        """Return the epoch of each own partition."""
-        return {
-            partition: holding.epoch for partition, holding in self._holdings.items()
-        }
+        """Return the epoch of each owned partition."""
+        return {partition: entry.epoch for partition, entry in self._owned.items()}
 
     def owner_of(self, partition: int) -> Owner | errors.NotFound:
-        """Return the owner of a partition, as last read or heard from the owner."""
+        """Return the owner of a partition as last read or announced by a heartbeat."""
         found = self._rows.get(partition)
         epoch = found.row.epoch if found else 0
         for name, message in self._members.peer_states().items():
             claimed = message.owned.get(partition, 0)
-            # A claim is known from a heartbeat earlier than from the next poll.
+            # A heartbeat announces a claim earlier than the next poll reads it.
             if claimed > epoch:
                 return Owner(name, message.incarnation, claimed)
         if found is None or not found.row.process:
@@ -138,144 +136,145 @@
         return Owner(row.process, row.incarnation, row.epoch)
 
     def may_start(self, partition: int, now: float) -> bool:
-        """Return whether tasks of an own partition may be started."""
-        return partition in self._holdings and (
-            self._members.standing(now) is not ownership.Standing.NARROWED
+        """Return whether tasks of an owned partition may be started."""
+        return partition in self._owned and (
+            self._members.lease_state(now) is not ownership.LeaseState.NARROWED
         )
 
     def may_renew_workers(self, partition: int, now: float) -> bool:
-        """Return whether worker leases of an own partition may be renewed."""
+        """Return whether worker leases of an owned partition may be renewed."""
         return self.may_start(partition, now)
 
     def row_version(self, partition: int) -> int:
-        """Return the version of the ownership row, for checks in transactions."""
-        holding = self._holdings.get(partition)
-        # No row ever has version -1, so a check for a lost partition always fails.
-        return holding.version if holding else -1
+        """Return the version of the ownership row for checks in transactions."""
+        owned = self._owned.get(partition)
+        # No row ever has version -1, so the check for a lost partition always fails.
+        return owned.version if owned else -1
 
     def previous_owner_gone(self, partition: int, now: float) -> bool:
-        """Return whether no former owner can extend its ownership any more.
+        """Return whether no former owner's lease can be extended any more.
 
-        A worker that it renewed last may still run tasks for its lease from then on.
+        Workers that a former owner renewed last may still run tasks until their worker
+        leases expire.
         """
-        holding = self._holdings.get(partition)
-        if holding is None:
+        owned = self._owned.get(partition)
+        if owned is None:
             return False
-        if holding.former:
-            quiet = self._members.quiet()
-            holding.former = [
+        if owned.former:
+            promise_free = self._members.promise_free()
+            owned.former = [
                 members
-                for members in holding.former
-                if not ownership.lost_majority(
-                    members, quiet, holding.claimed_at, now, self._members.timing
+                for members in owned.former
+                if not ownership.extension_ended(
+                    members, promise_free, owned.claimed_at, now, self._members.timing
                 )
             ]
-        return not holding.former
+        return not owned.former
 
-    def release(self, partition: int, why: str = "fenced") -> None | errors.Failure:
-        """Hand over a partition; `PartitionLost` is delivered before the row changes.
+    def release(self, partition: int, reason: str = "fenced") -> None | errors.Failure:
+        """Release a partition; `PartitionLost` is delivered before the row changes.
 
-        If the store does not answer, the successor waits for the lease instead.
+        If the store does not answer, the successor has to wait for the lease to expire.
         """
-        return self._release([partition] if partition in self._holdings else [], why)
+        return self._release([partition] if partition in self._owned else [], reason)
 
-    def _release(self, partitions: list[int], why: str) -> None | errors.Failure:
-        """Release partitions in one transaction; a slow store delays it only once."""
+    def _release(self, partitions: list[int], reason: str) -> None | errors.Failure:
+        """Release partitions in one transaction; a slow store delays them only once."""
         if not partitions:
             return None
         checks, rows, delivered = {}, {}, []
         for partition in partitions:
-            holding = self._holdings[partition]
+            owned = self._owned[partition]
             self.previous_owner_gone(partition, self._members.clock())
-            checks[ownership_rows.key_of(partition)] = holding.version
+            checks[ownership_rows.key_of(partition)] = owned.version
             rows[partition] = ownership_rows.PartitionRow(
-                epoch=holding.epoch, former=holding.former
+                epoch=owned.epoch, former=owned.former
             )
-            delivered.append(self._lose(partition))
+            delivered.append(self._remove(partition))
             self._kernel.publish(
-                event_kinds.PartitionReleased(partition, holding.epoch, why)
+                event_kinds.PartitionReleased(partition, owned.epoch, reason)
             )
-        gevent.wait(delivered, timeout=DELIVERY_LIMIT_S)
+        gevent.wait(delivered, timeout=DELIVERY_TIMEOUT_S)
         writes = {
             ownership_rows.key_of(p): ownership_rows.encode(row)
             for p, row in rows.items()
         }
-        result = self._members.own.write(checks, writes)
+        result = self._members.local_member.write(checks, writes)
         if isinstance(result, errors.Failure):
-            log.warning("partitions {} are not released: {}", partitions, result.reason)
+            log.warning("cannot release partitions {}: {}", partitions, result.reason)
             return result
         for partition, row in rows.items():
-            self._rows[partition] = ownership_rows.KnownRow(
+            self._rows[partition] = ownership_rows.VersionedRow(
                 result.versions[ownership_rows.key_of(partition)], row
             )
         return None
 
-    # Guard of renewals
+    # Hooks of renewals
 
-    def checks(self) -> dict[str, int]:
-        """Return the versions of the ownership rows of own partitions."""
+    def expected_versions(self) -> dict[str, int]:
+        """Return the versions of the ownership rows of owned partitions."""
         return {
-            ownership_rows.key_of(partition): holding.version
-            for partition, holding in self._holdings.items()
+            ownership_rows.key_of(partition): owned.version
+            for partition, owned in self._owned.items()
         }
 
     def settled(self) -> list[int]:
-        """Return the own partitions whose former owners are gone."""
+        """Return the owned partitions whose former owners are gone."""
         now = self._members.clock()
         return [
             partition
-            for partition in self._holdings
+            for partition in self._owned
             if self.previous_owner_gone(partition, now)
         ]
 
-    def recheck(self, rows: Mapping[str, tables.Row]) -> None:
-        """Give up each partition whose ownership row was changed or deleted."""
-        self._give_up(
-            lambda holding, row: row is not None and row.version != holding.version,
+    def handle_conflict(self, rows: Mapping[str, tables.Row]) -> None:
+        """Drop each partition whose ownership row was changed or deleted."""
+        self._drop_changed(
+            lambda owned, row: row is not None and row.version != owned.version,
             rows,
         )
 
-    def named(self) -> set[str] | None:
-        """Return the processes in ownership rows; `None` if not all rows are known."""
+    def recorded_owners(self) -> set[str] | None:
+        """Return the processes in ownership rows; `None` unless all rows are known."""
         if any(number not in self._rows for number in range(self._count)):
             return None
         return {known.row.process for known in self._rows.values() if known.row.process}
 
-    def _give_up(
+    def _drop_changed(
         self,
-        changed: Callable[[Holding, tables.Row | None], bool],
+        changed: Callable[[OwnedPartition, tables.Row | None], bool],
         rows: Mapping[str, tables.Row],
     ) -> None:
-        for partition, holding in list(self._holdings.items()):
-            if changed(holding, rows.get(ownership_rows.key_of(partition))):
+        for partition, owned in list(self._owned.items()):
+            if changed(owned, rows.get(ownership_rows.key_of(partition))):
                 log.warning("partition {} was claimed by another process", partition)
-                self._end(partition, holding)
+                self._drop(partition, owned)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, sender: str, message: heartbeat.Heartbeat, _echoed_at: float
     ) -> None:
-        """Give up each partition that another process owns under a later epoch.
+        """Drop each partition that another process owns with a later epoch.
 
-        A process that alone cannot reach the store learns of its successor this way
-        only. Until then it kept callers waiting for a log that it could not write.
+        This is the only way in which a process that alone cannot reach the store learns
+        of its successor. Otherwise callers would wait for a log that it cannot write.
         """
         for partition, epoch in message.owned.items():
-            holding = self._holdings.get(partition)
-            if holding is not None and holding.epoch < epoch:
+            owned = self._owned.get(partition)
+            if owned is not None and owned.epoch < epoch:
                 log.warning("partition {} was claimed by {}", partition, sender)
-                self._end(partition, holding)
+                self._drop(partition, owned)
 
-    def _end(self, partition: int, holding: Holding) -> None:
-        self._lose(partition, superseded=True)
-        self._kernel.publish(event_kinds.OwnershipEnded(partition, holding.epoch))
+    def _drop(self, partition: int, owned: OwnedPartition) -> None:
+        self._remove(partition, superseded=True)
+        self._kernel.publish(event_kinds.OwnershipEnded(partition, owned.epoch))
 
     # Claims
 
-    def _lose(self, partition: int, superseded: bool = False) -> event.Event:
-        del self._holdings[partition]
+    def _remove(self, partition: int, superseded: bool = False) -> event.Event:
+        del self._owned[partition]
         return self._deliveries.publish(PartitionLost(partition, superseded))
 
-    def _take_rows(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
+    def _handle_rows(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
         del sent_at
         for key, row in rows.items():
             partition = int(key.removeprefix(ownership_rows.PREFIX))
@@ -283,10 +282,11 @@
             last = self._rows.get(partition)
             if current is None or (last is not None and row.version < last.version):
                 continue
-            self._rows[partition] = ownership_rows.KnownRow(row.version, current)
-        # These rows may have been read before an own claim, so only newer ones count.
-        self._give_up(
-            lambda holding, row: row is not None and row.version > holding.version,
+            self._rows[partition] = ownership_rows.VersionedRow(row.version, current)
+        # These rows may have been read before a claim of this process, so only newer
+        # ones count.
+        self._drop_changed(
+            lambda owned, row: row is not None and row.version > owned.version,
             rows,
         )
         self._release_surplus()
@@ -294,34 +294,34 @@
         self._rebalance()
 
     def _release_surplus(self) -> None:
-        """Give up partitions that hold nothing after the number has shrunk."""
-        surplus = [number for number in self._holdings if number >= self._count]
+        """Release partitions beyond the partition count after it has been reduced."""
+        surplus = [number for number in self._owned if number >= self._count]
         if surplus:
-            log.info("releasing partitions {}, which are not used any more", surplus)
+            log.info("releasing partitions {} beyond the partition count", surplus)
             self._release(surplus)
         for number in [each for each in self._rows if each >= self._count]:
             del self._rows[number]
 
     def _claim_all(self) -> None:
-        """Claim each partition without a live owner that prefers this process."""
+        """Claim partitions without a live owner, with a delay by preference."""
         members = self._members
         now = members.clock()
         candidates = members.candidates()
-        preferred = self._preferred.among(self._count, candidates)
+        preferred = self._preferred.get(self._count, candidates)
         own = members.identity.process
         if own not in candidates:
             return
         for partition in range(self._count):
-            if partition in self._holdings or partition not in self._rows:
+            if partition in self._owned or partition not in self._rows:
                 continue
             if not self._is_claimable(partition, now):
                 self._claimable_since.pop(partition, None)
                 continue
             since = self._claimable_since.setdefault(partition, now)
-            order = assignment.rank(partition, candidates)
-            order.remove(preferred[partition])
-            place = [preferred[partition], *order].index(own)
-            if now - since >= place * RANK_DELAY_S:
+            ranked = assignment.rank(partition, candidates)
+            ranked.remove(preferred[partition])
+            rank = [preferred[partition], *ranked].index(own)
+            if now - since >= rank * RANK_DELAY_S:
                 self._claim(partition)
 
     def _is_claimable(self, partition: int, now: float) -> bool:
@@ -329,11 +329,13 @@
         row = self._rows[partition].row
         own = members.identity
         if (row.process, row.incarnation) == (own.process, own.incarnation):
-            return True  # an own claim whose answer was lost
-        silent = not row.process or ownership.is_silent(
-            members.sightings.get(row.process), row.incarnation, now, members.timing
+            return True  # a claim of this process whose response was lost
+        expired = not row.process or ownership.is_lease_expired(
+            members.observations.get(row.process), row.incarnation, now, members.timing
+        )
+        return ownership.may_claim(
+            expired, members.local_member.promised_at, now, members.timing
         )
-        return ownership.may_claim(silent, members.own.promised_at, now, members.timing)
 
     def _claim(self, partition: int) -> None:
         known = self._rows[partition]
@@ -344,50 +346,54 @@
             process=own.process,
             incarnation=own.incarnation,
             epoch=row.epoch + 1,
-            former=former.member_lists(members, partition, row),
+            former=former_owners.former_member_lists(members, partition, row),
         )
         checks = {ownership_rows.key_of(partition): known.version}
         if row.process and row.process != own.process:
-            # Fails if the owner has renewed in the meantime.
+            # Makes the claim fail if the owner has renewed its lease in the meantime.
             seen = members.rows.get(row.process)
-            checks[renewal.key_of(row.process)] = seen[0] if seen else 0
+            checks[member_rows.key_of(row.process)] = seen[0] if seen else 0
         writes = {ownership_rows.key_of(partition): ownership_rows.encode(claim)}
-        result = members.own.write(checks, writes, claim=True)
+        result = members.local_member.write(checks, writes, claim=True)
         if isinstance(result, errors.Failure):
-            log.info("no claim of partition {}: {}", partition, result.reason)
+            log.info("claim of partition {} failed: {}", partition, result.reason)
             return
         version = result.versions[ownership_rows.key_of(partition)]
-        self._rows[partition] = ownership_rows.KnownRow(version, claim)
+        self._rows[partition] = ownership_rows.VersionedRow(version, claim)
         self._claimable_since.pop(partition, None)
-        self._holdings[partition] = Holding(
+        self._owned[partition] = OwnedPartition(
             claim.epoch, version, members.clock(), claim.former
         )
         log.info("claimed partition {} with epoch {}", partition, claim.epoch)
-        why = former.explain_claim(row, own)
+        reason = former_owners.explain_claim(row, own)
         self._kernel.publish(
-            event_kinds.PartitionClaimed(partition, claim.epoch, row.process, why)
+            event_kinds.PartitionClaimed(partition, claim.epoch, row.process, reason)
         )
         self._deliveries.publish(PartitionAcquired(partition, claim.epoch))
 
     def _rebalance(self) -> None:
-        """Release one partition above the even part, if that lasts."""
+        """Release one partition if this process has owned too many for some time."""
         members = self._members
         candidates = members.candidates()
         now = members.clock()
         limit = -(-self._count // max(len(candidates), 1))
-        if len(self._holdings) <= limit or len(self._rows) < self._count:
-            self._uneven_since = None
+        if len(self._owned) <= limit or len(self._rows) < self._count:
+            self._unbalanced_since = None
             return
-        if self._uneven_since is None:
-            self._uneven_since = now
-        if now - self._uneven_since < REBALANCE_AFTER_S:
+        if self._unbalanced_since is None:
+            self._unbalanced_since = now
+        if now - self._unbalanced_since < REBALANCE_AFTER_S:
             return
-        self._uneven_since = now
-        preferred = self._preferred.among(self._count, candidates)
+        self._unbalanced_since = now
+        preferred = self._preferred.get(self._count, candidates)
         own = members.identity.process
-        foreign = [
-            p for p in self._holdings if preferred[p] != own and not self.holds_back(p)
+        movable = [
+            p for p in self._owned if preferred[p] != own and not self.is_pinned(p)
         ]
-        if foreign:
-            log.info("handing partition {} to {}", foreign[0], preferred[foreign[0]])
-            self.release(foreign[0], "even_out")
+        if movable:
+            log.info(
+                "releasing partition {} for {} to rebalance",
+                movable[0],
+                preferred[movable[0]],
+            )
+            self.release(movable[0], "even_out")
--- a/toucanspring/cell/layout.py
+++ b/toucanspring/cell/layout.py
@@ -1,7 +1,8 @@
-"""Service `layout`: the number of partitions, which operators may change.
+"""Service `layout`: the partition count, which operators may change.
 
-Work stays in the partition that accepted it, so former numbers are kept as long as
-one of them may still lead to work.
+Work stays in the partition that accepted it, so each former partition count is kept
+until no work remains that was assigned by it. Texts for operators call these counts
+former numbers.
 """
 
 from __future__ import annotations
@@ -21,20 +22,20 @@
 log = logbook.Logger(__name__)
 
 ROW = "layout"
-# Each former number may cost one question for each new ID.
+# Each former partition count may cost one more lookup for each new ID.
 MAX_FORMER = 3
-CHANGE_LIMIT_S = 5.0
-# Each look-up of an unknown ID needs a read. 20 reads a second leave the store to the
-# others even if all of 16 processes of a region get such look-ups without end.
+CHANGE_TIMEOUT_S = 5.0
+# Each lookup of an unknown ID needs a read. 20 reads a second leave the store enough
+# capacity even if all of 16 processes of a region receive such lookups continuously.
 READ_INTERVAL_S = 0.05
 RETRY_S = 0.1
 
 
 class Layout(msgspec.Struct, frozen=True, kw_only=True):
-    """Row `layout`; `former` are numbers of partitions that may still hold work.
+    """Row `layout`; `current` and `former` are partition counts.
 
-    `change` identifies the last change of `current`, so that a lost answer can be
-    settled by reading the row.
+    Work may still be placed by a former count. `change` identifies the last change of
+    `current`, so that a lost response can be resolved by reading the row.
     """
 
     generation: int = 0
@@ -45,22 +46,22 @@
 
     @property
     def count(self) -> int:
-        """Return how many partitions need an owner."""
+        """Return the number of partitions that need an owner."""
         return max(self.current, *self.former, 1)
 
-    def number_of(self, name: str) -> int:
-        """Return the partition that accepts a job or request ID."""
+    def partition_of(self, name: str) -> int:
+        """Return the partition that accepts new work with a job or request ID."""
         return job.partition_of(name, self.current)
 
-    def numbers_of(self, name: str) -> list[int]:
+    def possible_partitions(self, name: str) -> list[int]:
         """Return the partitions that may hold an ID, the accepting one first."""
         counts = (self.current, *self.former)
         return list(dict.fromkeys(job.partition_of(name, each) for each in counts))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
-    """Pair a layout with the version of its row, which transactions check."""
+class VersionedLayout:
+    """Layout with the version of its row, which transactions check."""
 
     layout: Layout
     version: int
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LayoutChanged:
-    """The number of partitions or the former numbers have changed."""
+    """Event: the layout has changed."""
 
     layout: Layout
 
@@ -77,26 +78,26 @@
 _decoder = msgspec.msgpack.Decoder(Layout)
 
 
-def with_number(
-    present: Layout, number: int, change: str, operator: str
+def with_partition_count(
+    present: Layout, count: int, change: str, operator: str
 ) -> Layout | errors.Refused:
-    """Return the layout after a change of the number of partitions."""
-    former = {*present.former, present.current} - {number}
+    """Return the layout after a change of the partition count."""
+    former = {*present.former, present.current} - {count}
     if len(former) > MAX_FORMER:
         return errors.Refused(
             reason=f"work of the former numbers {sorted(present.former)} has not ended"
         )
     return Layout(
         generation=present.generation + 1,
-        current=number,
+        current=count,
         former=tuple(sorted(former)),
         change=change,
         operator=operator,
     )
 
 
-def without(present: Layout, ended: set[int]) -> Layout:
-    """Return the layout without former numbers that hold no work any more."""
+def without_former(present: Layout, ended: set[int]) -> Layout:
+    """Return the layout without the former partition counts in `ended`."""
     return msgspec.structs.replace(
         present,
         generation=present.generation + 1,
@@ -105,7 +106,7 @@
 
 
 class Service:
-    """Follow the row `layout` and change it (kernel name `layout`)."""
+    """Poll and change the row `layout` (kernel name `layout`)."""
 
     def __init__(
         self,
@@ -117,15 +118,15 @@
         self._clock = clock
         self._shared = shared_read.SharedRead(self._read, READ_INTERVAL_S)
         self._resizable = getattr(options, "moves", "on") == "on"
-        # Applies until the row exists.
-        self.view = View(Layout(current=options.partitions), 0)
+        # The setting applies until the row exists.
+        self.view = VersionedLayout(Layout(current=options.partitions), 0)
 
     def start(self) -> None:
-        """Follow the row with the shared poll."""
-        self._kernel.find("membership").watch(lambda: [ROW], self._take_rows)
+        """Read the row with the polls of `membership`."""
+        self._kernel.find("membership").watch(lambda: [ROW], self._handle_rows)
 
     def stop(self) -> None:
-        """Do nothing; the poll belongs to `membership`."""
+        """Do nothing; `membership` stops the polls."""
 
     @property
     def layout(self) -> Layout:
@@ -133,18 +134,18 @@
         return self.view.layout
 
     def reread(self) -> None | errors.Failure:
-        """Read the row; a success shows all changes made before the call."""
+        """Read the row; on success all changes made before the call are applied."""
         return self._shared.get()
 
     def _read(self) -> None | errors.Failure:
         rows = self._tables.read([ROW])
         if isinstance(rows, errors.Failure):
             return rows
-        self.take(rows[ROW])
+        self.apply_row(rows[ROW])
         return None
 
-    def take(self, row: tables.Row) -> None:
-        """Take in a row unless a later version is known."""
+    def apply_row(self, row: tables.Row) -> None:
+        """Apply a row unless the same or a later version is known."""
         if row.version <= self.view.version:
             return
         try:
@@ -152,7 +153,7 @@
         except msgspec.MsgspecError as error:
             log.error("row {} is malformed: {}", ROW, error)
             return
-        self.view = View(found, row.version)
+        self.view = VersionedLayout(found, row.version)
         log.info(
             "{} partitions, former numbers {} (generation {})",
             found.current,
@@ -164,10 +165,10 @@
     def change(
         self, number: int, expected: int, operator: str
     ) -> Layout | errors.Failure:
-        """Set the number of partitions, based on generation `expected`.
+        """Set the partition count, based on generation `expected`.
 
-        Fails with `Conflict` if another change came first, and with `Ambiguous` if an
-        answer was lost and the row could not be read in time.
+        Fails with `Conflict` if another change came first, and with `Ambiguous` if a
+        response was lost and the row could not be read in time.
         """
         if not self._resizable:
             return errors.Refused(reason="needs the setting moves to be on")
@@ -176,26 +177,26 @@
             lambda present: (
                 present
                 if number == present.current and present.generation == expected
-                else with_number(present, number, name, operator)
+                else with_partition_count(present, number, name, operator)
             ),
             expected,
             name,
         )
 
-    def release(
+    def remove_former(
         self, ended: set[int], expected: int, checks: Mapping[str, int]
     ) -> None | errors.Failure:
-        """Remove former numbers that hold no work, if nothing was changed since.
+        """Remove former partition counts without work, based on generation `expected`.
 
-        A lost answer needs no care: the next try finds the row as it is.
+        A lost response needs no handling, since the next attempt reads the row again.
         """
         view = self.view
         if view.layout.generation != expected:
-            return errors.Conflict(reason="the number of partitions was changed")
-        value = _encode(without(view.layout, ended))
+            return errors.Conflict(reason="the partition count was changed")
+        value = _encode(without_former(view.layout, ended))
         answer = self._tables.transact({**checks, ROW: view.version}, {ROW: value}, ())
         if isinstance(answer, tables.Committed):
-            self.take(tables.Row(answer.versions[ROW], value))
+            self.apply_row(tables.Row(answer.versions[ROW], value))
             return None
         return answer
 
@@ -205,8 +206,8 @@
     def _tables(self) -> tables.TableClient:
         return self._kernel.find("store").tables
 
-    def _take_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
-        self.take(rows[ROW])
+    def _handle_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
+        self.apply_row(rows[ROW])
 
     def _write(
         self,
@@ -214,12 +215,12 @@
         expected: int,
         name: str,
     ) -> Layout | errors.Failure:
-        """Write the planned layout; repeat until its effect is certain.
+        """Write the planned layout; retry until the outcome is certain.
 
         Each attempt checks the version that was read, so no earlier attempt can take
-        effect after a later one, or after any other change.
+        effect after a later one or after any other change.
         """
-        deadline = self._clock() + CHANGE_LIMIT_S
+        deadline = self._clock() + CHANGE_TIMEOUT_S
         lost: errors.Ambiguous | None = None
         while True:
             result = self._attempt(plan, expected, name)
@@ -229,7 +230,7 @@
                 case errors.Unavailable() if lost is not None:
                     pass
                 case errors.Conflict(key="layout"):
-                    pass  # the next attempt sees what came first
+                    pass  # the next attempt reads the other change
                 case _:
                     return result
             if self._clock() + RETRY_S > deadline:
@@ -244,14 +245,14 @@
     ) -> Layout | errors.Failure:
         failure = self.reread()
         if failure is not None:
-            # A read has no effect, whether or not it was answered.
+            # A failed read has no effect, so the outcome is not ambiguous.
             return errors.StoreUnavailable(reason=f"store: {failure.reason}")
         present, version = self.view.layout, self.view.version
         if present.change == name:
-            return present  # an earlier attempt whose answer was lost
+            return present  # an earlier attempt whose response was lost
         if present.generation != expected:
             return errors.Conflict(
-                reason="the number of partitions was changed meanwhile",
+                reason="the partition count was changed in the meantime",
                 current_version=present.generation,
                 given_version=expected,
             )
@@ -261,6 +262,6 @@
         value = _encode(planned)
         answer = self._tables.transact({ROW: version}, {ROW: value}, ())
         if isinstance(answer, tables.Committed):
-            self.take(tables.Row(answer.versions[ROW], value))
+            self.apply_row(tables.Row(answer.versions[ROW], value))
             return planned
         return answer
--- a/toucanspring/cell/renewal.py
+++ b/toucanspring/cell/member_rows.py
@@ -1,4 +1,4 @@
-"""The row of this process in the table service: renewals, claims and promises."""
+"""Member rows in the table service; renewals, claims and promises of this process."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 log = logbook.Logger(__name__)
 
 PREFIX = "members/"
-# Two polls without an answer; early enough that all members have promised before the
-# ownership lease ends.
-NO_ACCESS_S = 1.0
+# Two polls without a response. Early enough that all members have promised before the
+# leases of owners expire.
+STORE_UNREACHABLE_S = 1.0
 WRITE_ATTEMPTS = 3
-KEPT_FORMER = 3
+MAX_FORMER_LISTS = 3
 
 Rows = dict[str, tables.Row]
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Describe one process."""
+    """Identity and addresses of a process."""
 
     process: str
     incarnation: int
@@ -36,17 +36,17 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Row `members/<process>`; `known` is the list that majorities count against.
+    """Row `members/<process>`; majorities are counted over the list `known`.
 
-    `gone` says that operators confirmed that no incarnation up to this one runs.
+    `gone` is set once operators have confirmed that no incarnation up to this one runs.
     """
 
     member: Member
     counter: int = 0
     known: list[str] = []
-    settled: list[int] = []  # own partitions whose former owners are gone
+    settled: list[int] = []  # owned partitions whose former owners are gone
     draining: bool = False
-    # Lists of former incarnations of this process, for successors of their partitions.
+    # Member lists by former incarnation of this process, for their successors.
     former: dict[str, list[str]] = {}
     gone: bool = False
 
@@ -56,54 +56,54 @@
 
 
 def key_of(process: str) -> str:
-    """Return the key of a member row."""
+    """Return the key of a process's member row."""
     return PREFIX + process
 
 
 def encode_row(row: MemberRow) -> bytes:
-    """Return the value of a member row."""
+    """Encode a member row."""
     return _encoder.encode(row)
 
 
 def decode_row(row: tables.Row) -> MemberRow | None:
-    """Return the member in a row, or `None` if it is absent or malformed."""
+    """Decode a member row; `None` if it is absent or malformed."""
     if not row.version:
         return None
     try:
         return _decoder.decode(row.value)
     except msgspec.MsgspecError as error:
-        log.error("a member row is malformed: {}", error)
+        log.error("malformed member row: {}", error)
         return None
 
 
-class Guard:
-    """Rows that each renewal must find unchanged; `claims` replaces this default."""
+class RenewalHooks:
+    """Ownership rows that each renewal checks; implemented by `claims`."""
 
-    def checks(self) -> dict[str, int]:
-        """Return the versions of the ownership rows of own partitions."""
+    def expected_versions(self) -> dict[str, int]:
+        """Return the versions of the ownership rows of owned partitions."""
         return {}
 
-    def recheck(self, rows: Rows) -> None:
-        """Take in the own ownership rows after a renewal found one changed."""
+    def handle_conflict(self, rows: Rows) -> None:
+        """Handle a change of an ownership row that a renewal has found."""
 
     def settled(self) -> list[int]:
-        """Return the own partitions whose former owners are gone."""
+        """Return the owned partitions whose former owners are gone."""
         return []
 
     def owned(self) -> dict[int, int]:
-        """Return the epoch of each own partition."""
+        """Return the epoch of each owned partition."""
         return {}
 
-    def named(self) -> set[str] | None:
-        """Return the processes in ownership rows; `None` if not all rows are known."""
+    def recorded_owners(self) -> set[str] | None:
+        """Return the processes in ownership rows; `None` unless all rows are known."""
         return set()
 
 
-class OwnRow:
-    """Write the row of this process and hold what its answers prove.
+class LocalMember:
+    """Member row and lease of this process.
 
-    All writes go through `write`, so that a claim and a renewal with a lost answer
-    are resolved in one way: by the counter in the row.
+    All writes go through `write`, so that a claim and a renewal with a lost response
+    are resolved in the same way: by the counter in the row.
     """
 
     def __init__(
@@ -112,28 +112,28 @@
         timing: ownership.Timing,
         clock: Callable[[], float],
         client: Callable[[], tables.TableClient],
-        known: Callable[[], list[str]],
+        list_members: Callable[[], list[str]],
     ) -> None:
         self.identity = identity
         self.timing = timing
-        self.guard = Guard()
-        self.tenure = ownership.Tenure()
-        # Each member list that the row may contain; two after a lost answer.
-        self.lists: list[list[str]] = []
+        self.hooks = RenewalHooks()
+        self.lease = ownership.Lease()
+        # Each member list that the row may contain; two after a lost response.
+        self.possible_member_lists: list[list[str]] = []
         self.draining = False
         self.replaced = False  # another incarnation has taken this process's name
         self.started_at = clock()
         # A former incarnation may have promised until just before the start.
         self.promised_at = self.started_at
-        self.answered_at = ownership.NEVER
+        self.last_contact_at = ownership.NEVER
         self.registered_at = -ownership.NEVER  # when the row was first written
         self._clock = clock
         self._client = client
-        self._known = known
+        self._list_members = list_members
         self._version = 0
         self._counter = 0
         self._former: dict[str, list[str]] = {}
-        self._claims_under_way = 0
+        self._claims_in_flight = 0
         self._claim_unresolved = False
         self._registered = False
         self._lock = lock.RLock()
@@ -145,36 +145,39 @@
 
     # Promises
 
-    def store_age(self, now: float) -> float:
+    def store_contact_age(self, now: float) -> float:
         """Return seconds since the last request that the store answered was sent."""
-        return now - max(self.answered_at, self.started_at)
+        return now - max(self.last_contact_at, self.started_at)
 
-    def answered(self, sent_at: float) -> None:
-        """Note that the store answered a request sent at `sent_at`."""
-        self.answered_at = max(self.answered_at, sent_at)
+    def record_contact(self, sent_at: float) -> None:
+        """Record that the store answered a request sent at `sent_at`."""
+        self.last_contact_at = max(self.last_contact_at, sent_at)
 
-    def promise(self, now: float) -> bool:
-        """Promise to claim nothing, if the store cannot be reached.
+    def try_promise(self, now: float) -> bool:
+        """Promise to claim nothing if the store is unreachable; return whether done.
 
-        A claim with a lost answer may still take effect until a later write of the own
-        row, which the claim checks, has succeeded; until then there is no promise.
+        A claim with a lost response may take effect until a later write of the member
+        row, whose version the claim checks, has succeeded. Until then no promise is
+        made.
         """
-        if self.store_age(now) < NO_ACCESS_S:
+        if self.store_contact_age(now) < STORE_UNREACHABLE_S:
             return False
-        if self._claims_under_way or self._claim_unresolved:
+        if self._claims_in_flight or self._claim_unresolved:
             return False
         self.promised_at = now
         return True
 
     def extend(self, promises: dict[str, float], now: float) -> None:
-        """Extend the tenure by promises of members."""
-        if self.tenure.ended:
+        """Extend the lease by promises of members."""
+        if self.lease.ended:
             return
-        self.tenure = ownership.extend(
-            self.tenure, self.lists, promises, now, self.timing
+        self.lease = ownership.extend(
+            self.lease, self.possible_member_lists, promises, now, self.timing
         )
-        if self.tenure.ended:
-            log.warning("ownership has ended: neither the store nor a majority answers")
+        if self.lease.ended:
+            log.warning(
+                "ownership has ended: neither the store nor a majority is reachable"
+            )
 
     # Writes
 
@@ -184,27 +187,27 @@
         writes: dict[str, bytes] | None = None,
         claim: bool = False,
     ) -> tables.Committed | errors.Failure:
-        """Renew the row, together with further checks and writes.
+        """Renew the member row, with further checks and writes in the transaction.
 
         The renewal checks the ownership rows, so a success proves that no other
-        process had claimed a partition of this one.
+        process has claimed a partition of this one.
         """
         with self._lock:
             if self.replaced:
                 return errors.Fenced(reason="another process uses this name")
-            self._claims_under_way += claim
+            self._claims_in_flight += claim
             try:
                 return self._write(checks or {}, writes or {}, claim)
             finally:
-                self._claims_under_way -= claim
+                self._claims_in_flight -= claim
 
     def remove(self) -> None:
         """Delete the row at shutdown, unless an ownership row still needs it."""
         with self._lock:
-            named = self.guard.named()
-            if not self._registered or self.replaced or named is None:
+            owners = self.hooks.recorded_owners()
+            if not self._registered or self.replaced or owners is None:
                 return
-            if self.identity.process not in named:
+            if self.identity.process not in owners:
                 self._client().transact({self.key: self._version}, {}, [self.key])
 
     def _write(
@@ -216,67 +219,67 @@
                 failure = self._register()
                 if failure is not None:
                     return failure
-            # The lock may have been waited for, with a promise made meanwhile.
-            silent_s = self._clock() - self.promised_at
-            if claim and silent_s < self.timing.quiet_s:
+            # A promise may have been made while this write waited for the lock.
+            promise_age_s = self._clock() - self.promised_at
+            if claim and promise_age_s < self.timing.promise_expiry_s:
                 return errors.Refused(reason="promised to claim nothing")
-            guarded = {self.key, *self.guard.checks()}
+            guarded = {self.key, *self.hooks.expected_versions()}
             result = self._attempt(checks, writes)
             if not isinstance(result, errors.Conflict) or result.key not in guarded:
                 return result
-            reread = self._reread()
-            if reread is not None:
-                return reread
+            conflict_failure = self._handle_conflict()
+            if conflict_failure is not None:
+                return conflict_failure
         return result
 
     def _attempt(
         self, checks: dict[str, int], writes: dict[str, bytes]
     ) -> tables.Committed | errors.Failure:
-        # Unique to the attempt: an earlier one whose answer was lost may be in effect,
-        # and its lease counts from its own send time.
+        # Unique to the attempt: an earlier one whose response was lost may have taken
+        # effect, and its lease counts from its own send time.
         self._counter += 1
         counter = self._counter
-        known = self._known()
+        known = self._list_members()
         row = MemberRow(
             member=self.identity,
             counter=counter,
             known=known,
-            settled=self.guard.settled(),
+            settled=self.hooks.settled(),
             draining=self.draining,
             former=self._former,
         )
-        if known not in self.lists:
-            self.lists.append(known)
+        if known not in self.possible_member_lists:
+            self.possible_member_lists.append(known)
         if writes:
             self._claim_unresolved = True
         sent_at = self._clock()
         result = self._client().transact(
-            {**self.guard.checks(), **checks, self.key: self._version},
+            {**self.hooks.expected_versions(), **checks, self.key: self._version},
             {**writes, self.key: _encoder.encode(row)},
         )
         if isinstance(result, errors.Ambiguous):
-            result = self._resolve(counter, result, writes)
+            result = self._resolve_ambiguous(counter, result, writes)
         match result:
             case tables.Committed(versions=versions):
                 self._version = versions[self.key]
-                self.lists = [known]
+                self.possible_member_lists = [known]
                 self._claim_unresolved = False
-                self.answered(sent_at)
+                self.record_contact(sent_at)
                 self.registered_at = min(self.registered_at, self._clock())
-                self.tenure = ownership.renew(self.tenure, sent_at, self.timing)
+                self.lease = ownership.renew(self.lease, sent_at, self.timing)
                 for key, value in writes.items():
                     if versions[key] == 0:
-                        return self._overtaken(key, value)
+                        return self._overwritten(key, value)
             case errors.Conflict():
-                self.answered(sent_at)
+                self.record_contact(sent_at)
         return result
 
-    def _resolve(
+    def _resolve_ambiguous(
         self, counter: int, lost: errors.Ambiguous, writes: dict[str, bytes]
     ) -> tables.Committed | errors.Failure:
-        """Find out whether a transaction with a lost answer took effect.
+        """Find out whether a transaction with a lost response took effect.
 
-        A further row that another process has changed since gets version 0.
+        A further row that another process has changed since is reported as version 0.
         """
         rows = self._client().read([self.key, *writes])
         if isinstance(rows, errors.Failure):
@@ -295,32 +298,32 @@
         return tables.Committed({**versions, self.key: rows[self.key].version})
 
     @staticmethod
-    def _overtaken(key: str, value: bytes) -> errors.Conflict:
+    def _overwritten(key: str, value: bytes) -> errors.Conflict:
         return errors.Conflict(
             reason=f"row {key} of {len(value)} bytes was written and then changed",
             key=key,
         )
 
     def _register(self) -> errors.Failure | None:
-        """Take over the row of a former incarnation of this process."""
+        """Read the row of a former incarnation of this process before replacing it."""
         sent_at = self._clock()
         rows = self._client().read([self.key])
         if isinstance(rows, errors.Failure):
             return rows
-        self.answered(sent_at)
+        self.record_contact(sent_at)
         row = rows[self.key]
         previous = decode_row(row)
         if previous is not None and previous.member != self.identity:
-            kept = list(previous.former.items())[-KEPT_FORMER:]
+            kept = list(previous.former.items())[-MAX_FORMER_LISTS:]
             incarnation = str(previous.member.incarnation)
             self._former = {**dict(kept), incarnation: previous.known}
         self._version = row.version
         self._registered = True
         return None
 
-    def _reread(self) -> None | errors.Failure:
-        """Learn why a renewal conflicted."""
-        rows = self._client().read([self.key, *self.guard.checks()])
+    def _handle_conflict(self) -> None | errors.Failure:
+        """Read the rows again to find the reason for a conflict of a renewal."""
+        rows = self._client().read([self.key, *self.hooks.expected_versions()])
         if isinstance(rows, errors.Failure):
             return rows
         row = rows[self.key]
@@ -328,10 +331,12 @@
         if current is not None:
             if current.member.incarnation != self.identity.incarnation:
                 self.replaced = True
-                self.tenure = ownership.Tenure()
-                log.critical("another process uses the name {}", self.identity.process)
+                self.lease = ownership.Lease()
+                log.critical(
+                    "another process runs under the name {}", self.identity.process
+                )
                 return errors.Fenced(reason="another process uses this name")
             self._counter = max(self._counter, current.counter)
         self._version = row.version
-        self.guard.recheck(rows)
+        self.hooks.handle_conflict(rows)
         return None
