--- a/test/coordinator_case.py
+++ b/test/coordinator_case.py
@@ -1,4 +1,4 @@
-"""Builds books, workers and jobs for tests of the coordinator's decisions."""
+"""Builders of cells, workers and jobs for tests of the coordinator."""
 
 from toucanspring import resources
 from toucanspring.coordinator import (
@@ -66,17 +66,17 @@
 
 
 def new_cell(*entries, now=0.0, catalogue_=None):
-    """Return a book whose workers have answered once."""
+    """Return a cell whose workers have replied to one poll."""
     cell = cell_state.CellState()
     cell.catalogue = catalogue_ or configure()
     for each in entries or (entry(),):
         worker = cell.register_worker(each)
-        look(cell, worker.id, now=now)
+        poll(cell, worker.id, now=now)
     return cell
 
 
-def look(cell, worker_id, running=(), ended=(), now=0.0, incarnation=1, sent_at=None):
-    """Let a worker answer a look."""
+def poll(cell, worker_id, running=(), ended=(), now=0.0, incarnation=1, sent_at=None):
+    """Apply the reply of a worker to a poll."""
     answer = ports.PollReply(
         round(now * 1000) + 1, incarnation, tuple(running), tuple(ended)
     )
@@ -94,7 +94,7 @@
 
 
 def confirm(cell, plan, now=0.0):
-    """Let the workers confirm all starts of a plan."""
+    """Confirm all starts of a plan."""
     for start in plan.starts:
         cell.confirm_start(start.step, start.task, start.run, now)
 
--- a/test/test_coordinator_planner.py
+++ b/test/test_coordinator_planner.py
@@ -1,4 +1,4 @@
-"""Choice of workers, approvals and room for gangs."""
+"""Tests of placement, approvals, priorities and gang scheduling."""
 
 import testtools
 
@@ -24,56 +24,65 @@
             case.entry("w1"), case.entry("w2"), catalogue_=self.catalogue
         )
         cell.accept(case.job(JOB, case.step(4)), 1.0)
-        chooser = planner.Planner(cell)
-        plan = chooser.plan(1.0)
+        cell_planner = planner.Planner(cell)
+        plan = cell_planner.plan(1.0)
         self.assertEqual([], plan.starts)
         [question] = plan.approval_requests
         self.assertEqual(("w1", "w2"), question.workers)
-        self.assertEqual([], chooser.plan(1.01).approval_requests)
+        self.assertEqual([], cell_planner.plan(1.01).approval_requests)
         approve(question, ["w2"], 1.1)
-        self.assertEqual({"w2"}, {each.worker.id for each in chooser.plan(1.1).starts})
+        self.assertEqual(
+            {"w2"}, {each.worker.id for each in cell_planner.plan(1.1).starts}
+        )
 
-    def test_the_reason_to_wait_is_told_once(self):
+    def test_the_reason_to_wait_is_recorded_once(self):
         cell = case.new_cell(case.entry("w1"), catalogue_=self.catalogue)
         cell.accept(case.job(JOB, case.step(1, cpus=32_000)), 1.0)
         cell.accept(case.job("1" * 16, case.step(1, cpus=32_000)), 1.1)
-        chooser = planner.Planner(cell)
-        questions = chooser.plan(1.1).approval_requests
-        told = [wait.reason for _ in range(5) for wait in chooser.plan(1.2).waits]
-        self.assertEqual([], told)
+        cell_planner = planner.Planner(cell)
+        questions = cell_planner.plan(1.1).approval_requests
+        reasons = [
+            wait.reason for _ in range(5) for wait in cell_planner.plan(1.2).waits
+        ]
+        self.assertEqual([], reasons)
         for question in questions:
             approve(question, ["w1"], 1.3)
-        told = [wait.reason for _ in range(5) for wait in chooser.plan(1.3).waits]
-        self.assertEqual([plans.NO_ROOM], told)
+        reasons = [
+            wait.reason for _ in range(5) for wait in cell_planner.plan(1.3).waits
+        ]
+        self.assertEqual([plans.NO_ROOM], reasons)
 
-    def test_an_expired_ticket_is_asked_for_again(self):
+    def test_an_expired_ticket_is_requested_again(self):
         cell = case.new_cell(case.entry("w1"), catalogue_=self.catalogue)
         cell.accept(case.job(JOB, case.step(1)), 1.0)
-        chooser = planner.Planner(cell)
-        [question] = chooser.plan(1.0).approval_requests
+        cell_planner = planner.Planner(cell)
+        [question] = cell_planner.plan(1.0).approval_requests
         approve(question, ["w1"], 1.1)
-        plan = chooser.plan(5.0)
+        plan = cell_planner.plan(5.0)
         self.assertEqual([], plan.starts)
         self.assertEqual([("w1",)], [each.workers for each in plan.approval_requests])
 
-    def test_a_blocked_step_asks_about_workers_that_came_later(self):
-        """After a takeover or an evacuation a job knew one full worker only."""
+    def test_a_blocked_step_requests_approval_of_later_workers(self):
+        """Guards against a step that waits forever for one full worker.
+
+        After a failover or an evacuation, that was the only worker approved for it.
+        """
         entries = [case.entry(f"w{number}") for number in range(18)]
         cell = case.new_cell(*entries, catalogue_=self.catalogue)
         cell.accept(case.job(JOB, case.step(40, cpus=1000)), 1.0)
-        chooser = planner.Planner(cell)
-        [question] = chooser.plan(1.0).approval_requests
+        cell_planner = planner.Planner(cell)
+        [question] = cell_planner.plan(1.0).approval_requests
         approve(question, ["w3"], 1.1)
-        self.assertEqual(32, len(chooser.plan(1.1).starts))
-        for number in range(18, 22):  # too few to be asked about at once
+        self.assertEqual(32, len(cell_planner.plan(1.1).starts))
+        for number in range(18, 22):  # too few for a request before the step is blocked
             cell.register_worker(case.entry(f"w{number}"))
-            case.look(cell, f"w{number}", now=1.2)
-        [question] = chooser.plan(1.3).approval_requests
+            case.poll(cell, f"w{number}", now=1.2)
+        [question] = cell_planner.plan(1.3).approval_requests
         self.assertEqual(("w18", "w19", "w20", "w21"), question.workers)
 
 
 class RoomTest(testtools.TestCase):
-    def test_no_worker_gets_more_than_it_has(self):
+    def test_no_worker_is_overcommitted(self):
         cell = case.new_cell(case.entry("w1", cpus=10_000))
         cell.accept(case.job(JOB, case.step(20, cpus=3000)), 1.0)
         plan = planner.Planner(cell).plan(1.0)
@@ -104,7 +113,7 @@
         plan = planner.Planner(cell).plan(1.0)
         self.assertEqual({"w3"}, {start.worker.id for start in plan.starts})
 
-    def test_at_most_so_many_tasks_of_a_step_on_one_worker(self):
+    def test_a_step_is_limited_to_max_per_worker(self):
         cell = case.new_cell(case.entry("w1"), case.entry("w2"))
         cell.accept(case.job(JOB, case.step(5, max_per_worker=2)), 1.0)
         self.assertEqual(4, len(planner.Planner(cell).plan(1.0).starts))
@@ -112,21 +121,21 @@
     def test_a_failed_task_goes_elsewhere_then_back(self):
         cell = case.new_cell(case.entry("w1"))
         cell.accept(case.job(JOB, case.step(1)), 1.0)
-        chooser = planner.Planner(cell)
-        case.confirm(cell, chooser.plan(1.0), 1.0)
+        cell_planner = planner.Planner(cell)
+        case.confirm(cell, cell_planner.plan(1.0), 1.0)
         end = case.ended(1, f"{JOB}.0.0.0", how="failed")
-        case.look(cell, "w1", ended=[end], now=1.5)
-        self.assertEqual([], chooser.plan(1.6).starts)
-        self.assertEqual(1, len(chooser.plan(4.0).starts))
+        case.poll(cell, "w1", ended=[end], now=1.5)
+        self.assertEqual([], cell_planner.plan(1.6).starts)
+        self.assertEqual(1, len(cell_planner.plan(4.0).starts))
 
     def test_a_failed_task_does_not_hold_up_the_others_of_its_step(self):
         cell = case.new_cell(case.entry("w1", cpus=1000))
         cell.accept(case.job(JOB, case.step(2)), 1.0)
-        chooser = planner.Planner(cell)
-        case.confirm(cell, chooser.plan(1.0), 1.0)
+        cell_planner = planner.Planner(cell)
+        case.confirm(cell, cell_planner.plan(1.0), 1.0)
         end = case.ended(1, f"{JOB}.0.0.0", how="failed")
-        case.look(cell, "w1", ended=[end], now=1.5)
-        [start] = chooser.plan(1.6).starts
+        case.poll(cell, "w1", ended=[end], now=1.5)
+        [start] = cell_planner.plan(1.6).starts
         self.assertEqual(1, start.task.index)
 
 
@@ -146,26 +155,26 @@
             ["b" * 16, "c" * 16], [each.step.job.spec.id for each in plan.starts]
         )
 
-    def test_a_team_beyond_its_share_comes_after_the_others(self):
-        teams = [
+    def test_an_organisation_over_its_share_comes_after_the_others(self):
+        organisations = [
             catalogue.Organisation(name=name, keys=frozenset(), weight=1.0)
             for name in ("desk", "labels")
         ]
         cell = case.new_cell(
             case.entry(cpus=10_000),
-            catalogue_=case.configure(organisations=teams),
+            catalogue_=case.configure(organisations=organisations),
         )
         cell.accept(case.job("a" * 16, case.step(9)), 1.0)
-        chooser = planner.Planner(cell)
-        chooser.plan(1.0)
+        cell_planner = planner.Planner(cell)
+        cell_planner.plan(1.0)
         cell.accept(case.job("b" * 16, case.step(1)), 1.1)
         cell.accept(case.job("c" * 16, case.step(1), organisation="labels"), 1.2)
-        [start] = chooser.plan(1.3).starts
+        [start] = cell_planner.plan(1.3).starts
         self.assertEqual("c" * 16, start.step.job.spec.id)
 
 
 class OverloadTest(testtools.TestCase):
-    """More work comes than the cell can do, for longer than the work may wait."""
+    """Demand exceeds the cell's capacity for longer than the deadlines allow."""
 
     def test_work_that_can_be_in_time_goes_before_work_that_is_late(self):
         cell = case.new_cell(
@@ -193,12 +202,12 @@
         )
 
 
-class HotTeamTest(testtools.TestCase):
-    """One organisation sends many times its usual number of jobs."""
+class HotOrganisationTest(testtools.TestCase):
+    """One organisation submits jobs at many times its usual rate."""
 
     def setUp(self):
         super().setUp()
-        teams = [
+        organisations = [
             catalogue.Organisation(name=name, keys=frozenset(), weight=2.0)
             for name in ("hot", "desk")
         ]
@@ -207,7 +216,7 @@
             catalogue_=case.configure(
                 case.queue("checks", priority=0),
                 case.queue("labels", priority=2),
-                organisations=teams,
+                organisations=organisations,
             ),
         )
 
@@ -230,7 +239,7 @@
 
 
 class GangTest(testtools.TestCase):
-    """Gangs that find the workers full of less urgent work."""
+    """Gangs are submitted while tasks of lower priority fill the workers."""
 
     def setUp(self):
         super().setUp()
@@ -240,67 +249,67 @@
                 case.queue("builds", priority=1), case.queue("labels", priority=2)
             ),
         )
-        self.chooser = planner.Planner(self.cell)
+        self.cell_planner = planner.Planner(self.cell)
 
     def fill(self, now=1.0):
         labels = case.step(30, checkpointing=True)
         self.cell.accept(case.job("a" * 16, labels, queue="labels"), now)
-        case.confirm(self.cell, self.chooser.plan(now), now)
+        case.confirm(self.cell, self.cell_planner.plan(now), now)
 
     def test_a_gang_starts_whole_or_not_at_all(self):
         gang = case.step(4, cpus=9000, gang=True)
         self.cell.accept(case.job(JOB, gang), 1.0)
-        self.assertEqual([], self.chooser.plan(1.0).starts)
+        self.assertEqual([], self.cell_planner.plan(1.0).starts)
         smaller = case.step(3, cpus=9000, gang=True)
         self.cell.accept(case.job("1" * 16, smaller), 1.1)
-        starts = self.chooser.plan(1.1).starts
+        starts = self.cell_planner.plan(1.1).starts
         self.assertEqual([1, 1, 1], [start.run for start in starts])
 
-    def test_a_gang_waits_for_ends_before_it_stops_work(self):
+    def test_a_gang_preempts_only_after_a_delay(self):
         self.fill()
         self.cell.accept(case.job(JOB, case.step(1, cpus=9000, gang=True)), 1.0)
-        self.chooser.plan(1.3)
+        self.cell_planner.plan(1.3)
         self.assertEqual([], self.cell.stops)
-        self.chooser.plan(1.0 + gangs.PREEMPT_AFTER_S + 0.1)
+        self.cell_planner.plan(1.0 + gangs.PREEMPT_AFTER_S + 0.1)
         self.assertEqual(9, len(self.cell.stops))
 
-    def test_a_gang_with_time_to_spare_or_too_late_stops_nothing(self):
+    def test_a_gang_with_much_slack_or_none_preempts_nothing(self):
         self.fill()
         gang = case.step(1, cpus=9000, gang=True)
         self.cell.accept(case.job(JOB, gang, queue="builds"), 1.0)
         record = self.cell.jobs[JOB]
         record.due_at = 30.0
-        self.chooser.plan(10.0)
+        self.cell_planner.plan(10.0)
         record.due_at = 9.0
-        self.chooser.plan(10.0)
+        self.cell_planner.plan(10.0)
         self.assertEqual([], self.cell.stops)
 
-    def test_a_task_is_not_stopped_for_gangs_again_and_again(self):
+    def test_preemptions_of_a_task_are_limited(self):
         self.fill()
         for record in self.cell.jobs.values():
             for task in record.steps[0, 0].tasks:
                 task.preemptions = gangs.MAX_PREEMPTIONS
         self.cell.accept(case.job(JOB, case.step(1, cpus=9000, gang=True)), 1.0)
-        self.chooser.plan(2.6)
+        self.cell_planner.plan(2.6)
         self.assertEqual([], self.cell.stops)
 
-    def test_a_gang_clears_the_same_workers_in_each_round(self):
+    def test_a_gang_preempts_on_the_same_workers_in_each_round(self):
         self.fill()
         self.cell.accept(case.job(JOB, case.step(1, cpus=9000, gang=True)), 1.0)
         for tick in range(20):
-            self.chooser.plan(2.6 + tick * 0.01)
+            self.cell_planner.plan(2.6 + tick * 0.01)
         self.assertEqual(1, len({stop.worker for stop in self.cell.stops}))
 
-    def test_no_other_work_takes_the_room_that_a_gang_waits_for(self):
+    def test_no_other_task_starts_on_workers_reserved_for_a_gang(self):
         self.fill()
         self.cell.accept(case.job(JOB, case.step(3, cpus=9000, gang=True)), 1.0)
-        self.chooser.plan(1.3)
+        self.cell_planner.plan(1.3)
         ends = [
             case.ended(number + 1, f"{'a' * 16}.0.0.{allocation.task.index}")
             for number, allocation in enumerate(
                 list(self.cell.workers["w1"].allocations.values())[:2]
             )
         ]
-        case.look(self.cell, "w1", ended=ends, now=1.4, sent_at=0.0)
+        case.poll(self.cell, "w1", ended=ends, now=1.4, sent_at=0.0)
         self.cell.accept(case.job("b" * 16, queue="labels"), 1.4)
-        self.assertEqual([], self.chooser.plan(1.45).starts)
+        self.assertEqual([], self.cell_planner.plan(1.45).starts)
--- a/test/test_coordinator_reports.py
+++ b/test/test_coordinator_reports.py
@@ -1,4 +1,4 @@
-"""What workers say of their tasks, and what the book makes of it."""
+"""Tests of worker reports and their effect on the cell state."""
 
 import testtools
 
@@ -32,54 +32,54 @@
     def test_the_last_end_completes_the_job(self):
         cell = self.begin(case.step(2))
         ends = [case.ended(n + 1, f"{JOB}.0.0.{n}") for n in range(2)]
-        self.assertEqual([JOB, JOB], case.look(cell, "w1", ended=ends, now=2.0))
+        self.assertEqual([JOB, JOB], case.poll(cell, "w1", ended=ends, now=2.0))
         self.assertEqual(state.JobState.COMPLETED, cell.jobs[JOB].state)
-        # Callers are told once it is durable.
+        # Callers see the new state once it is durable.
         self.assertEqual(state.JobState.QUEUED, cell.jobs[JOB].durable_state)
 
     def test_an_end_counts_once(self):
         cell = self.begin(case.step(2))
         end = case.ended(1, f"{JOB}.0.0.0")
-        case.look(cell, "w1", ended=[end], now=2.0)
-        self.assertEqual([], case.look(cell, "w1", ended=[end], now=2.1))
+        case.poll(cell, "w1", ended=[end], now=2.0)
+        self.assertEqual([], case.poll(cell, "w1", ended=[end], now=2.1))
         self.assertEqual(1, cell.jobs[JOB].steps[0, 0].unfinished)
 
     def test_a_later_step_opens_when_all_before_it_are_done(self):
         cell = self.begin(case.step(2), case.step(1, after=(0,)))
         first = case.ended(1, f"{JOB}.0.0.0")
         other = case.running(f"{JOB}.0.0.1")
-        case.look(cell, "w1", [other], [first], now=2.0)
+        case.poll(cell, "w1", [other], [first], now=2.0)
         self.assertNotIn((0, 1), cell.jobs[JOB].steps)
         second = case.ended(2, f"{JOB}.0.0.1")
-        case.look(cell, "w1", ended=[second], now=2.1)
+        case.poll(cell, "w1", ended=[second], now=2.1)
         self.assertIn((0, 1), cell.jobs[JOB].steps)
 
     def test_a_task_that_failed_too_often_fails_the_job(self):
         cell = self.begin(case.step(1), case.step(1))
         other = case.running(f"{JOB}.0.1.0")
         end = case.ended(1, f"{JOB}.0.0.0", how="failed")
-        case.look(cell, "w1", [other], [end], now=2.0)
+        case.poll(cell, "w1", [other], [end], now=2.0)
         self.assertEqual(state.JobState.ACTIVE, cell.jobs[JOB].state)
         start_all(cell, 5.0)
         end = case.ended(2, f"{JOB}.0.0.0", run=2, how="failed")
-        case.look(cell, "w1", [other], [end], now=6.0)
+        case.poll(cell, "w1", [other], [end], now=6.0)
         self.assertEqual(state.JobState.FAILED, cell.jobs[JOB].state)
         self.assertEqual([cell_state.Stop("w1", f"{JOB}.0.1.0", 1)], cell.stops)
 
-    def test_ends_that_are_no_fault_cost_no_attempt(self):
+    def test_ends_other_than_failures_cost_no_attempt(self):
         cell = self.begin(case.step(1))
         for run, how in enumerate(("stopped", "lapsed", "broken", "alone"), 1):
             end = case.ended(run, f"{JOB}.0.0.0", run=run, how=how)
-            case.look(cell, "w1", ended=[end], now=2.0 + run)
+            case.poll(cell, "w1", ended=[end], now=2.0 + run)
             start_all(cell, 2.1 + run)
         task = cell.jobs[JOB].steps[0, 0].tasks[0]
         self.assertEqual((5, 0), (task.run, task.failures))
 
-    def test_one_end_of_a_gang_stands_for_all_members(self):
+    def test_one_end_of_a_gang_completes_all_members(self):
         entries = [case.entry(f"w{n}", cpus=1000) for n in range(3)]
         cell = self.begin(case.step(3, gang=True), entries=entries)
         task = next(iter(cell.workers["w1"].allocations))
-        case.look(cell, "w1", ended=[case.ended(1, task)], now=2.0)
+        case.poll(cell, "w1", ended=[case.ended(1, task)], now=2.0)
         self.assertEqual([case.DONE] * 3, case.phases(cell))
         self.assertEqual(state.JobState.COMPLETED, cell.jobs[JOB].state)
 
@@ -88,7 +88,7 @@
         cell = self.begin(case.step(3, gang=True), entries=entries)
         for name, how in (("w0", "failed"), ("w1", "broken"), ("w2", "failed")):
             task = next(iter(cell.workers[name].allocations))
-            case.look(cell, name, ended=[case.ended(1, task, how=how)], now=2.0)
+            case.poll(cell, name, ended=[case.ended(1, task, how=how)], now=2.0)
         run = cell.jobs[JOB].steps[0, 0]
         self.assertEqual({1}, {task.failures for task in run.tasks})
         self.assertEqual([], planner.Planner(cell).plan(2.1).starts)
@@ -99,11 +99,11 @@
         for run in range(1, 6):
             how = "failed" if run % 2 else "done"
             end = case.ended(run, f"{JOB}.0.0.0", run=run, how=how)
-            case.look(cell, "w1", ended=[end], now=run * 10.0)
+            case.poll(cell, "w1", ended=[end], now=run * 10.0)
             self.assertEqual(1, len(start_all(cell, run * 10.0 + 5)))
 
 
-class LookTest(testtools.TestCase):
+class PollTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.cell = case.new_cell()
@@ -111,53 +111,53 @@
 
     def test_a_run_that_is_not_listed_after_its_start_is_gone(self):
         start_all(self.cell, 1.0)
-        case.look(self.cell, "w1", now=2.0, sent_at=0.9)
+        case.poll(self.cell, "w1", now=2.0, sent_at=0.9)
         self.assertEqual([case.RUNNING], case.phases(self.cell))
-        case.look(self.cell, "w1", now=2.0, sent_at=1.1)
+        case.poll(self.cell, "w1", now=2.0, sent_at=1.1)
         self.assertEqual([case.WAITING], case.phases(self.cell))
 
     def test_a_start_under_way_is_not_gone(self):
         planner.Planner(self.cell).plan(1.0)
-        case.look(self.cell, "w1", now=2.0)
+        case.poll(self.cell, "w1", now=2.0)
         self.assertEqual([state.TaskPhase.STARTING], case.phases(self.cell))
 
     def test_an_unknown_task_is_stopped_and_nothing_starts_beside_it(self):
         other = case.running("f" * 16 + ".0.0.0")
-        case.look(self.cell, "w1", running=[other], now=1.0)
+        case.poll(self.cell, "w1", running=[other], now=1.0)
         stop = cell_state.Stop("w1", "f" * 16 + ".0.0.0", 1)
         self.assertEqual([stop], self.cell.stops)
         self.assertEqual([], planner.Planner(self.cell).plan(1.1).starts)
 
-    def test_a_checkpoint_travels_with_the_task(self):
+    def test_a_requeued_task_keeps_its_checkpoint(self):
         start_all(self.cell)
         row = case.running(f"{JOB}.0.0.0", checkpoint="c1", percent=40)
-        case.look(self.cell, "w1", running=[row], now=1.5)
+        case.poll(self.cell, "w1", running=[row], now=1.5)
         end = case.ended(1, f"{JOB}.0.0.0", how="lapsed")
-        case.look(self.cell, "w1", ended=[end], now=2.0)
+        case.poll(self.cell, "w1", ended=[end], now=2.0)
         [start] = planner.Planner(self.cell).plan(2.1).starts
         self.assertEqual("c1", start.task.checkpoint)
 
-    def test_progress_that_stands_still_is_found(self):
+    def test_a_task_without_progress_is_stuck(self):
         start_all(self.cell, 1.0)
         worker = self.cell.workers["w1"]
         for now, percent in ((1.5, 10), (2.0, 20), (3.0, 20)):
             row = case.running(f"{JOB}.0.0.0", percent=percent)
-            case.look(self.cell, "w1", running=[row], now=now, sent_at=now)
+            case.poll(self.cell, "w1", running=[row], now=now, sent_at=now)
         self.assertEqual([], reports.find_stuck(worker, 3.0))
         self.assertEqual(1, len(reports.find_stuck(worker, 3.5)))
 
-    def test_two_looks_without_an_end_between_them_find_a_stuck_task(self):
-        # The load: a worker on which everything stands still, so that looks time out.
+    def test_two_polls_without_an_end_between_them_find_a_stuck_task(self):
+        # Nothing progresses or ends on the worker, so each poll lasts its full wait.
         start_all(self.cell)
         worker = self.cell.workers["w1"]
         standing = case.running(f"{JOB}.0.0.0", percent=7)
-        case.look(self.cell, "w1", [standing], now=2.0)
+        case.poll(self.cell, "w1", [standing], now=2.0)
         now = 2.0 + dispatch.POLL_WAIT_MS / 1000
-        case.look(self.cell, "w1", [standing], now=now)
+        case.poll(self.cell, "w1", [standing], now=now)
         self.assertEqual(1, len(reports.find_stuck(worker, now)))
 
     def test_a_member_that_waits_for_the_others_of_its_gang_is_not_stuck(self):
-        """Members are uneven; who is through stays at 100% until all are."""
+        """A member that is done stays at 100% until slower members are done too."""
         cell = case.new_cell(case.entry("w1"), case.entry("w2"))
         gang = case.step(2, cpus=20_000, gang=True)
         cell.accept(case.job(JOB, gang), 1.0)
@@ -167,11 +167,11 @@
             for name, percent in (("w1", 100), ("w2", 4 * tick)):
                 [task] = cell.workers[name].allocations
                 row = case.running(task, percent=percent)
-                case.look(cell, name, running=[row], now=now, sent_at=now)
+                case.poll(cell, name, running=[row], now=now, sent_at=now)
                 worker = cell.workers[name]
                 self.assertEqual([], reports.find_stuck(worker, now))
 
-    def test_a_lapsed_worker_gives_its_tasks_back(self):
+    def test_tasks_of_a_lost_worker_are_requeued(self):
         start_all(self.cell)
         reports.mark_lost(self.cell, self.cell.workers["w1"], 9.0)
         self.assertEqual([case.WAITING], case.phases(self.cell))
@@ -219,16 +219,16 @@
         )
         self.assertEqual(1000, cell.workers["w1"].used.cpus)
 
-    def test_the_worker_resolves_the_doubt(self):
+    def test_a_poll_resolves_tasks_in_doubt(self):
         cell = self.restored(self.progress())
-        case.look(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 2)], now=11.0)
+        case.poll(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 2)], now=11.0)
         self.assertEqual(case.RUNNING, case.phases(cell)[1])
         cell = self.restored(self.progress())
-        case.look(cell, "w1", now=11.0)
+        case.poll(cell, "w1", now=11.0)
         self.assertEqual(case.WAITING, case.phases(cell)[1])
 
     def test_a_gang_whose_failure_is_recorded_fails_once(self):
-        """Other members list their ends of the same run after the takeover."""
+        """After a failover, other members report the end of the same run."""
         cell = case.new_cell(case.entry("w1"), case.entry("w2"), now=9.0)
         tasks = (
             rows.TaskRow(0, 1, failures=1, failed_run=1),
@@ -238,25 +238,25 @@
         spec = case.job(JOB, case.step(2, gang=True))
         cell.restore(spec, progress, 10.0, 0.0)
         end = case.ended(1, f"{JOB}.0.0.1", how="failed")
-        case.look(cell, "w2", ended=[end], now=11.0)
+        case.poll(cell, "w2", ended=[end], now=11.0)
         self.assertEqual(state.JobState.ACTIVE, cell.jobs[JOB].state)
         run = cell.jobs[JOB].steps[0, 0]
         self.assertEqual([1, 1], [task.failures for task in run.tasks])
 
-    def test_a_run_of_before_that_was_given_up_is_stopped(self):
+    def test_an_earlier_run_of_a_restored_task_is_stopped(self):
         cell = self.restored(self.progress())
-        case.look(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 1)], now=11.0)
+        case.poll(cell, "w1", running=[case.running(f"{JOB}.0.0.1", 1)], now=11.0)
         self.assertIn(cell_state.Stop("w1", f"{JOB}.0.0.1", 1), cell.stops)
 
-    def test_what_is_written_is_what_is_restored(self):
+    def test_stored_progress_survives_a_round_trip(self):
         cell = self.restored(self.progress())
         again = state.to_progress(cell.jobs[JOB])
         self.assertEqual(self.progress(), again)
         self.assertEqual(again, rows.decode(rows.Progress, rows.encode(again)))
 
-    def test_numbers_of_runs_rise_over_a_takeover(self):
+    def test_run_numbers_increase_across_a_failover(self):
         cell = self.restored(self.progress())
-        case.look(cell, "w1", now=11.0)
+        case.poll(cell, "w1", now=11.0)
         [first, second] = planner.Planner(cell).plan(11.1).starts
         self.assertEqual([(1, 3), (2, 1)], [
             (first.task.index, first.run), (second.task.index, second.run)
@@ -264,13 +264,13 @@
 
 
 class EntryTest(testtools.TestCase):
-    def test_a_worker_that_left_the_list_gets_nothing_new(self):
+    def test_an_unregistered_worker_gets_no_new_tasks(self):
         cell = case.new_cell()
         cell.accept(case.job(JOB), 1.0)
         cell.mark_unregistered("w1")
         self.assertEqual([], planner.Planner(cell).plan(1.0).starts)
 
-    def test_a_worker_named_by_an_intent_only_is_expected(self):
+    def test_a_worker_known_from_restored_tasks_only_is_added(self):
         cell = cell_state.CellState()
         cell.catalogue = case.configure()
         tasks = (rows.TaskRow(0, 1, worker="w9", incarnation=1),)
--- a/test/test_coordinator_stragglers.py
+++ b/test/test_coordinator_stragglers.py
@@ -1,4 +1,4 @@
-"""Slow workers are found by progress and given less."""
+"""Tests of the detection of slow workers."""
 
 import testtools
 
@@ -9,17 +9,17 @@
 
 
 class SlowWorkerTest(testtools.TestCase):
-    """Some workers turn several times slower while they answer as before."""
+    """A worker becomes several times slower but replies to polls as before."""
 
     def setUp(self):
         super().setUp()
         self.entries = [case.entry(f"w{n}", cpus=2000) for n in range(5)]
         self.cell = case.new_cell(*self.entries)
-        self.chooser = planner.Planner(self.cell)
+        self.cell_planner = planner.Planner(self.cell)
 
     def run_steps(self, step, slow=("w0",), seconds=3.0):
         self.cell.accept(case.job(JOB, step), 1.0)
-        case.confirm(self.cell, self.chooser.plan(1.0), 1.0)
+        case.confirm(self.cell, self.cell_planner.plan(1.0), 1.0)
         for tick in range(1, int(seconds / 0.5) + 1):
             now = 1.0 + tick * 0.5
             for name, worker in self.cell.workers.items():
@@ -28,14 +28,14 @@
                     case.running(task, percent=min(99, rate * tick))
                     for task in worker.allocations
                 ]
-                case.look(self.cell, name, rows, now=now, sent_at=0.0)
+                case.poll(self.cell, name, rows, now=now, sent_at=0.0)
 
-    def test_a_slow_worker_gets_nothing_new_for_a_while(self):
+    def test_a_slow_worker_gets_no_new_tasks_during_the_pause(self):
         self.run_steps(case.step(5, cpus=1500))
         [slow] = stragglers.find_slow(self.cell.workers.values(), 4.0)
         self.assertEqual("w0", slow.id)
         self.cell.accept(case.job("1" * 16, case.step(5, cpus=500)), 4.1)
-        starts = self.chooser.plan(4.1).starts
+        starts = self.cell_planner.plan(4.1).starts
         self.assertNotIn("w0", {start.worker.id for start in starts})
         later = 4.1 + stragglers.SLOW_WORKER_PAUSE_S
         self.assertTrue(slow.is_usable(later, frozenset()))
@@ -44,7 +44,7 @@
         self.run_steps(case.step(5, cpus=1500))
         [slow] = stragglers.find_slow(self.cell.workers.values(), 4.0)
         [allocation] = stragglers.find_movable(slow, 4.0)
-        # Near its end it stays.
+        # A task that is almost done is not moved.
         allocation.task.percent = 90
         self.assertEqual([], stragglers.find_movable(slow, 4.0))
 
@@ -52,6 +52,6 @@
         self.run_steps(case.step(5, cpus=1500), slow=())
         self.assertEqual([], stragglers.find_slow(self.cell.workers.values(), 4.0))
 
-    def test_members_of_gangs_say_nothing_of_their_workers(self):
+    def test_gang_members_do_not_affect_the_speed_of_workers(self):
         self.run_steps(case.step(5, cpus=1500, gang=True))
         self.assertEqual([], stragglers.find_slow(self.cell.workers.values(), 4.0))
--- a/test/test_coordinator_workers.py
+++ b/test/test_coordinator_workers.py
@@ -1,4 +1,4 @@
-"""Room, leases and behaviour of workers as the coordinator sees them."""
+"""Tests of clock estimates, leases and quarantine of workers."""
 
 import testtools
 
@@ -7,29 +7,29 @@
 
 
 class LeaseTest(testtools.TestCase):
-    def test_the_first_clock_of_a_worker_is_taken(self):
-        # The process has run for long, the worker's clock starts at zero.
+    def test_the_first_clock_reading_is_used(self):
+        # The coordinator has run for long, while the worker's clock starts at zero.
         worker = workers.Worker(case.entry())
         worker.update_clock(1_500, received_at=11_000.0)
         self.assertEqual(1_500, worker.estimate_clock(11_000.0))
         worker.update_clock(2_500, received_at=11_001.0)
         self.assertEqual(2_500, worker.estimate_clock(11_001.0))
 
-    def test_a_delayed_answer_does_not_set_the_clock_back(self):
+    def test_a_delayed_reply_does_not_set_the_clock_back(self):
         worker = workers.Worker(case.entry())
         worker.update_clock(5_000, received_at=10.0)
         worker.update_clock(5_100, received_at=12.0)
         self.assertEqual(5_000 + 1_960, worker.estimate_clock(12.0))
 
-    def test_a_clock_that_goes_back_puts_the_life_in_doubt(self):
+    def test_a_clock_that_goes_back_indicates_a_restart(self):
         worker = workers.Worker(case.entry("w1"))
         worker.update_clock(60_000, 1.0)
-        worker.update_clock(59_800, 1.2)  # an answer that was delayed
+        worker.update_clock(59_800, 1.2)  # a delayed reply
         self.assertFalse(worker.may_have_restarted)
         worker.update_clock(40, 2.0)
         self.assertTrue(worker.may_have_restarted)
 
-    def test_a_lease_lapses_after_its_end_on_a_slow_clock(self):
+    def test_lease_expiry_allows_for_a_slow_clock(self):
         worker = workers.Worker(case.entry())
         worker.update_clock(1_000, received_at=10.0)
         worker.extend_lease(7_000, now=10.0)
