--- a/toucanspring/coordinator/gangs.py
+++ b/toucanspring/coordinator/gangs.py
@@ -107,7 +107,7 @@
         ]
         if missing:
             plan.record_wait(step_run, plans.AWAITING_APPROVAL)
-            # Ask for all approved workers: capacity may change before the reply.
+            # Request all approved workers: capacity may change before the reply.
             names = [worker.id for worker in eligible]
             self._planner.request_approval(step_run, queue, names, plan, now)
             plan.reserved.update(worker.id for worker, _ in chosen)
--- a/toucanspring/coordinator/placement.py
+++ b/toucanspring/coordinator/placement.py
@@ -81,17 +81,17 @@
     reclaimable: dict[str, resources.Resources],
 ) -> list[tuple[workers.Worker, int]] | None:
     demand = step_run.step.occupied()
-    room = []
+    fitting_workers = []
     for worker in eligible:
         free = worker.free() + reclaimable.get(worker.id, resources.ZERO)
         count = demand.count_in(free)
         if step_run.step.max_per_worker:
             count = min(count, step_run.step.max_per_worker)
         if count > 0:
-            room.append((count, worker))
-    room.sort(key=lambda each: (each[1].failures, -each[0]))
+            fitting_workers.append((count, worker))
+    fitting_workers.sort(key=lambda each: (each[1].failures, -each[0]))
     left, chosen = step_run.step.count, []
-    for count, worker in room:
+    for count, worker in fitting_workers:
         share = min(count, left)
         chosen.append((worker, share))
         left -= share
--- a/toucanspring/coordinator/plans.py
+++ b/toucanspring/coordinator/plans.py
@@ -64,13 +64,13 @@
 
 
 def record_approvals(
-    question: ApprovalRequest,
+    request: ApprovalRequest,
     tickets: dict[str, str],
     expires_at: float,
 ) -> None:
     """Store the reply of the approval service in the step."""
-    step_run = question.step
-    for name in question.workers:
+    step_run = request.step
+    for name in request.workers:
         step_run.allowed[name] = name in tickets
         if name in tickets:
             step_run.tickets[name] = ports.Ticket(tickets[name], expires_at)
