--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -184,7 +184,7 @@
             self.store, process, "10.0.0.1", f"life of {process}"
         )
 
-    def fenced_writer_of(self, acquired):
+    def make_writer(self, acquired):
         store_clock = leader_lease.StoreClock()
         store_clock.update(self.store.moment().store_ms, self.clock.now)
         return fenced_writer.FencedWriter(self.store, acquired, store_clock, self.clock)
@@ -216,7 +216,7 @@
         self.assertEqual(2, self.acquire().lease.epoch)
 
     def test_a_holder_that_is_considered_failed_is_replaced_at_once(self):
-        previous = self.fenced_writer_of(self.acquire())
+        previous = self.make_writer(self.acquire())
         acquired = leader_lease.acquire(
             self.store, "two", "10.0.0.2", "two", takeover_epoch=1
         )
@@ -236,7 +236,7 @@
         )
 
     def test_a_released_lease_is_free_at_once(self):
-        writer = self.fenced_writer_of(self.acquire())
+        writer = self.make_writer(self.acquire())
         self.assertIsNone(writer.release())
         self.assertFalse(self.acquire("two").predecessor_may_live)
 
@@ -248,7 +248,7 @@
         return self.store.rows[self.PLACE].value
 
     def test_a_commit_renews_the_lease(self):
-        writer = self.fenced_writer_of(self.acquire())
+        writer = self.make_writer(self.acquire())
         self.clock.now += 2
         self.assertIsNone(writer.commit({self.PLACE: b"1"}))
         self.clock.now += 2
@@ -256,14 +256,14 @@
         self.assertIsInstance(self.acquire("two"), leader_lease.HeldByOther)
 
     def test_a_commit_whose_reply_is_lost_is_applied_once(self):
-        writer = self.fenced_writer_of(self.acquire())
+        writer = self.make_writer(self.acquire())
         self.store.lose_answers = 1
         self.assertIsNone(writer.commit({self.PLACE: b"1"}))
         self.assertIsNone(writer.commit({self.PLACE: b"2"}))
         self.assertEqual(b"2", self.value())
 
     def test_a_delayed_commit_does_not_overwrite_a_later_one(self):
-        writer = self.fenced_writer_of(self.acquire())
+        writer = self.make_writer(self.acquire())
         self.store.delay = 1
         self.assertIsNone(writer.commit({self.PLACE: b"1"}))
         self.assertIsNone(writer.commit({self.PLACE: b"2"}))
@@ -273,17 +273,17 @@
 
     def test_a_former_coordinator_cannot_write(self):
         """A paused process resumes after another one has acquired the lease."""
-        paused = self.fenced_writer_of(self.acquire())
+        paused = self.make_writer(self.acquire())
         self.clock.now += 10
         self.assertFalse(paused.holds_lease(self.clock.now))
-        current = self.fenced_writer_of(self.acquire("two"))
+        current = self.make_writer(self.acquire("two"))
         self.assertIsNone(current.commit({self.PLACE: b"new"}))
         self.assertIsInstance(paused.commit({self.PLACE: b"old"}), errors.Fenced)
         self.assertTrue(paused.lost)
         self.assertEqual(b"new", self.value())
 
     def test_a_former_coordinator_is_fenced_after_a_lost_reply(self):
-        paused = self.fenced_writer_of(self.acquire())
+        paused = self.make_writer(self.acquire())
         self.store.delay = 1
         writing = gevent.spawn(paused.commit, {self.PLACE: b"old"})
         gevent.sleep(0)
@@ -295,7 +295,7 @@
         self.assertNotIn(self.PLACE, self.store.rows)
 
     def test_many_rows_are_split_into_several_transactions(self):
-        writer = self.fenced_writer_of(self.acquire())
+        writer = self.make_writer(self.acquire())
         puts = {
             ports.RowId("progress", rows.COORDINATOR_PART, f"{number}"): b"x"
             for number in range(250)
--- a/toucanspring/coordinator/service.py
+++ b/toucanspring/coordinator/service.py
@@ -328,7 +328,7 @@
             return
         announced = rows.decode(rows.LeaderLease, body)
         if isinstance(announced, errors.Malformed):
-            log.warning("ignoring a malformed heartbeat of {}: {}", sender, announced)
+            log.warning("ignoring a malformed heartbeat: {}", announced)
             return
         known = self._lease
         if not announced.process:
@@ -417,7 +417,10 @@
         try:
             self._leadership.run()
         except Exception:
-            log.exception("epoch {}: internal error", acquired.lease.epoch)
+            log.exception(
+                "epoch {}: coordination ended by an internal error",
+                acquired.lease.epoch,
+            )
         finally:
             self._leadership = None
             self._approval_dispatcher.clear()
