--- a/soak/cell.py
+++ b/soak/cell.py
@@ -83,7 +83,7 @@
             (self._store_at, emulator.StoreResource(self.store)),
             (self._approvals_at, emulator.ApprovalResource()),
         ):
-            listener = emulator.RowCallback(address, resource.application())
+            listener = emulator.Listener(address, resource.application())
             self._stack.enter_context(listener)
 
     def _add_proxy(self, name: str, target: tuple[str, int]) -> str:
@@ -105,7 +105,7 @@
             return self.promises.start_of(order.task, order.spec, zone)
 
         app = emulator.ExecutorResource(self.workers, name, check).application()
-        self._stack.enter_context(emulator.RowCallback(own, app))
+        self._stack.enter_context(emulator.Listener(own, app))
         self._register(name)
 
     def _add_process(self, name: str, zone: str) -> None:
