--- a/test/test_transitions.py
+++ b/test/test_transitions.py
@@ -1,6 +1,6 @@
 import testtools
 
-from toucanspring import rounds
+from toucanspring import periodic
 from toucanspring.cell import ownership, transitions
 from toucanspring.reporting import event_kinds
 
@@ -58,10 +58,12 @@
         def clock():
             return now[0]
 
-        self.patch(rounds.gevent, "sleep", lambda _s: now.__setitem__(0, now[0] + late))
+        self.patch(
+            periodic.gevent, "sleep", lambda _s: now.__setitem__(0, now[0] + late)
+        )
         late = 0.001
-        rounds.repeat(1.0, work, clock, lambda: len(calls) == 2, pauses.append)
+        periodic.repeat(1.0, work, clock, lambda: len(calls) == 2, pauses.append)
         self.assertEqual([], pauses)
         late = 4.0
-        rounds.repeat(1.0, work, clock, lambda: len(calls) == 3, pauses.append)
+        periodic.repeat(1.0, work, clock, lambda: len(calls) == 3, pauses.append)
         self.assertEqual([4.0], pauses)
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 from gevent import pool
 
-from toucanspring import errors, resources, rounds
+from toucanspring import errors, periodic, resources
 from toucanspring.adapters import tables
 from toucanspring.cell import (
     heartbeat,
@@ -302,7 +302,7 @@
 
     def _repeat(self, interval_s: float, work: Callable[[], object]) -> None:
         on_pause = self._reporter.report_pause
-        rounds.repeat(interval_s, work, self.clock, lambda: self.replaced, on_pause)
+        periodic.repeat(interval_s, work, self.clock, lambda: self.replaced, on_pause)
 
     def _renew(self) -> None:
         # The member list in the first row must come from a read: in a list of this
--- a/toucanspring/cell/transitions.py
+++ b/toucanspring/cell/transitions.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from toucanspring import kernel, rounds
+from toucanspring import kernel, periodic
 from toucanspring.cell import member_rows, ownership
 from toucanspring.reporting import event_kinds
 
@@ -98,6 +98,6 @@
     def report_pause(self, late_s: float) -> None:
         """Publish a pause once, although each loop reports it."""
         now = self._members.clock()
-        if now - self._paused_at >= rounds.PAUSE_S:
+        if now - self._paused_at >= periodic.PAUSE_S:
             self._kernel.publish(event_kinds.ProcessPaused(late_s))
         self._paused_at = now
