--- a/soak/cell.py
+++ b/soak/cell.py
@@ -115,7 +115,7 @@
         store = self._add_proxy(f"store of {name}", self._store_at)
         self._add_proxy(f"callers of {name}", (ADDRESS, first))
         approvals = f"{self._approvals_at[0]}:{self._approvals_at[1]}"
-        text = emulator.write_settings(name, zone, first, ADDRESS, store, approvals)
+        text = emulator.render_settings(name, zone, first, ADDRESS, store, approvals)
         self._settings[name] = self._folder / f"{name}.toml"
         self._settings[name].write_text(text)
 
@@ -189,7 +189,7 @@
         endpoint = exchange.Endpoint(*place, 1)
         body = emulator.encode_job(job) if method == "POST" else b""
         headers = emulator.caller_headers(KEY, timeout_s)
-        path = emulator.call_path(PREFIX, job.id)
+        path = emulator.job_path(PREFIX, job.id)
         try:
             return endpoint.call(method, path, body, headers, timeout_s)
         finally:
--- a/test/test_bounded_output.py
+++ b/test/test_bounded_output.py
@@ -43,7 +43,7 @@
         output.write("later\n")
         self.assertEqual('{"message":"lines_dropped","count":5}\nlater\n', self.read())
 
-    def test_a_reader_that_stands_still_blocks_nobody(self):
+    def test_a_stalled_reader_does_not_block_writes(self):
         output = self.output(lines_per_s=1e6, burst=1_000_000)
         for _ in range(3000):
             output.write("x" * 99 + "\n")
--- a/test/test_daemon.py
+++ b/test/test_daemon.py
@@ -101,9 +101,9 @@
     def test_daemons_under_tls_keep_error_budgets_over_their_replacement(self):
         # Guards against peer streams that work in one process only, and against
         # error budgets that end with the last process that counted them.
-        made = certificates.Certificates(self)
-        options = ["--tls-certificate", made.certificate, "--tls-key", made.key]
-        options += ["--tls-ca", made.ca_file]
+        issued = certificates.Certificates(self)
+        options = ["--tls-certificate", issued.certificate, "--tls-key", issued.key]
+        options += ["--tls-ca", issued.ca_file]
         source = (processes.ROOT / "examples" / "kernhalde.yaml").read_bytes()
         with cluster.Cluster(workers=1, backend_servers=0) as cell:
             operator = {"Authorization": f"Bearer {cell.operator_key}"}
--- a/test/test_kernel.py
+++ b/test/test_kernel.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Happened:
+class SampleEvent:
     value: int
 
 
@@ -52,7 +52,7 @@
         # Guards against one plugin silencing the rest.
         core = kernel.Kernel()
         seen = []
-        core.subscribe(Happened, lambda event: 1 / 0)
-        core.subscribe(Happened, seen.append)
-        core.publish(Happened(3))
-        self.assertEqual([Happened(3)], seen)
+        core.subscribe(SampleEvent, lambda event: 1 / 0)
+        core.subscribe(SampleEvent, seen.append)
+        core.publish(SampleEvent(3))
+        self.assertEqual([SampleEvent(3)], seen)
--- a/test/test_modules.py
+++ b/test/test_modules.py
@@ -41,9 +41,9 @@
                 ]
         self.assertEqual([], missing)
 
-    def test_no_modules_import_each_other_in_a_circle(self):
+    def test_no_modules_import_each_other_in_a_cycle(self):
         # A circle makes none of its modules readable, testable or movable by itself.
-        self.assertEqual([], find_circles(read_imports(ROOT / "toucanspring")))
+        self.assertEqual([], find_import_cycles(read_imports(ROOT / "toucanspring")))
 
 
 def read_imports(package):
@@ -63,7 +63,7 @@
     return found
 
 
-def find_circles(imports):
+def find_import_cycles(imports):
     """Return the modules that cannot be put in an order in which they build up."""
     left = dict(imports)
     while ready := [name for name, needs in left.items() if not needs & left.keys()]:
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -216,7 +216,7 @@
         self.assertEqual([b"49"], got)
 
     def test_a_stalled_peer_costs_bounded_memory_and_time(self):
-        self.patch(outbox, "STALL_S", 0.3)
+        self.patch(outbox, "SEND_TIMEOUT_S", 0.3)
         caller = self.start("caller")
         listener = gevent_socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
--- a/test/test_platform_directory.py
+++ b/test/test_platform_directory.py
@@ -62,7 +62,7 @@
         self.assertIsInstance(found.organisation_of("k3", queue), errors.Forbidden)
         self.assertEqual(402293, found.organisations["kaje80"].ceiling.cpus)
 
-    def test_the_longest_prefix_counts(self):
+    def test_the_longest_prefix_matches(self):
         longer = {**ROUTE, "name": "r-2", "path_prefix": "/lohu930/x/"}
         value = {"version": 7, "routes": [longer, ROUTE]}
         found = directory.decode_configuration(encode(value))
@@ -84,7 +84,7 @@
             ("r1-3", 7, False), (found.rack, found.incarnation, found.draining)
         )
 
-    def test_entries_of_other_writers_name_no_worker(self):
+    def test_invalid_entries_are_malformed(self):
         for value in (
             b"\xff",
             b"{}",
@@ -105,7 +105,7 @@
     def put(self, key, value, table="op"):
         self.store.put(ports.RowId(table, "", key), encode(value))
 
-    def test_zones_go_out_and_come_back(self):
+    def test_zones_are_taken_out_of_service_and_back(self):
         self.put("evacuate/bern-a", {})
         self.directory._operators.poll()
         self.assertEqual({"bern-a"}, self.directory.zones_out)
@@ -159,7 +159,7 @@
         self.assertEqual(("10.1.0.17", 8183), found.callers)
         self.assertEqual((7420, 6000), (found.peer_port, found.max_lease_ms))
 
-    def test_wrong_settings_are_named(self):
+    def test_invalid_settings_are_rejected(self):
         for text in (
             "",
             "no = [toml",
@@ -168,7 +168,7 @@
         ):
             self.assertIsInstance(self.read(text), errors.Invalid)
 
-    def test_the_port_of_the_metrics_is_checked(self):
+    def test_the_metrics_port_is_checked(self):
         name = deployment.METRICS_PORT_VARIABLE
         self.assertEqual(0, self.read(self.SETTINGS).metrics_port)
         found = self.read(self.SETTINGS, **{name: "9464"})
--- a/test/test_platform_executors.py
+++ b/test/test_platform_executors.py
@@ -28,7 +28,7 @@
         }
         return ports.Start(**{**values, **changes})
 
-    def test_a_start_names_the_life_that_is_meant(self):
+    def test_a_start_names_the_target_instance(self):
         client = self.serve(200, {"clock_ms": 482113})
         answer = client.start(self.worker, self.order(checkpoint="c1"))
         self.assertEqual(ports.OrderDone(482113), answer)
@@ -47,7 +47,7 @@
             json.loads(body),
         )
 
-    def test_refusals_have_the_products_reasons(self):
+    def test_refusals_are_mapped_to_the_coordinators_reasons(self):
         for status, word, reason in (
             (409, "fence", ports.FENCED),
             (409, "old", ports.OLD_RUN),
@@ -78,17 +78,17 @@
                 "ended": [[58, "a.0.0.9", 1, "done", ""]],
             },
         )
-        look = client.poll(self.worker, 7, 57, 6000, 1000)
-        self.assertEqual((ports.RunningTask("a.0.0.0", 2, "c", 41),), look.running)
+        reply = client.poll(self.worker, 7, 57, 6000, 1000)
+        self.assertEqual((ports.RunningTask("a.0.0.0", 2, "c", 41),), reply.running)
         end = ports.EndedTask(58, "a.0.0.9", 1, "done", "")
-        self.assertEqual((end,), look.ended)
-        self.assertEqual((5, 9), (look.clock_ms, look.incarnation))
+        self.assertEqual((end,), reply.ended)
+        self.assertEqual((5, 9), (reply.clock_ms, reply.incarnation))
         self.assertEqual(
             {"fence_token": 7, "last_seen": 57, "deadline_ms": 6000, "wait_ms": 1000},
             json.loads(self.server.requests[0][2]),
         )
 
-    def test_a_look_without_a_lease_sends_none(self):
+    def test_a_poll_without_a_lease_sends_none(self):
         client = self.serve(200, {"clock_ms": 5})
         client.poll(self.worker, 7, 0, None, 0)
         self.assertEqual({"fence_token": 7}, json.loads(self.server.requests[0][2]))
@@ -98,16 +98,16 @@
         answer = client.poll(self.worker, 7, 0, None, 0)
         self.assertIsInstance(answer, errors.Malformed)
 
-    def test_advice_brings_tickets(self):
+    def test_the_approval_service_returns_tickets(self):
         self.serve(200, {"approved": [["w1", "t1"]], "validity_ms": 3000})
-        advice = executors.Advice(("127.0.0.1", self.server.port))
-        self.assertEqual({"w1": "t1"}, advice.ask("a.0.1", ["w1", "w2"], 1.0))
+        approvals = executors.Approvals(("127.0.0.1", self.server.port))
+        self.assertEqual({"w1": "t1"}, approvals.ask("a.0.1", ["w1", "w2"], 1.0))
         self.assertEqual(
             {"step": "a.0.1", "workers": ["w1", "w2"]},
             json.loads(self.server.requests[0][2]),
         )
 
-    def test_a_busy_advice_service_is_a_failure(self):
+    def test_a_busy_approval_service_is_a_failure(self):
         self.serve(429)
-        advice = executors.Advice(("127.0.0.1", self.server.port))
-        self.assertIsInstance(advice.ask("a.0.1", ["w1"], 1.0), errors.Unavailable)
+        approvals = executors.Approvals(("127.0.0.1", self.server.port))
+        self.assertIsInstance(approvals.ask("a.0.1", ["w1"], 1.0), errors.Unavailable)
--- a/test/test_platform_ingress.py
+++ b/test/test_platform_ingress.py
@@ -61,10 +61,10 @@
         self.result = None
         self.found = state.JobState.ACTIVE
         self.jobs = []
-        self.waits = []
+        self.timeouts = []
 
     def submit(self, spec, timeout_s):
-        self.waits.append(timeout_s)
+        self.timeouts.append(timeout_s)
         self.jobs.append(spec)
         return self.result
 
@@ -80,18 +80,20 @@
         return ["one", "two"]
 
 
-class FrontTest(testtools.TestCase):
+class IngressTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.kernel, self.view, self.scheduler = Kernel(), View(), Scheduler()
         self.registry = metrics.Service(None, None)
         meters = metered.Meters(self.registry)
-        self.front = ingress.Front(self.kernel, self.view, self.scheduler, meters)
+        self.ingress = ingress.Ingress(self.kernel, self.view, self.scheduler, meters)
 
-    def call(self, method="POST", path=f"/q/{JOB}", key="k", body=BODY, wait_s=0.5):
+    def call(self, method="POST", path=f"/q/{JOB}", key="k", body=BODY, timeout_s=0.5):
         content = body if isinstance(body, bytes) else json.dumps(body).encode()
-        request = ingress.Request(method, "h.example", path, key, content, wait_s, "a1")
-        return self.front.serve(request)
+        request = ingress.Request(
+            method, "h.example", path, key, content, timeout_s, "a1"
+        )
+        return self.ingress.serve(request)
 
     def test_a_submission_is_accepted_for_the_team_of_its_key(self):
         self.assertEqual(200, self.call().status)
@@ -123,13 +125,13 @@
             [(JOB, "a1")] * 3, [(each["job"], each["request"]) for _, each in told]
         )
 
-    def test_requests_are_counted_for_the_metrics_address(self):
-        client = falcon.testing.TestClient(self.front.application())
+    def test_requests_are_counted_in_the_metrics(self):
+        client = falcon.testing.TestClient(self.ingress.application())
         headers = {"Toucanspring-Credential": "k", "Host": "h.example"}
         client.simulate_get(f"/q/{JOB}", headers=headers)
         client.simulate_get("/other/1", headers=headers)
         app = falcon.App()
-        app.add_route("/metrics", ingress.Metrics(self.registry))
+        app.add_route("/metrics", ingress.MetricsResource(self.registry))
         shown = falcon.testing.TestClient(app).simulate_get("/metrics").text
         for status in (200, 404):
             self.assertIn(
@@ -139,7 +141,7 @@
             )
         self.assertIn('toucanspring_caller_seconds_count{method="GET"} 2', shown)
 
-    def test_unknown_keys_routes_and_ids_are_told_apart(self):
+    def test_unknown_keys_routes_and_ids_have_different_statuses(self):
         self.assertEqual(401, self.call(key="x").status)
         self.assertEqual(404, self.call(path="/other/1").status)
         self.assertEqual(404, self.call(path="/q/short").status)
@@ -151,12 +153,12 @@
         later = {"spec": "x", "phases": [{"count": 1, "after": [0]}]}
         self.assertEqual(400, self.call(body=later).status)
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_a_refusal_says_when_to_retry(self):
         self.scheduler.result = errors.Unavailable(reason="store")
         answer = self.call()
         self.assertEqual((503, 1), (answer.status, answer.retry_after_s))
 
-    def test_what_may_be_accepted_is_never_called_refused(self):
+    def test_an_ambiguous_submission_is_never_reported_as_refused(self):
         self.scheduler.result = errors.Ambiguous(reason="no answer")
         self.assertEqual(504, self.call().status)
 
@@ -176,16 +178,16 @@
         self.scheduler.result = errors.Unavailable(reason="store")
         self.kernel.peers.answers["one"] = errors.Ambiguous(reason="no answer")
         self.kernel.peers.answers["two"] = ingress._pack(ingress.Answer(200, b"{}"))
-        self.assertEqual(200, self.call(wait_s=3.0).status)
-        self.assertEqual({ingress.RELAY_WAIT_S}, set(self.kernel.peers.timeouts))
+        self.assertEqual(200, self.call(timeout_s=3.0).status)
+        self.assertEqual({ingress.RELAY_TIMEOUT_S}, set(self.kernel.peers.timeouts))
 
     def test_a_write_that_hangs_leaves_time_for_another_process(self):
         # The load: a machine that was cut off from the store a moment ago, which its
         # view of the configuration does not show yet.
         self.scheduler.result = errors.Ambiguous(reason="no answer")
         self.kernel.peers.answers["one"] = ingress._pack(ingress.Answer(200, b"{}"))
-        self.assertEqual(200, self.call(wait_s=3.0).status)
-        self.assertEqual([ingress.OWN_WAIT_S], self.scheduler.waits)
+        self.assertEqual(200, self.call(timeout_s=3.0).status)
+        self.assertEqual([ingress.LOCAL_SUBMIT_TIMEOUT_S], self.scheduler.timeouts)
 
     def test_no_refusal_follows_a_write_without_answer(self):
         # Found on zpa-sofia scale-2 during a trial: the key was withdrawn between the
@@ -195,14 +197,14 @@
             self.kernel.peers.answers["one"] = ingress._pack(ingress.Answer(status))
             self.assertEqual(504, self.call().status)
 
-    def test_a_relayed_write_uses_the_time_that_it_is_given(self):
+    def test_a_relayed_write_uses_the_timeout_of_its_request(self):
         serve = self.kernel.peers.handler[1]
         content = json.dumps(BODY).encode()
         request = ingress.Request("POST", "h.example", f"/q/{JOB}", "k", content, 2.0)
         self.scheduler.result = errors.Ambiguous(reason="no answer")
-        answer = ingress._relayed(serve("one", ingress._pack(request)))
+        answer = ingress._decode_answer(serve("one", ingress._pack(request)))
         self.assertEqual(504, answer.status)
-        self.assertEqual([2.0 - ingress.ANSWER_SLACK_S], self.scheduler.waits)
+        self.assertEqual([2.0 - ingress.RESPONSE_MARGIN_S], self.scheduler.timeouts)
 
     def test_a_refusal_after_a_relay_without_answer_is_not_certain(self):
         self.scheduler.result = errors.Unavailable(reason="store")
@@ -210,7 +212,7 @@
         self.kernel.peers.answers["two"] = ingress._pack(ingress.Answer(503, b"{}"))
         self.assertEqual(504, self.call().status)
 
-    def test_an_old_view_answers_nothing_by_itself(self):
+    def test_a_process_with_a_stale_view_answers_nothing_itself(self):
         self.view.view_age = 5.0
         self.assertEqual(503, self.call(key="x").status)
         answer = ingress._pack(ingress.Answer(401))
@@ -225,16 +227,16 @@
             request = ingress.Request(
                 "GET", "h.example", f"/q/{JOB}", "k", b"", 0.5, version=version
             )
-            answer = ingress._relayed(serve("one", ingress._pack(request)))
+            answer = ingress._decode_answer(serve("one", ingress._pack(request)))
             self.assertEqual(status, answer.status)
 
-    def test_the_own_version_goes_along_with_a_relayed_request(self):
+    def test_a_relayed_request_carries_the_version_of_its_sender(self):
         self.scheduler.found = errors.Unavailable(reason="no coordinator")
         self.call("GET")
         name, body = self.kernel.peers.called[0]
-        self.assertEqual(3, ingress._request(body).version)
+        self.assertEqual(3, ingress._decode_request(body).version)
 
-    def test_no_view_is_answered_from_that_is_older_than_an_answer_before(self):
+    def test_a_view_older_than_an_earlier_answer_is_not_used(self):
         self.view.view_age = 5.0
         newer = ingress._pack(ingress.Answer(200, b"{}", version=4))
         self.kernel.peers.answers["one"] = newer
@@ -248,11 +250,11 @@
         _, serve = self.kernel.peers.handler
         request = ingress.Request("POST", "h.example", f"/q/{JOB}", "k",
                                   json.dumps(BODY).encode(), 0.5)  # fmt: skip
-        answer = ingress._relayed(serve("one", ingress._pack(request)))
+        answer = ingress._decode_answer(serve("one", ingress._pack(request)))
         self.assertEqual(503, answer.status)
         self.assertEqual([], self.kernel.peers.called)
 
-    def test_states_and_queue_lengths_are_told(self):
+    def test_states_and_queue_lengths_are_returned(self):
         answer = self.call("GET")
         self.assertEqual({"state": "active"}, json.loads(answer.body))
         self.assertEqual({"pending": 12}, json.loads(self.call("GET", "/q/").body))
--- a/test/test_shared_read.py
+++ b/test/test_shared_read.py
@@ -19,7 +19,7 @@
         self.answer.wait()
         return found
 
-    def test_callers_of_a_busy_moment_share_two_reads(self):
+    def test_concurrent_callers_share_two_reads(self):
         # Guards against look-ups of unknown IDs that use up the reads of the store: one
         # read for each of them let a single caller cause thousands a second.
         first = gevent.spawn(self.shared.get)
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -5,7 +5,7 @@
 from gevent import server
 
 from standins import events, injection, service
-from standins import tables as standin
+from standins import tables as standin_tables
 from toucanspring import errors, store
 from toucanspring.adapters import tables
 
@@ -66,7 +66,7 @@
 class ResolvedTransactionTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.patch(store, "FIRST_PAUSE_S", 0.001)
+        self.patch(store, "RETRY_FIRST_S", 0.001)
 
     def append(self, client, value=b"mine", checks=None):
         return store.transact_resolved(
@@ -127,7 +127,7 @@
         self.assertEqual("partitions/0", result.key)
         self.assertNotIn("log/1", client.rows)
 
-    def test_unreadable_rows_end_in_doubt(self):
+    def test_unreadable_rows_leave_the_effect_unknown(self):
         client = FakeTables("lost")
         client.readable = False
         self.assertIsInstance(self.append(client), errors.Ambiguous)
@@ -145,7 +145,7 @@
                 ValueError, store.transact_resolved, FakeTables(), checks, {"a": b"1"}
             )
 
-    def test_random_losses_never_apply_twice_nor_lie(self):
+    def test_random_losses_never_apply_twice_nor_return_a_wrong_result(self):
         rng = random.Random(7)
         steps = ["ok", "lost", "never", "late", "down"]
         for _ in range(300):
@@ -168,7 +168,7 @@
     def setUp(self):
         super().setUp()
         self.record = events.Record()
-        self.rows = standin.Tables(self.record)
+        self.rows = standin_tables.Tables(self.record)
         self.served = injection.FaultyService(
             "127.0.0.1", 0, 0, self.rows.handle, self.record, random.Random(1).random
         )
@@ -246,11 +246,11 @@
         self.assertEqual(0, self.client.read(["a"])["a"].version)
 
     def test_malformed_answers(self):
-        def garble(sock, _address):
+        def send_garbage(sock, _address):
             sock.recv(65536)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n\xc1\xc1\xc1")
 
-        broken = server.StreamServer(service.listen("127.0.0.1", 0), garble)
+        broken = server.StreamServer(service.listen("127.0.0.1", 0), send_garbage)
         broken.start()
         self.addCleanup(broken.stop)
         client = tables.HttpTableClient("127.0.0.1", broken.server_port)
--- a/toucanspring/bounded_output.py
+++ b/toucanspring/bounded_output.py
@@ -28,41 +28,41 @@
         self._lines_per_s = lines_per_s
         self._burst = burst
         self._clock = clock
-        self._allowed = float(burst)
-        self._counted_at = clock()
-        self._rest = b""  # of a line that was written in part
+        self._tokens = float(burst)
+        self._refilled_at = clock()
+        self._unwritten = b""  # of a line that was written in part
         self.dropped = 0
 
     def write(self, text: str) -> None:
         """Write one line, or count it as dropped."""
         now = self._clock()
-        self._allowed = min(
-            self._burst, self._allowed + (now - self._counted_at) * self._lines_per_s
+        self._tokens = min(
+            self._burst, self._tokens + (now - self._refilled_at) * self._lines_per_s
         )
-        self._counted_at = now
-        if self._allowed < 1 or not self._flush_rest():
+        self._refilled_at = now
+        if self._tokens < 1 or not self._flush_unwritten():
             self.dropped += 1
             return
-        self._allowed -= 1
+        self._tokens -= 1
         line = text.encode("utf-8", "replace")
         if self.dropped:
             line = b'{"message":"lines_dropped","count":%d}\n' % self.dropped + line
             self.dropped = 0
-        self._rest = line
-        self._flush_rest()
+        self._unwritten = line
+        self._flush_unwritten()
 
     def flush(self) -> None:
         """Do nothing; each line is written at once."""
 
-    def _flush_rest(self) -> bool:
+    def _flush_unwritten(self) -> bool:
         """Write what is left of the last line; return whether all of it went."""
-        while self._rest:
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                self._rest = b""  # nobody reads any more
+                self._unwritten = b""  # nobody reads any more
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
--- a/toucanspring/cell/rpc.py
+++ b/toucanspring/cell/rpc.py
@@ -55,7 +55,7 @@
         self._process = process
         self._outbox: outbox.Outbox | None = None
         self._waiting: dict[int, queue.SimpleQueue] = {}
-        self._notices: dict[str, outbox.Item | None] = {}
+        self._notices: dict[str, outbox.QueuedFrame | None] = {}
         self._reconnect = event.Event()
         self._correlations = itertools.count(1)
         self._stream: stream.Stream | None = None
@@ -366,4 +366,4 @@
 
     def _reply(self, kind: frames.Kind, call: frames.Frame, body: bytes) -> bool:
         frame = frames.Frame(kind, call.correlation, body)
-        return self._answers.put_wait(frame, ANSWER_STALL_S) is not None
+        return self._answers.put_blocking(frame, ANSWER_STALL_S) is not None
--- a/toucanspring/cell/transitions.py
+++ b/toucanspring/cell/transitions.py
@@ -98,6 +98,6 @@
     def report_pause(self, late_s: float) -> None:
         """Publish a pause once, although each loop reports it."""
         now = self._members.clock()
-        if now - self._paused_at >= periodic.PAUSE_S:
+        if now - self._paused_at >= periodic.MIN_PAUSE_S:
             self._kernel.publish(event_kinds.ProcessPaused(late_s))
         self._paused_at = now
--- a/toucanspring/cli.py
+++ b/toucanspring/cli.py
@@ -97,13 +97,13 @@
         return ""
 
 
-def extend(
+def add_common_options(
     command: Callable[..., console.Result],
     defaults: Mapping[str, object],
     environment: Mapping[str, str],
 ) -> Callable[..., int]:
     """Add the common options to a command and run it with a context."""
-    kinds = {
+    option_types = {
         "endpoints": str,
         "ca_file": str,
         "key": str,
@@ -114,7 +114,7 @@
     }
 
     def run(*arguments: object, **options: object) -> int:
-        common = {name: options.pop(name) for name in kinds}
+        common = {name: options.pop(name) for name in option_types}
         for name in ("key", "operator_key"):
             common[name] = common[name] or environment.get(PREFIX + name.upper(), "")
         return execute(
@@ -122,7 +122,7 @@
         )
 
     signature = inspect.signature(command, eval_str=True)
-    own = list(signature.parameters.values())[1:]
+    command_parameters = list(signature.parameters.values())[1:]
     common = [
         inspect.Parameter(
             name,
@@ -130,10 +130,14 @@
             default=defaults[name],
             annotation=kind,
         )
-        for name, kind in kinds.items()
+        for name, kind in option_types.items()
     ]
-    run.__signature__ = inspect.Signature([*own, *common], return_annotation=int)
-    run.__annotations__ = {each.name: each.annotation for each in [*own, *common]}
+    run.__signature__ = inspect.Signature(
+        [*command_parameters, *common], return_annotation=int
+    )
+    run.__annotations__ = {
+        each.name: each.annotation for each in [*command_parameters, *common]
+    }
     run.__name__ = command.__name__
     run.__module__ = command.__module__
     run.__doc__ = (
@@ -158,15 +162,17 @@
 ) -> int:
     """Run a command, print its result or failure, and return the exit code."""
     try:
-        places = [
+        parsed_endpoints = [
             console.unwrap(client.parse_endpoint(item.strip()))
             for item in endpoints.split(",")
             if item.strip()
         ]
         tls = None
-        if any(place.secure for place in places):
+        if any(endpoint.secure for endpoint in parsed_endpoints):
             tls = console.unwrap(client.load_authorities(ca_file))
-        connection = client.Client(places, key, operator_key, operator, timeout_s, tls)
+        connection = client.Client(
+            parsed_endpoints, key, operator_key, operator, timeout_s, tls
+        )
         try:
             result = command(console.Context(connection, json, timeout_s))
         finally:
@@ -188,10 +194,11 @@
         return console.EXIT_USAGE
     commands = {
         name: {
-            inner: extend(each, defaults, environment) for inner, each in entry.items()
+            inner: add_common_options(each, defaults, environment)
+            for inner, each in entry.items()
         }
         if isinstance(entry, dict)
-        else extend(entry, defaults, environment)
+        else add_common_options(entry, defaults, environment)
         for name, entry in COMMANDS.items()
     }
     return defopt.run(commands, argv=arguments, short={}, no_negated_flags=True)
--- a/toucanspring/daemon.py
+++ b/toucanspring/daemon.py
@@ -47,27 +47,29 @@
 
 
 def build_service(
-    name: str, core: kernel.Kernel, chosen: settings.Settings
+    name: str, core: kernel.Kernel, options: settings.Settings
 ) -> kernel.Service | errors.Failure:
     """Construct the service with the given name."""
     module = importlib.import_module(SERVICES[name])
     if name == "store":
-        return module.connect(chosen.tables, chosen.objects, chosen.vms, chosen.process)
-    return module.Service(core, chosen)
+        return module.connect(
+            options.tables, options.objects, options.vms, options.process
+        )
+    return module.Service(core, options)
 
 
-def build(chosen: settings.Settings) -> kernel.Kernel | errors.Failure:
+def build(options: settings.Settings) -> kernel.Kernel | errors.Failure:
     """Register all installed services in a kernel."""
     core = kernel.Kernel()
     for name, module in SERVICES.items():
         if importlib.util.find_spec(module) is None:
             logger.warning("service {} is not installed", name)
             continue
-        service = build_service(name, core, chosen)
+        service = build_service(name, core, options)
         if isinstance(service, errors.Failure):
             return service
         core.register(name, service)
-    failure = plugins.load(chosen.plugins, core)
+    failure = plugins.load(options.plugins, core)
     return core if failure is None else failure
 
 
@@ -139,9 +141,9 @@
     return True
 
 
-def run(chosen: settings.Settings) -> int:
+def run(options: settings.Settings) -> int:
     """Serve until SIGTERM or SIGINT; return the exit status."""
-    core = build(chosen)
+    core = build(options)
     if isinstance(core, errors.Failure):
         logger.error("cannot start: {}", core.reason)
         return EXIT_SETTINGS
@@ -155,40 +157,40 @@
         logger.error("cannot start: {}", error)
         core.stop()
         return EXIT_SETTINGS
-    logger.info("process {} of cell {} serves", chosen.process, chosen.cell)
+    logger.info("process {} of cell {} serves", options.process, options.cell)
     members = core.find("membership")
     while not stopped.wait(1.0):
         if members.replaced:
             core.stop()
             return EXIT_REPLACED
-    logger.info("draining for at most {} s", chosen.drain_s)
-    if not drain(core, chosen.drain_s):
-        logger.warning("requests were still in flight after {} s", chosen.drain_s)
+    logger.info("draining for at most {} s", options.drain_s)
+    if not drain(core, options.drain_s):
+        logger.warning("requests were still in flight after {} s", options.drain_s)
     core.stop()
-    logger.info("process {} ends", chosen.process)
+    logger.info("process {} ends", options.process)
     return 0
 
 
-def restart_without_flags(chosen: settings.Settings) -> None:
+def restart_without_flags(options: settings.Settings) -> None:
     """Replace this program image by one that has its settings in the environment.
 
     The parser of flags costs 6 MB, and flags with secrets show in process lists.
     """
-    environment = {**os.environ, **settings.to_environment(chosen)}
+    environment = {**os.environ, **settings.to_environment(options)}
     command = sys.orig_argv[: len(sys.orig_argv) - len(sys.argv) + 1]
     os.execve(sys.executable, command, environment)
 
 
 def main() -> None:
     """Read the settings and run the daemon."""
-    chosen = settings.load(sys.argv[1:], os.environ)
-    if isinstance(chosen, errors.Invalid):
-        print(f"toucanspringd: {chosen.reason}", file=sys.stderr)
+    options = settings.load(sys.argv[1:], os.environ)
+    if isinstance(options, errors.Invalid):
+        print(f"toucanspringd: {options.reason}", file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     if sys.argv[1:]:
-        restart_without_flags(chosen)
-    log.set_up(chosen.log_level, chosen.log_format)
-    sys.exit(run(chosen))
+        restart_without_flags(options)
+    log.set_up(options.log_level, options.log_format)
+    sys.exit(run(options))
 
 
 if __name__ == "__main__":
--- a/toucanspring/log.py
+++ b/toucanspring/log.py
@@ -24,8 +24,8 @@
 
 def format_plain(record: logbook.LogRecord, _handler: object) -> str:
     """Return a record as one line, followed by its traceback if it has one."""
-    shown = {**ids_of(record), **(record.extra.get("decision") or {})}
-    ids = "".join(f" {name}={value}" for name, value in shown.items())
+    fields = {**ids_of(record), **(record.extra.get("decision") or {})}
+    ids = "".join(f" {name}={value}" for name, value in fields.items())
     line = (
         f"{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name} {record.channel}: "
         f"{record.message}{ids}"
@@ -58,12 +58,14 @@
     logger.info(event, extra={"decision": inputs})
 
 
-def set_up(level: str, form: str, output: TextIO | None = None) -> logbook.Handler:
+def set_up(
+    level: str, log_format: str, output: TextIO | None = None
+) -> logbook.Handler:
     """Send records of at least `level` to `output`, standard error by default."""
     handler = logbook.StreamHandler(
         output or sys.stderr, level=level.upper(), bubble=False
     )
-    handler.formatter = FORMATTERS[form]
+    handler.formatter = FORMATTERS[log_format]
     handler.push_application()
     return handler
 
--- a/toucanspring/outbox.py
+++ b/toucanspring/outbox.py
@@ -13,11 +13,11 @@
 MAX_QUEUED_BYTES = 4 << 20
 FRAME_OVERHEAD_BYTES = 256  # of one queued frame in memory
 # A peer that takes no byte for this long is treated as lost.
-STALL_S = 5.0
+SEND_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Item:
+class QueuedFrame:
     """Hold one queued frame; `sent` is set when its sending begins."""
 
     frame: frames.Frame
@@ -37,27 +37,29 @@
     ) -> None:
         self._stream = target
         self._max_bytes = max_bytes
-        self._items: collections.deque[Item] = collections.deque()
+        self._items: collections.deque[QueuedFrame] = collections.deque()
         self._bytes = 0
-        self._filled = event.Event()
-        self._drained = event.Event()
-        self._drained.set()
+        self._not_empty = event.Event()
+        self._empty = event.Event()
+        self._empty.set()
         self.closed = False
-        self._stall = deadline.Deadline(self.close)
+        self._send_deadline = deadline.Deadline(self.close)
         self._sender = gevent.spawn(self._run)
 
-    def put(self, frame: frames.Frame) -> Item | None:
+    def put(self, frame: frames.Frame) -> QueuedFrame | None:
         """Queue a frame; `None` if the queue is full or closed."""
-        item = Item(frame, len(frame.body) + FRAME_OVERHEAD_BYTES)
+        item = QueuedFrame(frame, len(frame.body) + FRAME_OVERHEAD_BYTES)
         if self.closed or (self._bytes and self._bytes + item.size > self._max_bytes):
             return None
         self._items.append(item)
         self._bytes += item.size
-        self._drained.clear()
-        self._filled.set()
+        self._empty.clear()
+        self._not_empty.set()
         return item
 
-    def put_first(self, frame: frames.Frame, waiting: Item | None) -> Item | None:
+    def put_first(
+        self, frame: frames.Frame, waiting: QueuedFrame | None
+    ) -> QueuedFrame | None:
         """Queue a small frame before all others, in place of one that still waits.
 
         Notices carry the latest state, so a slow stream needs to hold only one.
@@ -70,14 +72,14 @@
             self._items.rotate(1)
         return item
 
-    def put_wait(self, frame: frames.Frame, timeout_s: float) -> Item | None:
+    def put_blocking(self, frame: frames.Frame, timeout_s: float) -> QueuedFrame | None:
         """Queue a frame once the queue is empty; `None` if that takes too long."""
         while (item := self.put(frame)) is None:
-            if self.closed or not self._drained.wait(timeout_s):
+            if self.closed or not self._empty.wait(timeout_s):
                 return None
         return item
 
-    def withdraw(self, item: Item) -> bool:
+    def withdraw(self, item: QueuedFrame) -> bool:
         """Remove a frame whose sending has not begun; return whether it was removed."""
         if item.sent:
             return False
@@ -89,24 +91,24 @@
         if not self.closed:
             self.closed = True
             self._items.clear()
-            self._drained.set()
-            self._filled.set()
-            self._stall.close()
+            self._empty.set()
+            self._not_empty.set()
+            self._send_deadline.close()
             self._stream.close()
 
     def _run(self) -> None:
         while not self.closed:
             if not self._items:
-                self._drained.set()
-                self._filled.clear()
-                self._filled.wait()
+                self._empty.set()
+                self._not_empty.clear()
+                self._not_empty.wait()
                 continue
             item = self._items.popleft()
             if not item.withdrawn:
                 item.sent = True
-                self._stall.set(STALL_S)
+                self._send_deadline.set(SEND_TIMEOUT_S)
                 if isinstance(self._stream.send(item.frame), errors.Failure):
                     self.close()
                     return
-                self._stall.clear()
+                self._send_deadline.clear()
             self._bytes -= item.size
--- a/toucanspring/periodic.py
+++ b/toucanspring/periodic.py
@@ -10,7 +10,7 @@
 log = logbook.Logger(__name__)
 
 # A sleep that ends so late was not a busy moment: the process did not run.
-PAUSE_S = 1.0
+MIN_PAUSE_S = 1.0
 
 
 def repeat(
@@ -33,5 +33,5 @@
         due = max(due + interval_s, clock())
         gevent.sleep(max(due - clock(), 0.001))
         late_s = clock() - due
-        if late_s >= PAUSE_S:
+        if late_s >= MIN_PAUSE_S:
             on_pause(late_s)
--- a/toucanspring/store.py
+++ b/toucanspring/store.py
@@ -13,8 +13,8 @@
 
 RATE_WINDOW_S = 10
 RESOLVE_TIMEOUT_S = 10.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+RETRY_FIRST_S = 0.05
+RETRY_MAX_S = 1.0
 
 
 class OperationRate:
@@ -134,17 +134,17 @@
     table_address: str, object_address: str, vm_address: str, client: str
 ) -> Store | errors.Invalid:
     """Build the store from addresses `address:port`; `client` names this process."""
-    places = [
+    addresses = [
         exchange.parse_address(text)
         for text in (table_address, object_address, vm_address)
     ]
-    for place in places:
-        if isinstance(place, errors.Invalid):
-            return place
+    for address in addresses:
+        if isinstance(address, errors.Invalid):
+            return address
     return Store(
-        tables.HttpTableClient(*places[0], client=client),
-        objects.HttpObjectClient(*places[1], client=client),
-        vms.HttpVmClient(*places[2], client=client),
+        tables.HttpTableClient(*addresses[0], client=client),
+        objects.HttpObjectClient(*addresses[1], client=client),
+        vms.HttpVmClient(*addresses[2], client=client),
     )
 
 
@@ -168,31 +168,31 @@
     if not guard:
         raise ValueError("no written row is checked, so a retry could apply twice")
     deadline = time.monotonic() + timeout_s
-    pause_s = FIRST_PAUSE_S
-    doubt: errors.Ambiguous | None = None
+    delay_s = RETRY_FIRST_S
+    ambiguous: errors.Ambiguous | None = None
     while True:
         result = client.transact(checks, writes, deletes)
         if isinstance(result, errors.Ambiguous):
-            doubt = result
-        elif doubt is None or isinstance(result, tables.Committed):
+            ambiguous = result
+        elif ambiguous is None or isinstance(result, tables.Committed):
             return result
-        if doubt is not None:
-            state = _compare(client, guard, writes, deletes)
-            if isinstance(state, tables.Committed):
-                return state
-            if isinstance(state, errors.Ambiguous):
-                return state
+        if ambiguous is not None:
+            effect = _read_effect(client, guard, writes, deletes)
+            if isinstance(effect, tables.Committed):
+                return effect
+            if isinstance(effect, errors.Ambiguous):
+                return effect
             # The guard rows are unchanged. A conflict on another checked row then
             # also defeats the earlier attempt, should it still arrive.
-            if state is None and isinstance(result, errors.Conflict):
+            if effect is None and isinstance(result, errors.Conflict):
                 return result
-        if time.monotonic() + pause_s > deadline:
-            return doubt
-        gevent.sleep(pause_s)
-        pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+        if time.monotonic() + delay_s > deadline:
+            return ambiguous
+        gevent.sleep(delay_s)
+        delay_s = min(2 * delay_s, RETRY_MAX_S)
 
 
-def _compare(
+def _read_effect(
     client: tables.TableClient,
     guard: dict[str, int],
     writes: dict[str, bytes],
--- a/toucanspring/stream.py
+++ b/toucanspring/stream.py
@@ -13,7 +13,7 @@
 from toucanspring import errors, wire
 
 CONNECT_TIMEOUT_S = 2.0
-UNACKNOWLEDGED_MS = 4000
+UNACKNOWLEDGED_TIMEOUT_MS = 4000
 READ_CHUNK_BYTES = 1 << 16
 
 
@@ -22,9 +22,11 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def limit_unanswered(sock: socket.socket) -> None:
+def limit_unacknowledged(sock: socket.socket) -> None:
     """Break the connection once sent bytes stay unacknowledged, as by a lost VM."""
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+    )
 
 
 class Stream:
@@ -40,7 +42,7 @@
         max_frame_bytes: int = wire.MAX_FRAME_BYTES,
     ) -> None:
         disable_nagle(sock)
-        limit_unanswered(sock)
+        limit_unacknowledged(sock)
         self._socket = sock
         self._decode = decode
         self._max_frame_bytes = max_frame_bytes
@@ -100,7 +102,7 @@
             return errors.Closed(reason=str(error))
 
     def _receive_frame(self) -> object | errors.Failure:
-        header = self._fill(wire.HEADER.size)
+        header = self._read_until(wire.HEADER.size)
         if header is not None:
             return header
         (length,) = wire.HEADER.unpack_from(self._buffer)
@@ -109,7 +111,7 @@
             return errors.Oversized(
                 reason=f"frame of {length} bytes", limit=self._max_frame_bytes
             )
-        body = self._fill(wire.HEADER.size + length)
+        body = self._read_until(wire.HEADER.size + length)
         if body is not None:
             return body
         end = wire.HEADER.size + length
@@ -118,7 +120,7 @@
         self.received_bytes += end
         return self._decode(frame)
 
-    def _fill(self, size: int) -> errors.Closed | None:
+    def _read_until(self, size: int) -> errors.Closed | None:
         """Read until the buffer holds `size` bytes."""
         while len(self._buffer) < size:
             chunk = self._socket.recv(READ_CHUNK_BYTES)
