--- a/test/test_platform_executors.py
+++ b/test/test_platform_executors.py
@@ -68,7 +68,7 @@
         answer = client.start(self.worker, self.order())
         self.assertIsInstance(answer, errors.Ambiguous)
 
-    def test_lists_are_decoded_once(self):
+    def test_a_hold_answer_is_decoded(self):
         client = self.serve(
             200,
             {
@@ -93,7 +93,7 @@
         client.poll(self.worker, 7, 0, None, 0)
         self.assertEqual({"fence_token": 7}, json.loads(self.server.requests[0][2]))
 
-    def test_malformed_lists_are_a_failure(self):
+    def test_a_malformed_hold_answer_is_a_failure(self):
         client = self.serve(200, {"clock_ms": 5, "running": [["a"]]})
         answer = client.poll(self.worker, 7, 0, None, 0)
         self.assertIsInstance(answer, errors.Malformed)
--- a/test/test_platform_ingress.py
+++ b/test/test_platform_ingress.py
@@ -110,7 +110,7 @@
             self.call("GET")
             self.scheduler.found = errors.NotFound(reason="no such job")
             self.call("GET")
-        told = [
+        decisions = [
             (record.message, record.extra["decision"]) for record in handler.records
         ]
         self.assertEqual(
@@ -119,10 +119,10 @@
                 ("outcome_told", "completed"),
                 ("outcome_told", "unknown"),
             ],
-            [(name, fields.get("outcome")) for name, fields in told],
+            [(name, fields.get("outcome")) for name, fields in decisions],
         )
         self.assertEqual(
-            [(JOB, "a1")] * 3, [(each["job"], each["request"]) for _, each in told]
+            [(JOB, "a1")] * 3, [(each["job"], each["request"]) for _, each in decisions]
         )
 
     def test_requests_are_counted_in_the_metrics(self):
--- a/toucanspring/daemon.py
+++ b/toucanspring/daemon.py
@@ -133,8 +133,10 @@
             service.stop_accepting()
     core.find("membership").drain()
     core.find("claims").stop()
-    counters = [service for service in services if hasattr(service, "in_flight")]
-    while any(service.in_flight() for service in counters):
+    request_services = [
+        service for service in services if hasattr(service, "in_flight")
+    ]
+    while any(service.in_flight() for service in request_services):
         if time.monotonic() >= deadline:
             return False
         gevent.sleep(IN_FLIGHT_POLL_S)
