--- a/test/platform_case.py
+++ b/test/platform_case.py
@@ -1,4 +1,4 @@
-"""Finds the modules of the adapter, and serves HTTP answers from a script."""
+"""Puts the platform adapter on the module path; an HTTP server for its clients."""
 
 import pathlib
 import sys
--- a/test/test_daemon.py
+++ b/test/test_daemon.py
@@ -14,8 +14,8 @@
 
 class ImportsTest(testtools.TestCase):
     def test_a_daemon_imports_nothing_that_it_does_not_use(self):
-        # Guards against memory that each process takes for the command line, for
-        # reports as pages, or for starting other processes.
+        # Guards against memory that each process uses for the command line, for HTML
+        # reports or for starting subprocesses.
         names = (
             "gevent.subprocess",
             "defopt",
@@ -66,7 +66,7 @@
         return core, calls
 
     def test_partitions_are_handed_over_after_accepting_ended(self):
-        # Guards against work accepted for a partition that was given up.
+        # Guards against work accepted for a partition that was released.
         core, calls = self.make(requests=3)
         self.assertTrue(daemon.drain(core, 5.0))
         last = max(i for i, call in enumerate(calls) if "stop_accepting" in call)
@@ -82,7 +82,7 @@
 
 
 class DaemonTest(testtools.TestCase):
-    """Starts real processes, so one test covers their whole life."""
+    """Starts real processes, so each test covers their whole life cycle."""
 
     def test_daemons_start_share_work_and_end(self):
         with cluster.Cluster(workers=0, backend_servers=0) as cell:
@@ -90,7 +90,7 @@
                 cell.start_daemon(f"p{index}", wait=False)
             self.assertTrue(self.wait(lambda: self.owned(cell) == [1, 1, 1]))
             for name in cell.daemon_facts:
-                # Guards against secrets in the list of processes.
+                # Guards against secrets in the process list.
                 pid = cell.processes[name].pid
                 shown = pathlib.Path(f"/proc/{pid}/cmdline").read_bytes()
                 self.assertNotIn(b"--", shown)
@@ -99,8 +99,8 @@
             self.assertEqual([0, 0], [cell.stop_daemon(n) for n in ("p1", "p2")])
 
     def test_daemons_under_tls_keep_error_budgets_over_their_replacement(self):
-        # Guards against peer streams that work in one process only, and against
-        # error budgets that end with the last process that counted them.
+        # Guards against peer streams that work only within one process, and against
+        # error budgets that are lost with the last process that counted them.
         issued = certificates.Certificates(self)
         options = ["--tls-certificate", issued.certificate, "--tls-key", issued.key]
         options += ["--tls-ca", issued.ca_file]
@@ -153,7 +153,7 @@
             self.assertEqual(3, count(start("q0")))
 
     def wait(self, condition):
-        # Daemons that start one after the other even out after 10 s per partition.
+        # Daemons started one after another balance only after 10 s per partition.
         return fake_tables.wait_for(condition, 40)
 
     def owned(self, cell):
--- a/test/test_kernel.py
+++ b/test/test_kernel.py
@@ -24,7 +24,7 @@
 
 class KernelTest(testtools.TestCase):
     def test_services_stop_in_reverse_order_of_start(self):
-        # Guards against a service outliving one that it depends on.
+        # Guards against a service that runs after one that it depends on has stopped.
         calls = []
         core = kernel.Kernel()
         core.register("store", RecordingService("store", calls))
@@ -49,7 +49,7 @@
         )
 
     def test_a_failing_listener_does_not_stop_the_others(self):
-        # Guards against one plugin silencing the rest.
+        # Guards against a plugin whose failure keeps events from the others.
         core = kernel.Kernel()
         seen = []
         core.subscribe(SampleEvent, lambda event: 1 / 0)
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -20,7 +20,7 @@
         self.assertIn("depth 4", text)
 
     def test_rendering_needs_no_asyncio_loop(self):
-        # Guards against a loop in another thread beside gevent's hub.
+        # Guards against an asyncio loop in a second thread next to gevent's hub.
         program = (
             "import asyncio\n"
             "asyncio.new_event_loop = asyncio.get_event_loop = None\n"
--- a/test/test_modules.py
+++ b/test/test_modules.py
@@ -24,8 +24,8 @@
 
 class ModulesTest(testtools.TestCase):
     def test_names_taken_from_modules_exist(self):
-        # Guards against a name that has moved to another module and is still used
-        # where no test goes, as in a benchmark.
+        # Guards against a name that has moved to another module and is still used in
+        # code without tests, such as benchmarks.
         missing = []
         for package in PACKAGES:
             for path in sorted((ROOT / package).rglob("*.py")):
@@ -42,12 +42,12 @@
         self.assertEqual([], missing)
 
     def test_no_modules_import_each_other_in_a_cycle(self):
-        # A circle makes none of its modules readable, testable or movable by itself.
+        # Modules in an import cycle cannot be read, tested or moved separately.
         self.assertEqual([], find_import_cycles(read_imports(ROOT / "toucanspring")))
 
 
 def read_imports(package):
-    """Return for each module of a package the modules of it that it imports."""
+    """Return for each module of a package its imports from the same package."""
     names = {
         ".".join(path.relative_to(package.parent).with_suffix("").parts): path
         for path in package.rglob("*.py")
@@ -64,7 +64,7 @@
 
 
 def find_import_cycles(imports):
-    """Return the modules that cannot be put in an order in which they build up."""
+    """Return the modules that are in an import cycle or import one that is."""
     left = dict(imports)
     while ready := [name for name, needs in left.items() if not needs & left.keys()]:
         for name in ready:
--- a/test/test_platform_ingress.py
+++ b/test/test_platform_ingress.py
@@ -173,8 +173,9 @@
         self.assertEqual(504, self.call().status)
 
     def test_a_relay_that_hangs_leaves_time_for_another(self):
-        # The load: a machine that is cut off from the store and some other machines,
-        # whose streams to those are still open.
+        # Guards against waiting for one process until the caller's timeout ends. A
+        # machine may be partitioned from the store and some other machines while its
+        # streams to those are still open.
         self.scheduler.result = errors.Unavailable(reason="store")
         self.kernel.peers.answers["one"] = errors.Ambiguous(reason="no answer")
         self.kernel.peers.answers["two"] = ingress._pack(ingress.Answer(200, b"{}"))
@@ -182,16 +183,18 @@
         self.assertEqual({ingress.RELAY_TIMEOUT_S}, set(self.kernel.peers.timeouts))
 
     def test_a_write_that_hangs_leaves_time_for_another_process(self):
-        # The load: a machine that was cut off from the store a moment ago, which its
-        # view of the configuration does not show yet.
+        # Guards against waiting for the store until the caller's timeout ends, just
+        # after a machine was partitioned from it and before the view of the
+        # configuration is too old.
         self.scheduler.result = errors.Ambiguous(reason="no answer")
         self.kernel.peers.answers["one"] = ingress._pack(ingress.Answer(200, b"{}"))
         self.assertEqual(200, self.call(timeout_s=3.0).status)
         self.assertEqual([ingress.LOCAL_SUBMIT_TIMEOUT_S], self.scheduler.timeouts)
 
     def test_no_refusal_follows_a_write_without_answer(self):
-        # Found on zpa-sofia scale-2 during a trial: the key was withdrawn between the
-        # write, which took effect 12 s later, and the repeat by another process.
+        # Guards against refusing a job that runs (seen in zpa-sofia scale-2): the key
+        # was withdrawn between the write, which took effect 12 s later, and its
+        # repeat by another process.
         self.scheduler.result = errors.Ambiguous(reason="no answer")
         for status in (401, 404, 409, 503):
             self.kernel.peers.answers["one"] = ingress._pack(ingress.Answer(status))
@@ -220,8 +223,9 @@
         self.assertEqual(401, self.call(key="x").status)
 
     def test_a_process_with_an_older_configuration_does_not_answer_for_another(self):
-        # Found by a hunt, zpa-sofia keys-while-some-see-no-store, seed 247341755452: a
-        # route that was there was said to be unknown once the call was passed on.
+        # Guards against reporting an existing route as unknown once a call was relayed
+        # to a process with an older configuration (seen in zpa-sofia
+        # keys-while-some-see-no-store, seed 247341755452).
         _, serve = self.kernel.peers.handler
         for version, status in ((3, 200), (4, 503)):
             request = ingress.Request(
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -10,7 +10,7 @@
 
 class SettingsTest(testtools.TestCase):
     def test_every_flag_is_also_an_environment_variable(self):
-        # Guards against a setting that one of the two ways cannot reach.
+        # Guards against a setting that only a flag or only a variable can set.
         chosen = settings.Settings(process="p1", lease_s=3.5, log_format="json")
         environment = settings.to_environment(chosen)
         names = {field.name for field in dataclasses.fields(settings.Settings)}
@@ -32,7 +32,7 @@
         self.assertEqual(("b", 7), (loaded.process, loaded.partitions))
 
     def test_values_are_checked(self):
-        # Guards against values that would break ownership or open the cell.
+        # Guards against values that would break ownership or leave the cell unsecured.
         for name, value in (
             ("process", ""),
             ("process", "a/b"),
--- a/test/test_shared_read.py
+++ b/test/test_shared_read.py
@@ -20,8 +20,8 @@
         return found
 
     def test_concurrent_callers_share_two_reads(self):
-        # Guards against look-ups of unknown IDs that use up the reads of the store: one
-        # read for each of them let a single caller cause thousands a second.
+        # Guards against lookups of unknown IDs that overload the store: with one read
+        # for each, a single caller could cause thousands of reads per second.
         first = gevent.spawn(self.shared.get)
         gevent.sleep(0.01)
         self.stored = 1
@@ -35,7 +35,7 @@
         self.assertEqual({1}, {each.value for each in others})
 
     def test_reads_begin_at_most_once_in_an_interval(self):
-        # Guards against one read after the other as fast as the store answers.
+        # Guards against reads that follow each other as fast as the store answers.
         now, waits = [10.0], []
         self.patch(shared_read.gevent, "sleep", waits.append)
         self.answer.set()
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -13,7 +13,7 @@
 
 
 class FakeTables:
-    """Applies transactions at the times that a script of steps asks for.
+    """Applies transactions at the times given by a script of steps.
 
     Steps: `ok`, `lost` (applied, no answer), `never` (not applied, no answer), `late`
     (applied after the next call), `down`; each transaction takes the next step.
@@ -99,7 +99,7 @@
         self.assertIsInstance(self.append(client), errors.Ambiguous)
 
     def test_a_row_that_changed_again_leaves_the_effect_unknown(self):
-        # Guards against `Conflict`, which would claim that nothing was applied.
+        # Guards against returning `Conflict`, which says that nothing was applied.
         client = FakeTables("lost")
         client.rows["log/1"] = tables.Row(0, b"")
         original = client.read
@@ -115,7 +115,7 @@
         client.apply({}, {"partitions/0": b"me"}, ())
         client.steps = ["lost"]
         self.assertIsInstance(self.append(client, checks=owned), tables.Committed)
-        # Not applied, and a late arrival can no longer pass the check.
+        # Not applied, and a late attempt can no longer pass the check.
         client = FakeTables()
         client.apply({}, {"partitions/0": b"me"}, ())
         client.steps = ["never"]
@@ -163,7 +163,7 @@
 
 
 class TablesTest(testtools.TestCase):
-    """Runs the client against the stand-in within this process."""
+    """Runs the client against the stand-in in this process."""
 
     def setUp(self):
         super().setUp()
@@ -182,7 +182,7 @@
         self.served.set_faults(faults)
 
     def test_checks_guard_all_writes_and_versions_are_never_reused(self):
-        # Guards against recognising a recreated row as the former one.
+        # Guards against mistaking a recreated row for the previous one.
         first = self.client.transact({"a": 0}, {"a": b"1", "b": b"2"}).versions
         conflict = self.client.transact({"a": 0}, {"b": b"3"})
         self.assertEqual(("a", first["a"]), (conflict.key, conflict.current_version))
@@ -229,7 +229,7 @@
         self.assertIsInstance(self.client.transact({}, {}), tables.Committed)
 
     def test_a_limited_service_makes_calls_wait(self):
-        # Guards against benches on a table service without any limit.
+        # Guards against benchmarks on a table service without a rate limit.
         self.faults(calls_per_second={"/v1/transactions": 50})
         began = time.monotonic()
         for _ in range(11):
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -39,7 +39,7 @@
         stream.connect("127.0.0.1", port, wire.decode_worker).close()
 
     def test_both_ends_have_nagle_disabled(self):
-        # Guards against 40 ms stalls of small frames.
+        # Guards against delays of small frames by 40 ms.
         for end in (self.left, self.right):
             value = end._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             self.assertNotEqual(0, value)
@@ -51,7 +51,7 @@
         self.assertEqual(wire.Stop(3, ["a/0"], "kill"), self.right.receive(1))
 
     def test_a_timeout_in_mid_frame_loses_nothing(self):
-        # Guards against a slow sender desynchronising the frame boundary.
+        # Guards against losing the frame boundary with a slow sender.
         frame = wire.encode(wire.Renew(4, 1, 7))
         self.raw_left.sendall(frame[:5])
         self.assertIsInstance(self.right.receive(0.02), errors.Timeout)
@@ -59,7 +59,7 @@
         self.assertEqual(wire.Renew(4, 1, 7), self.right.receive(1))
 
     def test_an_oversized_frame_is_refused_before_it_is_read(self):
-        # Guards against unbounded memory for a hostile length.
+        # Guards against unbounded memory use for a malicious length.
         self.raw_left.sendall(struct.pack(">I", wire.MAX_FRAME_BYTES + 1))
         self.assertIsInstance(self.right.receive(1), errors.Oversized)
         self.assertTrue(self.right.closed)
--- a/toucanspring/bounded_output.py
+++ b/toucanspring/bounded_output.py
@@ -1,4 +1,4 @@
-"""Standard output for logs that never blocks and is bounded in volume."""
+"""Log output that never blocks and limits the rate of lines."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 import gevent.os
 
-# A busy coordinator writes some 200 lines a second; a storm of failures is cut here.
+# A busy coordinator writes about 200 lines per second. Repeated failures could write
+# many more; lines beyond this rate are dropped.
 LINES_PER_S = 400
 BURST_LINES = 800
 
 
 class Output:
-    """Write lines to a descriptor; what does not fit is counted and reported later."""
+    """Write lines to a descriptor; lines that are dropped are counted and reported."""
 
     def __init__(
         self,
@@ -30,7 +31,7 @@
         self._clock = clock
         self._tokens = float(burst)
         self._refilled_at = clock()
-        self._unwritten = b""  # of a line that was written in part
+        self._unwritten = b""  # rest of a partly written line
         self.dropped = 0
 
     def write(self, text: str) -> None:
@@ -55,14 +56,14 @@
         """Do nothing; each line is written at once."""
 
     def _flush_unwritten(self) -> bool:
-        """Write what is left of the last line; return whether all of it went."""
+        """Write the rest of the last line; return whether it is written completely."""
         while self._unwritten:
             try:
                 written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                self._unwritten = b""  # nobody reads any more
+                self._unwritten = b""  # the reader has closed the pipe
                 return True
             self._unwritten = self._unwritten[written:]
         return True
--- a/toucanspring/cli.py
+++ b/toucanspring/cli.py
@@ -1,6 +1,6 @@
 """Entry point `toucanspring`: the command line of operators and submitters.
 
-Exit codes: 0 success, 1 other failure, 2 wrong use, 3 invalid input, 4 conflict,
+Exit codes: 0 success, 1 other failure, 2 usage error, 3 invalid input, 4 conflict,
 5 forbidden, 6 not found, 7 not run or unavailable, 8 outcome unknown, 9 the job
 failed or did not run, 10 time limit.
 """
@@ -81,7 +81,7 @@
     return {
         "endpoints": read("ENDPOINTS") or "127.0.0.1:8080",
         "ca_file": read("CA_FILE"),
-        # The keys are filled in later, since the help shows defaults.
+        # Keys are filled in later, since the help would print them as defaults.
         "key": "",
         "operator_key": "",
         "operator": read("OPERATOR") or _user(),
@@ -211,7 +211,8 @@
     except KeyboardInterrupt:
         sys.exit(130)
     except BrokenPipeError:
-        # The reader of the output has ended; writing at exit would fail again.
+        # The reader of the output has closed the pipe; the flush at exit would fail
+        # again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         sys.exit(console.EXIT_FAILURE)
 
--- a/toucanspring/daemon.py
+++ b/toucanspring/daemon.py
@@ -2,7 +2,7 @@
 
 import gevent.monkey
 
-# A process starts no other; the patch of `subprocess` would cost 0.6 MB.
+# The daemon starts no subprocesses; patching `subprocess` would cost 0.6 MB of memory.
 gevent.monkey.patch_all(subprocess=False)
 
 import importlib  # noqa: E402
@@ -21,8 +21,8 @@
 
 logger = logbook.Logger(__name__)
 
-# Names in the kernel and modules, in the order of start; a service that is not
-# installed is left out.
+# Names of the services in the kernel and their modules, in the order of start. A
+# service that is not installed is skipped.
 SERVICES = {
     "metrics": "toucanspring.metrics",
     "store": "toucanspring.store",
@@ -74,14 +74,14 @@
 
 
 def publish_gauges(core: kernel.Kernel) -> None:
-    """Show the state of the control services in the metrics."""
+    """Export the state of the control services as metrics."""
     metrics = core.find("metrics")
     members = core.find("membership")
     documents = core.find("documents")
     traffic = metrics.counter(
         "toucanspring_peer_bytes_total", "Bytes exchanged with other processes."
     )
-    # A gauge: the bytes of a closed stream leave the sum.
+    # A gauge and not a counter: the sum loses the bytes of a stream that closes.
     worker_traffic = metrics.gauge(
         "toucanspring_worker_bytes", "Bytes exchanged on present streams to workers."
     )
@@ -155,11 +155,11 @@
     publish_gauges(core)
     try:
         core.start()
-    except OSError as error:  # an address or port in use, a certificate without its key
+    except OSError as error:  # address or port in use, certificate without its key
         logger.error("cannot start: {}", error)
         core.stop()
         return EXIT_SETTINGS
-    logger.info("process {} of cell {} serves", options.process, options.cell)
+    logger.info("process {} of cell {} is serving", options.process, options.cell)
     members = core.find("membership")
     while not stopped.wait(1.0):
         if members.replaced:
@@ -169,14 +169,15 @@
     if not drain(core, options.drain_s):
         logger.warning("requests were still in flight after {} s", options.drain_s)
     core.stop()
-    logger.info("process {} ends", options.process)
+    logger.info("process {} has stopped", options.process)
     return 0
 
 
 def restart_without_flags(options: settings.Settings) -> None:
-    """Replace this program image by one that has its settings in the environment.
+    """Execute this program again with its settings in the environment, not in flags.
 
-    The parser of flags costs 6 MB, and flags with secrets show in process lists.
+    The flag parser costs 6 MB of memory, and secrets in flags are visible in process
+    lists.
     """
     environment = {**os.environ, **settings.to_environment(options)}
     command = sys.orig_argv[: len(sys.orig_argv) - len(sys.argv) + 1]
--- a/toucanspring/deadline.py
+++ b/toucanspring/deadline.py
@@ -1,4 +1,4 @@
-"""Time limit that is moved often and seldom reached."""
+"""Time limit that is moved often and rarely reached."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class Deadline:
-    """Call `on_expiry` in the hub, where it must not block, once a limit has passed.
+    """Call `on_expiry` once a limit has passed; it runs in the hub and must not block.
 
-    The timer runs on when the limit is moved or cleared, and is set anew only when it
-    fires. A `gevent.Timeout` for each frame was a tenth of what a heartbeat costs.
+    The timer keeps running when the limit is cleared or moved to a later time, and is
+    restarted only when it fires. A `gevent.Timeout` for each frame took a tenth of the
+    cost of a heartbeat.
     """
 
     def __init__(self, on_expiry: Callable[[], None]) -> None:
--- a/toucanspring/errors.py
+++ b/toucanspring/errors.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class RecordedNotRun(NotRun):
-    """The log says durably that a request did not run, so no attempt at it will."""
+    """The log durably records that a request did not run, so no attempt of it will."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeldElsewhere(Refused):
-    """The log of another partition, accepted under a former number, has the ID."""
+    """The ID is in another partition's log, from before the partition count changed."""
 
     partition: int = 0
 
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class NotFound(Failure):
-    """The named thing does not exist."""
+    """No resource with the given name exists."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
--- a/toucanspring/frames.py
+++ b/toucanspring/frames.py
@@ -8,14 +8,14 @@
 
 from toucanspring import errors
 
-# One chunk of a streamed answer; smaller than a frame so that heartbeats sent behind
+# One chunk of a streamed answer; smaller than a frame so that heartbeats queued behind
 # it on the same stream are not delayed for long.
 CHUNK_BYTES = 64 << 10
 WINDOW_CHUNKS = 16
 
 
 class Kind(enum.IntEnum):
-    """What the body of a frame is."""
+    """Type of a frame, which determines its body."""
 
     HELLO = 0
     WELCOME = 1  # answer to HELLO
@@ -38,7 +38,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True):
-    """Introduce the dialling process."""
+    """Identify the connecting process."""
 
     process: str
     incarnation: int
@@ -47,7 +47,7 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True):
-    """Introduce the accepting process, once the token was checked."""
+    """Identify the accepting process after it has checked the token."""
 
     process: str
     incarnation: int
--- a/toucanspring/job.py
+++ b/toucanspring/job.py
@@ -82,7 +82,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """State a final result; `state` is a member of `FINAL_STATES`."""
+    """Hold a final result; `state` is a member of `FINAL_STATES`."""
 
     state: State
     reason: str = ""
--- a/toucanspring/kernel.py
+++ b/toucanspring/kernel.py
@@ -20,7 +20,7 @@
 
 
 class Service(Protocol):
-    """Start and stop work that belongs to one name."""
+    """Start and stop one named part of the process."""
 
     def start(self) -> None:
         """Begin serving; all services registered before are started."""
--- a/toucanspring/metrics.py
+++ b/toucanspring/metrics.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-# The top level package imports asyncio services; the submodules suffice.
+# The top-level package imports asyncio services, which its submodules do not need.
 from aioprometheus import collectors
 from aioprometheus.formats import text
 
--- a/toucanspring/outbox.py
+++ b/toucanspring/outbox.py
@@ -11,8 +11,8 @@
 from toucanspring import deadline, errors, frames, stream
 
 MAX_QUEUED_BYTES = 4 << 20
-FRAME_OVERHEAD_BYTES = 256  # of one queued frame in memory
-# A peer that takes no byte for this long is treated as lost.
+FRAME_OVERHEAD_BYTES = 256  # memory of one queued frame besides its body
+# A peer that has not accepted a frame after this time is treated as lost.
 SEND_TIMEOUT_S = 5.0
 
 
@@ -29,7 +29,7 @@
 class Outbox:
     """Queue frames and send them in order from one greenlet.
 
-    A slow receiver costs at most `max_bytes` and blocks no caller of `put`.
+    A slow receiver uses at most `max_bytes` of memory and blocks no caller of `put`.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
     def put_first(
         self, frame: frames.Frame, waiting: QueuedFrame | None
     ) -> QueuedFrame | None:
-        """Queue a small frame before all others, in place of one that still waits.
+        """Queue a small frame ahead of all others, or replace `waiting` if unsent.
 
-        Notices carry the latest state, so a slow stream needs to hold only one.
+        A notice carries the latest state, so only the newest needs to be queued.
         """
         if waiting is not None and not waiting.sent and not self.closed:
             waiting.frame = frame
@@ -73,7 +73,7 @@
         return item
 
     def put_blocking(self, frame: frames.Frame, timeout_s: float) -> QueuedFrame | None:
-        """Queue a frame once the queue is empty; `None` if that takes too long."""
+        """Queue a frame, waiting if the queue is full; `None` on timeout."""
         while (item := self.put(frame)) is None:
             if self.closed or not self._empty.wait(timeout_s):
                 return None
@@ -87,7 +87,7 @@
         return True
 
     def close(self) -> None:
-        """Drop what is queued and close the stream."""
+        """Drop the queued frames and close the stream."""
         if not self.closed:
             self.closed = True
             self._items.clear()
--- a/toucanspring/periodic.py
+++ b/toucanspring/periodic.py
@@ -1,4 +1,4 @@
-"""Repeated work at a fixed rate."""
+"""Function calls at a fixed rate."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 log = logbook.Logger(__name__)
 
-# A sleep that ends so late was not a busy moment: the process did not run.
+# A sleep that ends this much late was not delayed by load: the process was paused.
 MIN_PAUSE_S = 1.0
 
 
@@ -22,7 +22,7 @@
 ) -> None:
     """Call `work` at a fixed rate; an overrun skips calls instead of piling up.
 
-    `on_pause` gets the seconds by which a round came late.
+    `on_pause` gets the seconds by which a call was late after a pause of the process.
     """
     due = clock()
     while not is_over():
--- a/toucanspring/settings.py
+++ b/toucanspring/settings.py
@@ -86,7 +86,7 @@
 
 
 def check(settings: Settings) -> errors.Invalid | None:
-    """Return the first setting that breaks a rule."""
+    """Return a failure for the first setting that is not valid."""
     rules: list[tuple[str, bool, str]] = [
         ("process", bool(NAME.fullmatch(settings.process)), "a name of letters, "
          "digits, '.', '_' and '-'"),
@@ -148,7 +148,7 @@
 
 
 def to_environment(settings: Settings) -> dict[str, str]:
-    """Return the environment variables that state all settings."""
+    """Return environment variables that hold all settings."""
     return {PREFIX + name.upper(): str(getattr(settings, name)) for name in TYPES}
 
 
@@ -156,15 +156,15 @@
     arguments: Sequence[str],
     environment: Mapping[str, str] = types.MappingProxyType(os.environ),
 ) -> Settings | errors.Invalid:
-    """Build checked settings; flags win over environment variables."""
+    """Build checked settings; flags override environment variables."""
     values = from_environment(environment)
     if isinstance(values, errors.Invalid):
         return values
     if not arguments and "process" in values:
         parsed = Settings(**values)
     else:
-        # Costs 5 MB of memory; a daemon set up by environment variables alone is
-        # spared that.
+        # The import costs 5 MB of memory, which a daemon configured only by
+        # environment variables avoids.
         import defopt
 
         parsed = defopt.run(
--- a/toucanspring/shared_read.py
+++ b/toucanspring/shared_read.py
@@ -9,10 +9,10 @@
 
 
 class SharedRead:
-    """Begin a read at most once in an interval, for all callers that wait for it.
+    """Start at most one read per interval and share its result among the callers.
 
-    A caller gets the result of a read that began after its call, so that it sees each
-    change made before. `read` returns a value and raises nothing.
+    A caller gets the result of a read that began after its call, so it sees every
+    change made before. `read` must return a value and not raise.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self._interval_s = interval_s
         self._clock = clock
         self._began_at = float("-inf")  # monotonic seconds
-        self._next: gevent.Greenlet | None = None  # has not begun to read
+        self._next: gevent.Greenlet | None = None  # has not begun its read
 
     def get(self) -> object:
         """Return the result of the next read."""
--- a/toucanspring/store.py
+++ b/toucanspring/store.py
@@ -155,13 +155,13 @@
     deletes: tuple[str, ...] | list[str] = (),
     timeout_s: float = RESOLVE_TIMEOUT_S,
 ) -> tables.Committed | errors.Failure:
-    """Apply a transaction once, rereading its rows after a lost answer.
+    """Apply a transaction once; read its rows again after a lost answer.
 
     At least one written or deleted row must be checked: its version changes with
     the first application, so a late or repeated one conflicts. Values must be
     unique to this transaction (a batch ID or a counter) to be recognised. Returns
     `Ambiguous` only if the rows cannot be read in time, or were changed again by
-    others so that their values no longer tell.
+    others so that their values no longer show the effect.
     """
     guard = {key: checks[key] for key in writes if key in checks}
     guard |= {key: checks[key] for key in deletes if checks.get(key)}
@@ -182,8 +182,8 @@
                 return effect
             if isinstance(effect, errors.Ambiguous):
                 return effect
-            # The guard rows are unchanged. A conflict on another checked row then
-            # also defeats the earlier attempt, should it still arrive.
+            # The guard rows are unchanged. The conflict on another checked row also
+            # rejects the earlier attempt if that is still in flight.
             if effect is None and isinstance(result, errors.Conflict):
                 return result
         if time.monotonic() + delay_s > deadline:
@@ -198,7 +198,11 @@
     writes: dict[str, bytes],
     deletes: tuple[str, ...] | list[str],
 ) -> tables.Committed | errors.Failure | None:
-    """Reread the rows: applied, `Ambiguous`, `None` if not applied, or unreadable."""
+    """Read the rows again and return the effect of the transaction.
+
+    That is `Committed` if it was applied, `None` if not, `Ambiguous` if the rows have
+    changed again, and `Unavailable` if they cannot be read.
+    """
     rows = client.read([*writes, *deletes])
     if isinstance(rows, errors.Failure):
         return errors.Unavailable(reason=rows.reason)
@@ -209,5 +213,5 @@
     ):
         return tables.Committed({key: rows[key].version for key in writes})
     return errors.Ambiguous(
-        reason="the answer was lost and the rows were changed again since"
+        reason="the answer was lost and the rows have changed again since"
     )
--- a/toucanspring/stream.py
+++ b/toucanspring/stream.py
@@ -23,7 +23,7 @@
 
 
 def limit_unacknowledged(sock: socket.socket) -> None:
-    """Break the connection once sent bytes stay unacknowledged, as by a lost VM."""
+    """Close the connection once sent bytes stay unacknowledged, as by a lost VM."""
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
     )
@@ -62,12 +62,12 @@
         """Close the socket; a blocked `receive` returns `errors.Closed`."""
         if not self.closed:
             self.closed = True
-            with contextlib.suppress(OSError):  # the other side may have closed first
+            with contextlib.suppress(OSError):  # the peer may have closed first
                 self._socket.shutdown(socket.SHUT_RDWR)
             self._socket.close()
 
     def set_max_frame_bytes(self, limit: int = wire.MAX_FRAME_BYTES) -> None:
-        """Change the limit, for example once the other side has proven its identity."""
+        """Change the limit, for example once the peer has proven its identity."""
         self._max_frame_bytes = limit
 
     def send(self, message: object) -> None | errors.Failure:
@@ -126,16 +126,16 @@
             chunk = self._socket.recv(READ_CHUNK_BYTES)
             if not chunk:
                 self.close()
-                return errors.Closed(reason="the other side closed the stream")
+                return errors.Closed(reason="the peer closed the stream")
             self._buffer += chunk
         return None
 
 
 def open_socket(address: str, port: int, timeout_s: float) -> gevent_socket.socket:
-    """Connect to an IP address; the socket has no time limit, raises `OSError`.
+    """Connect to an IP address; raise `OSError` on failure.
 
-    Without a resolver: gevent's default one starts native threads and imports the
-    tables of the idna codec, together about 1 MB.
+    The returned socket has no timeout. No resolver is used: gevent's default one starts
+    native threads and imports the tables of the idna codec, together about 1 MB.
     """
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
     sock = gevent_socket.socket(family, socket.SOCK_STREAM)
--- a/toucanspring/wire.py
+++ b/toucanspring/wire.py
@@ -49,7 +49,7 @@
 
 
 class Attach(msgspec.Struct, frozen=True, tag="attach", array_like=True):
-    """Open a worker stream for a partition; raises the epoch at the worker.
+    """Open a worker stream for a partition and raise the epoch of the worker.
 
     It does not extend the worker's lease: a delayed attach would otherwise extend
     the lease of tasks that a former owner started.
@@ -135,7 +135,7 @@
 
 
 class Poll(msgspec.Struct, frozen=True, tag="poll", array_like=True):
-    """Ask for a report at once, for its tick."""
+    """Ask for an immediate report, for the `tick` in it."""
 
     epoch: int
 
@@ -147,7 +147,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, tag="report", array_like=True):
-    """Report finished tasks and the lagging usage of running tasks where it changed."""
+    """Report finished tasks and changes in the delayed usage of running tasks."""
 
     tick: int
     finished: list[FinishedTask]
