--- a/test/test_kernel.py
+++ b/test/test_kernel.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Happened:
+class SampleEvent:
     value: int
 
 
@@ -24,7 +24,7 @@
 
 class KernelTest(testtools.TestCase):
     def test_services_stop_in_reverse_order_of_start(self):
-        # Guards against a service outliving one that it depends on.
+        # Guards against a service that runs after one that it depends on has stopped.
         calls = []
         core = kernel.Kernel()
         core.register("store", RecordingService("store", calls))
@@ -49,10 +49,10 @@
         )
 
     def test_a_failing_listener_does_not_stop_the_others(self):
-        # Guards against one plugin silencing the rest.
+        # Guards against a plugin whose failure keeps events from the others.
         core = kernel.Kernel()
         seen = []
-        core.subscribe(Happened, lambda event: 1 / 0)
-        core.subscribe(Happened, seen.append)
-        core.publish(Happened(3))
-        self.assertEqual([Happened(3)], seen)
+        core.subscribe(SampleEvent, lambda event: 1 / 0)
+        core.subscribe(SampleEvent, seen.append)
+        core.publish(SampleEvent(3))
+        self.assertEqual([SampleEvent(3)], seen)
--- a/test/test_store.py
+++ b/test/test_store.py
@@ -5,7 +5,7 @@
 from gevent import server
 
 from standins import events, injection, service
-from standins import tables as standin
+from standins import tables as standin_tables
 from toucanspring import errors, store
 from toucanspring.adapters import tables
 
@@ -13,7 +13,7 @@
 
 
 class FakeTables:
-    """Applies transactions at the times that a script of steps asks for.
+    """Applies transactions at the times given by a script of steps.
 
     Steps: `ok`, `lost` (applied, no answer), `never` (not applied, no answer), `late`
     (applied after the next call), `down`; each transaction takes the next step.
@@ -66,7 +66,7 @@
 class ResolvedTransactionTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.patch(store, "FIRST_PAUSE_S", 0.001)
+        self.patch(store, "RETRY_FIRST_S", 0.001)
 
     def append(self, client, value=b"mine", checks=None):
         return store.transact_resolved(
@@ -99,7 +99,7 @@
         self.assertIsInstance(self.append(client), errors.Ambiguous)
 
     def test_a_row_that_changed_again_leaves_the_effect_unknown(self):
-        # Guards against `Conflict`, which would claim that nothing was applied.
+        # Guards against returning `Conflict`, which says that nothing was applied.
         client = FakeTables("lost")
         client.rows["log/1"] = tables.Row(0, b"")
         original = client.read
@@ -115,7 +115,7 @@
         client.apply({}, {"partitions/0": b"me"}, ())
         client.steps = ["lost"]
         self.assertIsInstance(self.append(client, checks=owned), tables.Committed)
-        # Not applied, and a late arrival can no longer pass the check.
+        # Not applied, and a late attempt can no longer pass the check.
         client = FakeTables()
         client.apply({}, {"partitions/0": b"me"}, ())
         client.steps = ["never"]
@@ -127,7 +127,7 @@
         self.assertEqual("partitions/0", result.key)
         self.assertNotIn("log/1", client.rows)
 
-    def test_unreadable_rows_end_in_doubt(self):
+    def test_unreadable_rows_leave_the_effect_unknown(self):
         client = FakeTables("lost")
         client.readable = False
         self.assertIsInstance(self.append(client), errors.Ambiguous)
@@ -145,7 +145,7 @@
                 ValueError, store.transact_resolved, FakeTables(), checks, {"a": b"1"}
             )
 
-    def test_random_losses_never_apply_twice_nor_lie(self):
+    def test_random_losses_never_apply_twice_nor_return_a_wrong_result(self):
         rng = random.Random(7)
         steps = ["ok", "lost", "never", "late", "down"]
         for _ in range(300):
@@ -163,12 +163,12 @@
 
 
 class TablesTest(testtools.TestCase):
-    """Runs the client against the stand-in within this process."""
+    """Runs the client against the stand-in in this process."""
 
     def setUp(self):
         super().setUp()
         self.record = events.Record()
-        self.rows = standin.Tables(self.record)
+        self.rows = standin_tables.Tables(self.record)
         self.served = injection.FaultyService(
             "127.0.0.1", 0, 0, self.rows.handle, self.record, random.Random(1).random
         )
@@ -182,7 +182,7 @@
         self.served.set_faults(faults)
 
     def test_checks_guard_all_writes_and_versions_are_never_reused(self):
-        # Guards against recognising a recreated row as the former one.
+        # Guards against mistaking a recreated row for the previous one.
         first = self.client.transact({"a": 0}, {"a": b"1", "b": b"2"}).versions
         conflict = self.client.transact({"a": 0}, {"b": b"3"})
         self.assertEqual(("a", first["a"]), (conflict.key, conflict.current_version))
@@ -229,7 +229,7 @@
         self.assertIsInstance(self.client.transact({}, {}), tables.Committed)
 
     def test_a_limited_service_makes_calls_wait(self):
-        # Guards against benches on a table service without any limit.
+        # Guards against benchmarks on a table service without a rate limit.
         self.faults(calls_per_second={"/v1/transactions": 50})
         began = time.monotonic()
         for _ in range(11):
@@ -246,11 +246,11 @@
         self.assertEqual(0, self.client.read(["a"])["a"].version)
 
     def test_malformed_answers(self):
-        def garble(sock, _address):
+        def send_garbage(sock, _address):
             sock.recv(65536)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n\xc1\xc1\xc1")
 
-        broken = server.StreamServer(service.listen("127.0.0.1", 0), garble)
+        broken = server.StreamServer(service.listen("127.0.0.1", 0), send_garbage)
         broken.start()
         self.addCleanup(broken.stop)
         client = tables.HttpTableClient("127.0.0.1", broken.server_port)
--- a/toucanspring/bounded_output.py
+++ b/toucanspring/bounded_output.py
@@ -1,4 +1,4 @@
-"""Standard output for logs that never blocks and is bounded in volume."""
+"""Log output that never blocks and limits the rate of lines."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 import gevent.os
 
-# A busy coordinator writes some 200 lines a second; a storm of failures is cut here.
+# A busy coordinator writes about 200 lines per second. Repeated failures could write
+# many more; lines beyond this rate are dropped.
 LINES_PER_S = 400
 BURST_LINES = 800
 
 
 class Output:
-    """Write lines to a descriptor; what does not fit is counted and reported later."""
+    """Write lines to a descriptor; lines that are dropped are counted and reported."""
 
     def __init__(
         self,
@@ -28,41 +29,41 @@
         self._lines_per_s = lines_per_s
         self._burst = burst
         self._clock = clock
-        self._allowed = float(burst)
-        self._counted_at = clock()
-        self._rest = b""  # of a line that was written in part
+        self._tokens = float(burst)
+        self._refilled_at = clock()
+        self._unwritten = b""  # rest of a partly written line
         self.dropped = 0
 
     def write(self, text: str) -> None:
         """Write one line, or count it as dropped."""
         now = self._clock()
-        self._allowed = min(
-            self._burst, self._allowed + (now - self._counted_at) * self._lines_per_s
+        self._tokens = min(
+            self._burst, self._tokens + (now - self._refilled_at) * self._lines_per_s
         )
-        self._counted_at = now
-        if self._allowed < 1 or not self._flush_rest():
+        self._refilled_at = now
+        if self._tokens < 1 or not self._flush_unwritten():
             self.dropped += 1
             return
-        self._allowed -= 1
+        self._tokens -= 1
         line = text.encode("utf-8", "replace")
         if self.dropped:
             line = b'{"message":"lines_dropped","count":%d}\n' % self.dropped + line
             self.dropped = 0
-        self._rest = line
-        self._flush_rest()
+        self._unwritten = line
+        self._flush_unwritten()
 
     def flush(self) -> None:
         """Do nothing; each line is written at once."""
 
-    def _flush_rest(self) -> bool:
-        """Write what is left of the last line; return whether all of it went."""
-        while self._rest:
+    def _flush_unwritten(self) -> bool:
+        """Write the rest of the last line; return whether it is written completely."""
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                self._rest = b""  # nobody reads any more
+                self._unwritten = b""  # the reader has closed the pipe
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
--- a/toucanspring/daemon.py
+++ b/toucanspring/daemon.py
@@ -2,7 +2,7 @@
 
 import gevent.monkey
 
-# A process starts no other; the patch of `subprocess` would cost 0.6 MB.
+# The daemon starts no subprocesses; patching `subprocess` would cost 0.6 MB of memory.
 gevent.monkey.patch_all(subprocess=False)
 
 import importlib  # noqa: E402
@@ -21,8 +21,8 @@
 
 logger = logbook.Logger(__name__)
 
-# Names in the kernel and modules, in the order of start; a service that is not
-# installed is left out.
+# Names of the services in the kernel and their modules, in the order of start. A
+# service that is not installed is skipped.
 SERVICES = {
     "metrics": "toucanspring.metrics",
     "store": "toucanspring.store",
@@ -47,39 +47,41 @@
 
 
 def build_service(
-    name: str, core: kernel.Kernel, chosen: settings.Settings
+    name: str, core: kernel.Kernel, options: settings.Settings
 ) -> kernel.Service | errors.Failure:
     """Construct the service with the given name."""
     module = importlib.import_module(SERVICES[name])
     if name == "store":
-        return module.connect(chosen.tables, chosen.objects, chosen.vms, chosen.process)
-    return module.Service(core, chosen)
+        return module.connect(
+            options.tables, options.objects, options.vms, options.process
+        )
+    return module.Service(core, options)
 
 
-def build(chosen: settings.Settings) -> kernel.Kernel | errors.Failure:
+def build(options: settings.Settings) -> kernel.Kernel | errors.Failure:
     """Register all installed services in a kernel."""
     core = kernel.Kernel()
     for name, module in SERVICES.items():
         if importlib.util.find_spec(module) is None:
             logger.warning("service {} is not installed", name)
             continue
-        service = build_service(name, core, chosen)
+        service = build_service(name, core, options)
         if isinstance(service, errors.Failure):
             return service
         core.register(name, service)
-    failure = plugins.load(chosen.plugins, core)
+    failure = plugins.load(options.plugins, core)
     return core if failure is None else failure
 
 
 def publish_gauges(core: kernel.Kernel) -> None:
-    """Show the state of the control services in the metrics."""
+    """Export the state of the control services as metrics."""
     metrics = core.find("metrics")
     members = core.find("membership")
     documents = core.find("documents")
     traffic = metrics.counter(
         "toucanspring_peer_bytes_total", "Bytes exchanged with other processes."
     )
-    # A gauge: the bytes of a closed stream leave the sum.
+    # A gauge and not a counter: the sum loses the bytes of a stream that closes.
     worker_traffic = metrics.gauge(
         "toucanspring_worker_bytes", "Bytes exchanged on present streams to workers."
     )
@@ -131,17 +133,19 @@
             service.stop_accepting()
     core.find("membership").drain()
     core.find("claims").stop()
-    counters = [service for service in services if hasattr(service, "in_flight")]
-    while any(service.in_flight() for service in counters):
+    request_services = [
+        service for service in services if hasattr(service, "in_flight")
+    ]
+    while any(service.in_flight() for service in request_services):
         if time.monotonic() >= deadline:
             return False
         gevent.sleep(IN_FLIGHT_POLL_S)
     return True
 
 
-def run(chosen: settings.Settings) -> int:
+def run(options: settings.Settings) -> int:
     """Serve until SIGTERM or SIGINT; return the exit status."""
-    core = build(chosen)
+    core = build(options)
     if isinstance(core, errors.Failure):
         logger.error("cannot start: {}", core.reason)
         return EXIT_SETTINGS
@@ -151,44 +155,45 @@
     publish_gauges(core)
     try:
         core.start()
-    except OSError as error:  # an address or port in use, a certificate without its key
+    except OSError as error:  # address or port in use, certificate without its key
         logger.error("cannot start: {}", error)
         core.stop()
         return EXIT_SETTINGS
-    logger.info("process {} of cell {} serves", chosen.process, chosen.cell)
+    logger.info("process {} of cell {} is serving", options.process, options.cell)
     members = core.find("membership")
     while not stopped.wait(1.0):
         if members.replaced:
             core.stop()
             return EXIT_REPLACED
-    logger.info("draining for at most {} s", chosen.drain_s)
-    if not drain(core, chosen.drain_s):
-        logger.warning("requests were still in flight after {} s", chosen.drain_s)
+    logger.info("draining for at most {} s", options.drain_s)
+    if not drain(core, options.drain_s):
+        logger.warning("requests were still in flight after {} s", options.drain_s)
     core.stop()
-    logger.info("process {} ends", chosen.process)
+    logger.info("process {} has stopped", options.process)
     return 0
 
 
-def restart_without_flags(chosen: settings.Settings) -> None:
-    """Replace this program image by one that has its settings in the environment.
+def restart_without_flags(options: settings.Settings) -> None:
+    """Execute this program again with its settings in the environment, not in flags.
 
-    The parser of flags costs 6 MB, and flags with secrets show in process lists.
+    The flag parser costs 6 MB of memory, and secrets in flags are visible in process
+    lists.
     """
-    environment = {**os.environ, **settings.to_environment(chosen)}
+    environment = {**os.environ, **settings.to_environment(options)}
     command = sys.orig_argv[: len(sys.orig_argv) - len(sys.argv) + 1]
     os.execve(sys.executable, command, environment)
 
 
 def main() -> None:
     """Read the settings and run the daemon."""
-    chosen = settings.load(sys.argv[1:], os.environ)
-    if isinstance(chosen, errors.Invalid):
-        print(f"toucanspringd: {chosen.reason}", file=sys.stderr)
+    options = settings.load(sys.argv[1:], os.environ)
+    if isinstance(options, errors.Invalid):
+        print(f"toucanspringd: {options.reason}", file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     if sys.argv[1:]:
-        restart_without_flags(chosen)
-    log.set_up(chosen.log_level, chosen.log_format)
-    sys.exit(run(chosen))
+        restart_without_flags(options)
+    log.set_up(options.log_level, options.log_format)
+    sys.exit(run(options))
 
 
 if __name__ == "__main__":
--- a/toucanspring/rounds.py
+++ b/toucanspring/periodic.py
@@ -1,4 +1,4 @@
-"""Repeated work at a fixed rate."""
+"""Function calls at a fixed rate."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 log = logbook.Logger(__name__)
 
-# A sleep that ends so late was not a busy moment: the process did not run.
-PAUSE_S = 1.0
+# A sleep that ends this much late was not delayed by load: the process was paused.
+MIN_PAUSE_S = 1.0
 
 
 def repeat(
@@ -22,7 +22,7 @@
 ) -> None:
     """Call `work` at a fixed rate; an overrun skips calls instead of piling up.
 
-    `on_pause` gets the seconds by which a round came late.
+    `on_pause` gets the seconds by which a call was late after a pause of the process.
     """
     due = clock()
     while not is_over():
@@ -33,5 +33,5 @@
         due = max(due + interval_s, clock())
         gevent.sleep(max(due - clock(), 0.001))
         late_s = clock() - due
-        if late_s >= PAUSE_S:
+        if late_s >= MIN_PAUSE_S:
             on_pause(late_s)
