--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -7,7 +7,7 @@
 from test import request_fakes
 from toucanspring import errors
 from toucanspring.adapters import vms
-from toucanspring.callers import answers, forwarding, lane, listing, routing
+from toucanspring.callers import answers, backend_pool, forwarding, listing, routing
 
 LEAVING = vms.State.LEAVING
 
@@ -70,26 +70,28 @@
         self.now = 0.0
         self.usable_until = 1.0
         service = types.SimpleNamespace(classes={}, retries=0, name="request-desk")
-        self.lane = lane.Lane(
+        self.backend_pool = backend_pool.Lane(
             service, random.Random(5), lambda: self.now, lambda: self.usable_until
         )
-        self.lane.set_servers([facts("b1")])
+        self.backend_pool.set_servers([facts("b1")])
         self.client = request_fakes.Client(b"whole")
 
     def pause_after_choice(self, seconds):
-        plain = self.lane.acquire
+        plain = self.backend_pool.acquire
 
         def acquire(*args):
             server = plain(*args)
-            self.lane.acquire = plain
+            self.backend_pool.acquire = plain
             self.now += seconds
             return server
 
-        self.lane.acquire = acquire
+        self.backend_pool.acquire = acquire
 
     def start(self, deadline_s=30.0):
         request = request_fakes.make_request(deadline_s=deadline_s)
-        attempt = forwarding.Attempt(self.lane, self.client, request, lambda: self.now)
+        attempt = forwarding.Attempt(
+            self.backend_pool, self.client, request, lambda: self.now
+        )
         running = gevent.spawn(attempt.run)
         gevent.sleep(0.01)
         return running
@@ -100,9 +102,9 @@
         self.pause_after_choice(6.0)
         running = self.start()
         self.assertEqual([], self.client.sent)
-        self.lane.set_servers([facts("b1", leaving=True), facts("b2")])
+        self.backend_pool.set_servers([facts("b1", leaving=True), facts("b2")])
         self.usable_until = self.now + 1.0
-        self.lane.pump()
+        self.backend_pool.pump()
         self.assertIsInstance(running.get(timeout=5), answers.Answer)
         ((server, _, _),) = self.client.sent
         self.assertEqual("b2:80", server)
--- a/toucanspring/callers/forwarding.py
+++ b/toucanspring/callers/forwarding.py
@@ -7,7 +7,7 @@
 
 from toucanspring import errors
 from toucanspring.adapters import backend_servers
-from toucanspring.callers import answers, handler, lane, routing
+from toucanspring.callers import answers, backend_pool, handler, routing
 
 # Part of an answer that is received before any of it is passed on. A failure within
 # it leads to a retry that the caller does not notice.
@@ -86,7 +86,7 @@
 
     def __init__(
         self,
-        target: lane.Lane,
+        target: backend_pool.Lane,
         client: backend_servers.BackendServerClient,
         request: answers.Request,
         clock: Clock = time.monotonic,
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -12,7 +12,7 @@
 
 from toucanspring import errors, kernel
 from toucanspring.adapters import backend_servers, vms
-from toucanspring.callers import answers, forwarding, lane, listing, routing
+from toucanspring.callers import answers, backend_pool, forwarding, listing, routing
 from toucanspring.cell import claims, rpc
 from toucanspring.configuration import text
 from toucanspring.owners import runner, search
@@ -70,7 +70,7 @@
             settings.process
         )
         self._rng = random.Random()
-        self._lanes: dict[str, lane.Lane] = {}
+        self._lanes: dict[str, backend_pool.Lane] = {}
         self._cell: text.Cell | None = None
         self._zones_out: frozenset[str] = frozenset()
         self._listing = listing.Listing(lambda: core.find("store").vms.list())
@@ -275,7 +275,7 @@
 
     # Lanes
 
-    def _lane_of(self, service: str) -> lane.Lane | None:
+    def _lane_of(self, service: str) -> backend_pool.Lane | None:
         self._follow_documents()
         return self._lanes.get(service)
 
@@ -291,7 +291,7 @@
                 if name in self._lanes:
                     self._lanes[name].service = service
                 else:
-                    self._lanes[name] = lane.Lane(
+                    self._lanes[name] = backend_pool.Lane(
                         service, self._rng, usable_until=self._listing.usable_until
                     )
                     self._lanes[name].set_zones_out(self._zones_out)
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -17,7 +17,7 @@
 
 from toucanspring import errors, job, kernel
 from toucanspring.adapters import backend_servers
-from toucanspring.callers import answers, forwarding, inquiry, lane, routing
+from toucanspring.callers import answers, backend_pool, forwarding, inquiry, routing
 from toucanspring.owners import log_records, outcomes, request_log
 
 log = logbook.Logger(__name__)
@@ -56,7 +56,7 @@
     def __init__(
         self,
         core: kernel.Kernel,
-        lane_of: Callable[[str], lane.Lane | None],
+        lane_of: Callable[[str], backend_pool.Lane | None],
         client: backend_servers.BackendServerClient,
         clock: Clock = time.monotonic,
     ) -> None:
@@ -186,7 +186,7 @@
     def _send_or_move(
         self,
         request: answers.Request,
-        target: lane.Lane,
+        target: backend_pool.Lane,
         server: routing.ServerFacts,
         start: outcomes.Start,
         epoch: int,
@@ -231,7 +231,7 @@
     def _find_server(
         self,
         request: answers.Request,
-        target: lane.Lane,
+        target: backend_pool.Lane,
         deadline: float,
         excluded: frozenset[str] = frozenset(),
     ) -> routing.ServerFacts | errors.Failure:
@@ -279,7 +279,7 @@
     def _send(
         self,
         request: answers.Request,
-        target: lane.Lane,
+        target: backend_pool.Lane,
         server: routing.ServerFacts,
         start: outcomes.Start,
         epoch: int,
@@ -333,7 +333,7 @@
     def _refusal(
         self,
         request: answers.Request,
-        target: lane.Lane,
+        target: backend_pool.Lane,
         server: routing.ServerFacts,
         epoch: int,
         expired: bool,
