--- a/test/test_runner.py
+++ b/test/test_runner.py
@@ -5,7 +5,7 @@
 from test import edge_fakes, request_fakes
 from toucanspring import errors
 from toucanspring.adapters import backend_servers
-from toucanspring.callers import answers, inquiry
+from toucanspring.callers import answers, outcome_lookup
 from toucanspring.owners import log_records, outcomes, runner
 
 LARGE = answers.MAX_LOGGED_BYTES + 1
@@ -64,7 +64,7 @@
     def test_a_lost_answer_never_moves_a_request(self):
         # Guards against one order at two servers.
         self.patch(runner, "MOVE_AFTER_S", 0.0)
-        self.patch(inquiry, "UNSEEN_LIMIT_S", 0.1)
+        self.patch(outcome_lookup, "UNSEEN_LIMIT_S", 0.1)
         self.start(request_fakes.REFUSED, request_fakes.LOST, b"whole")
         self.assertIsInstance(self.serve(), errors.Unknown)
         self.assertEqual(["r1"], self.client.ran)
@@ -125,13 +125,13 @@
         # Guards against callers that wait until their deadline for nothing.
         self.start(request_fakes.LOST)
         clock = request_fakes.Clock()
-        self.patch(inquiry, "gevent", clock.gevent)
+        self.patch(outcome_lookup, "gevent", clock.gevent)
         self.patch(runner, "gevent", clock.gevent)
         self.patch(self.service._runner, "_clock", clock)
         self.patch(self.service._runner._inquiry, "_clock", clock)
         self.assertIsInstance(self.serve(deadline_s=30.0), errors.Unknown)
-        self.assertGreaterEqual(clock.passed_s, inquiry.UNSEEN_LIMIT_S)
-        limit_s = inquiry.UNSEEN_LIMIT_S + inquiry.LONGEST_PAUSE_S
+        self.assertGreaterEqual(clock.passed_s, outcome_lookup.UNSEEN_LIMIT_S)
+        limit_s = outcome_lookup.UNSEEN_LIMIT_S + outcome_lookup.LONGEST_PAUSE_S
         self.assertLess(clock.passed_s, limit_s)
 
     def test_an_id_that_ran_as_idempotent_is_not_run_again(self):
@@ -222,7 +222,7 @@
 
     def test_a_dead_server_leaves_the_outcome_unknown(self):
         self.patch(runner, "FOLLOW_S", 0.2)
-        self.patch(inquiry, "LOOKUP_TIMEOUT_S", 0.1)
+        self.patch(outcome_lookup, "LOOKUP_TIMEOUT_S", 0.1)
         self.take_over(request_fakes.UNREACHED)
         for _ in range(2):
             self.assertIsInstance(self.serve(), errors.Unknown)
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -17,7 +17,13 @@
 
 from toucanspring import errors, job, kernel
 from toucanspring.adapters import backend_servers
-from toucanspring.callers import answers, backend_pool, forwarding, inquiry, routing
+from toucanspring.callers import (
+    answers,
+    backend_pool,
+    forwarding,
+    outcome_lookup,
+    routing,
+)
 from toucanspring.owners import log_records, outcomes, request_log
 
 log = logbook.Logger(__name__)
@@ -65,7 +71,7 @@
         self._client = client
         self._clock = clock
         self._outcomes = outcomes.Outcomes(core)
-        self._inquiry = inquiry.Inquiry(client, clock)
+        self._inquiry = outcome_lookup.Inquiry(client, clock)
         self._running: dict[str, UnderWay] = {}  # by request ID
         self._waiting = 0
 
@@ -321,7 +327,7 @@
                         request.id, start, FOLLOW_S, certain=False
                     )
                 case _:
-                    received = inquiry.receive(result, start)
+                    received = outcome_lookup.receive(result, start)
                     if isinstance(received, errors.Ambiguous):
                         # The server remembers the answer of which a part was lost.
                         return self._inquiry.look_up(
@@ -354,7 +360,7 @@
     ) -> answers.Stored | errors.Failure:
         """Find out the outcome of a request that a former owner may have sent."""
         give_up = self._clock() + FOLLOW_S
-        pause = inquiry.FIRST_PAUSE_S
+        pause = outcome_lookup.FIRST_PAUSE_S
         while True:
             number = self._epoch(request_id)
             if number is None:
@@ -371,8 +377,8 @@
                 lost = errors.Unknown(reason=f"outcome unknown: {raised.reason}")
                 return self._outcomes.record(request_id, start, lost)
             gevent.sleep(pause)
-            pause = min(2 * pause, inquiry.LONGEST_PAUSE_S)
-        left_s = max(inquiry.LOOKUP_TIMEOUT_S, give_up - self._clock())
+            pause = min(2 * pause, outcome_lookup.LONGEST_PAUSE_S)
+        left_s = max(outcome_lookup.LOOKUP_TIMEOUT_S, give_up - self._clock())
         result = self._inquiry.look_up(request_id, start, left_s, certain=True)
         return self._outcomes.record(request_id, start, result)
 
