--- a/bench/overload.py
+++ b/bench/overload.py
@@ -53,7 +53,7 @@
         while True:
             if not len(self._queue):
                 return None
-            background = self._queue.head() in BACKGROUND
+            background = self._queue.next_class() in BACKGROUND
             server = self.router.choose(now, background=background)
             if isinstance(server, errors.Overloaded):
                 return now + max(server.retry_after_s, 0.0005)
@@ -61,7 +61,7 @@
             if item is None:
                 return None
             request_id, entry = item
-            if isinstance(entry, admission.Admitted):
+            if isinstance(entry, admission.QueuedRequest):
                 self.router.sent(server.id)
                 self._sent_at[request_id] = now
                 return request_id, server.id
@@ -69,14 +69,14 @@
     def refused(self, request, server: str, now: float) -> None:
         """Queue a request again that found no free slot."""
         self.router.finished(server, routing.Outcome.REFUSED, 0.0, now)
-        entry = admission.Admitted(request.id, request.job_class, request.deadline)
-        self._queue.put_back(entry)
+        entry = admission.QueuedRequest(request.id, request.job_class, request.deadline)
+        self._queue.requeue(entry)
 
     def answered(self, request, server: str, now: float) -> None:
         """Learn from an answer."""
         seconds = now - self._sent_at.pop(request.id)
         self.router.finished(server, routing.Outcome.OK, seconds, now)
-        self._queue.served(request.job_class, seconds)
+        self._queue.record_service_time(request.job_class, seconds)
 
 
 class Baseline:
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -22,10 +22,10 @@
     def test_classes_are_served_in_order_and_each_oldest_first(self):
         for name, job_class in (("n1", NORMAL), ("n2", NORMAL), ("c", CHECK)):
             self.admission.offer(name, job_class, 9.0, 0.0)
-        self.assertEqual(CHECK, self.admission.head())
+        self.assertEqual(CHECK, self.admission.next_class())
         names = [name for name, _ in self.drain()]
         self.assertEqual(["c", "n1", "n2"], names)
-        self.assertIsNone(self.admission.head())
+        self.assertIsNone(self.admission.next_class())
 
     def test_a_full_queue_sheds_the_lowest_class(self):
         # Guards against checks refused while work that can wait is queued.
@@ -35,13 +35,13 @@
         self.assertIsInstance(refused, errors.Overloaded)
         for name in ("c1", "c2", "c3"):
             admitted = self.admission.offer(name, CHECK, 9.0, 0.0)
-            self.assertIsInstance(admitted, admission.Admitted)
+            self.assertIsInstance(admitted, admission.QueuedRequest)
         refused = self.admission.offer("c4", CHECK, 9.0, 0.0)
         self.assertIsInstance(refused, errors.Overloaded)
         items = self.drain()
         shed = [name for name, kind in items if kind is errors.Overloaded]
         self.assertEqual(["d", "n", "u"], shed)
-        admitted = [name for name, kind in items if kind is admission.Admitted]
+        admitted = [name for name, kind in items if kind is admission.QueuedRequest]
         self.assertEqual(["c1", "c2", "c3"], admitted)
 
     def test_expired_requests_come_out_as_not_run(self):
@@ -49,7 +49,7 @@
         self.admission.offer("a", NORMAL, 1.0, 0.0)
         self.admission.offer("b", NORMAL, 5.0, 0.0)
         self.assertEqual(
-            [("a", errors.NotRun), ("b", admission.Admitted)], self.drain(2.0)
+            [("a", errors.NotRun), ("b", admission.QueuedRequest)], self.drain(2.0)
         )
 
     def test_ended_leaves_requests_that_can_still_be_sent(self):
@@ -57,7 +57,7 @@
         self.admission.offer("b", NORMAL, 5.0, 0.0)
         self.assertEqual(["a"], [name for name, _ in self.admission.ended(2.0)])
         self.assertEqual([], self.admission.ended(2.0))
-        self.assertEqual([("b", admission.Admitted)], self.drain(2.0))
+        self.assertEqual([("b", admission.QueuedRequest)], self.drain(2.0))
 
     def test_memory_is_bounded_when_deadlines_are_far(self):
         for number in range(1000):
@@ -68,7 +68,7 @@
     def test_hopeless_requests_are_not_run(self):
         # Guards against slots spent on answers that come too late.
         self.admission.offer("a", NORMAL, 5.0, 0.0)
-        self.admission.served(NORMAL, 1.0)
+        self.admission.record_service_time(NORMAL, 1.0)
         late = self.admission.offer("b", NORMAL, 1.0, 0.0)
         self.assertIsInstance(late, errors.Overloaded)
         self.assertEqual([("a", errors.NotRun)], self.drain(4.5))
@@ -77,7 +77,7 @@
         first = self.admission.offer("a", NORMAL, 9.0, 0.0)
         self.admission.offer("b", NORMAL, 9.0, 0.0)
         self.assertEqual(("a", first), self.admission.next(0.0))
-        self.admission.put_back(first)
+        self.admission.requeue(first)
         self.assertEqual("a", self.admission.next(0.0)[0])
 
     def test_every_request_comes_out_exactly_once(self):
@@ -90,14 +90,14 @@
             name = f"r{number}"
             job_class = rng.choice(list(job.JobClass))
             result = queue.offer(name, job_class, now + rng.uniform(0.1, 2), now)
-            if isinstance(result, admission.Admitted):
+            if isinstance(result, admission.QueuedRequest):
                 offered.append(name)
             if rng.random() < 0.4:
                 item = queue.next(now)
                 if item is None:
                     continue
-                if isinstance(item[1], admission.Admitted) and rng.random() < 0.3:
-                    queue.put_back(item[1])
+                if isinstance(item[1], admission.QueuedRequest) and rng.random() < 0.3:
+                    queue.requeue(item[1])
                 elif rng.random() < 0.05 and queue.cancel(offered[-1]):
                     out += [item[0], offered[-1]]
                 else:
--- a/test/test_api_services.py
+++ b/test/test_api_services.py
@@ -97,7 +97,7 @@
     def test_a_truncated_answer_reaches_the_caller_as_truncated(self):
         def chunks():
             yield b"part"
-            raise handler.AnswerCut("ended early")
+            raise handler.AnswerAborted("ended early")
 
         cuts = (http.client.IncompleteRead, ConnectionResetError)
         for make, length in ((chunks, 100), (chunks, None), (lambda: [b"part"], 100)):
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -31,7 +31,7 @@
         stored = answers.Stored(
             team="desk", service="s", digest=b"", status=200, body=body
         )
-        for part in requests._send(stored):
+        for part in requests._stream_answer(stored):
             yield part
             if cut:
                 raise rpc.StreamBrokenError("the owner ended")
--- a/test/test_handler.py
+++ b/test/test_handler.py
@@ -45,7 +45,7 @@
 def cut():
     yield b"first part"
     gevent.sleep(0.05)
-    raise handler.AnswerCut("the backend server ended early")
+    raise handler.AnswerAborted("the backend server ended early")
 
 
 class Connection:
--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -18,7 +18,7 @@
         self.now = 100.0
         self.pauses = []  # of the process during the next reads
         self.answer = request_fakes.servers(1)
-        self.listing = listing.Listing(self.read, lambda: self.now)
+        self.listing = listing.VmListCache(self.read, lambda: self.now)
 
     def read(self):
         listed = self.answer
@@ -70,7 +70,7 @@
         self.now = 0.0
         self.usable_until = 1.0
         service = types.SimpleNamespace(classes={}, retries=0, name="request-desk")
-        self.backend_pool = backend_pool.Lane(
+        self.backend_pool = backend_pool.BackendPool(
             service, random.Random(5), lambda: self.now, lambda: self.usable_until
         )
         self.backend_pool.set_servers([facts("b1")])
@@ -89,7 +89,7 @@
 
     def start(self, deadline_s=30.0):
         request = request_fakes.make_request(deadline_s=deadline_s)
-        attempt = forwarding.Attempt(
+        attempt = forwarding.IdempotentCall(
             self.backend_pool, self.client, request, lambda: self.now
         )
         running = gevent.spawn(attempt.run)
@@ -104,7 +104,7 @@
         self.assertEqual([], self.client.sent)
         self.backend_pool.set_servers([facts("b1", leaving=True), facts("b2")])
         self.usable_until = self.now + 1.0
-        self.backend_pool.pump()
+        self.backend_pool.dispatch()
         self.assertIsInstance(running.get(timeout=5), answers.Answer)
         ((server, _, _),) = self.client.sent
         self.assertEqual("b2:80", server)
@@ -131,7 +131,7 @@
     def test_a_begun_request_waits_for_the_list_before_it_is_sent(self):
         # Guards against an order that a resumed owner sends to a server that left.
         self.start()
-        router_lane = self.service._lane_of("request-desk")
+        router_lane = self.service._pool_of("request-desk")
         plain = self.partitions.begin_request
 
         def begin(request_id, server):
--- a/test/test_requests.py
+++ b/test/test_requests.py
@@ -39,7 +39,7 @@
         self.patch(requests.forwarding, "PREFETCH_BYTES", 1)
         self.start(request_fakes.CUT)
         result = self.serve()
-        with testtools.ExpectedException(handler.AnswerCut):
+        with testtools.ExpectedException(handler.AnswerAborted):
             list(result.chunks)
 
     def test_a_request_begun_under_a_former_number_is_asked_for_there(self):
@@ -118,12 +118,12 @@
         self.start(b"whole", count=1)
         for _ in range(20):
             self.serve().chunks.close()
-        router = self.service._lane_of("request-desk").router
+        router = self.service._pool_of("request-desk").router
         self.assertEqual(0, router.load("b1"))
 
     def test_more_than_the_allowed_waiting_requests_are_shed(self):
         self.start(request_fakes.REFUSED)
-        target = self.service._lane_of("request-desk")
+        target = self.service._pool_of("request-desk")
         rule = types.SimpleNamespace(max_waiting=2)
         target.service = types.SimpleNamespace(
             classes={job.JobClass.CHECK: rule}, retries=0, name="request-desk"
--- a/test/test_runner.py
+++ b/test/test_runner.py
@@ -128,10 +128,10 @@
         self.patch(outcome_lookup, "gevent", clock.gevent)
         self.patch(runner, "gevent", clock.gevent)
         self.patch(self.service._runner, "_clock", clock)
-        self.patch(self.service._runner._inquiry, "_clock", clock)
+        self.patch(self.service._runner._outcome_lookup, "_clock", clock)
         self.assertIsInstance(self.serve(deadline_s=30.0), errors.Unknown)
         self.assertGreaterEqual(clock.passed_s, outcome_lookup.UNSEEN_LIMIT_S)
-        limit_s = outcome_lookup.UNSEEN_LIMIT_S + outcome_lookup.LONGEST_PAUSE_S
+        limit_s = outcome_lookup.UNSEEN_LIMIT_S + outcome_lookup.MAX_BACKOFF_S
         self.assertLess(clock.passed_s, limit_s)
 
     def test_an_id_that_ran_as_idempotent_is_not_run_again(self):
@@ -155,7 +155,7 @@
 
         def begin(request_id, server):
             self.core.find("documents").out = frozenset({"zug-1"})
-            self.service._follow_documents()
+            self.service._apply_documents()
             return plain(request_id, server)
 
         self.patch(self.partitions, "begin_request", begin)
--- a/test/test_server.py
+++ b/test/test_server.py
@@ -122,10 +122,10 @@
             connection.send(b"GET / HTTP/1.1\r\n\r\n")
             self.assertTrue(connection.socket.recv(65536).endswith(b"ok"))
             [held] = self.server.connections
-            self.assertFalse(held.is_awaited())
+            self.assertFalse(held.has_pending_request())
             # No switch between the send and the look at the connection.
             connection.socket.send(b"GET / HTTP/1.1\r\n\r\n")
-            self.assertTrue(held.is_awaited())
+            self.assertTrue(held.has_pending_request())
 
 
 class TlsServerTest(ServerTest):
--- a/test/test_submission.py
+++ b/test/test_submission.py
@@ -13,7 +13,7 @@
         access = api.Access(core, edge_fakes.make_settings())
         for name, template in cell.jobs.items():
             core.find("documents").secrets["k"] = template.team
-            built = submission.Specs(cell, access, "k").build(
+            built = submission.JobSpecBuilder(cell, access, "k").build(
                 submission.Submission(template=name), "jobs.0"
             )
             self.assertEqual(template.demand, built[-1].demand)
--- a/toucanspring/adapters/backend_servers.py
+++ b/toucanspring/adapters/backend_servers.py
@@ -217,11 +217,11 @@
     def _endpoint(self, server: str) -> exchange.Endpoint | errors.Invalid:
         endpoint = self._endpoints.get(server)
         if endpoint is None:
-            place = exchange.parse_address(server)
-            if isinstance(place, errors.Invalid):
-                return place
+            host_and_port = exchange.parse_address(server)
+            if isinstance(host_and_port, errors.Invalid):
+                return host_and_port
             endpoint = exchange.Endpoint(
-                *place, self._connections, self._client, self._connect_timeout_s
+                *host_and_port, self._connections, self._client, self._connect_timeout_s
             )
             self._endpoints[server] = endpoint
         return endpoint
--- a/toucanspring/adapters/exchange.py
+++ b/toucanspring/adapters/exchange.py
@@ -218,9 +218,10 @@
                     return errors.Overloaded(reason="no connection in time to send")
                 sent = True
                 sock.sendall(head + body)
-                held, sock = sock, None  # from here the response releases the socket
+                # From here on the response releases the socket.
+                transferred, sock = sock, None
                 parsed = ParsedReply(
-                    held, self._pool, block_size=BLOCK_BYTES, method=method
+                    transferred, self._pool, block_size=BLOCK_BYTES, method=method
                 )
                 return OpenReply(parsed, deadline)
         except gevent.Timeout as expired:
@@ -288,8 +289,8 @@
 
 def parse_address(text: str) -> tuple[str, int] | errors.Invalid:
     """Split `address:port` or `http://address:port`, with IPv6 in brackets."""
-    place = text.removeprefix("http://").rstrip("/")
-    address, separator, port = place.rpartition(":")
+    host_and_port = text.removeprefix("http://").rstrip("/")
+    address, separator, port = host_and_port.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         return errors.Invalid(
             reason="not an address with a port", value=text, expected="address:port"
--- a/toucanspring/adapters/workers.py
+++ b/toucanspring/adapters/workers.py
@@ -13,7 +13,7 @@
 # A worker reports every 7 s at least, with tasks every 4 s. One that is late is asked
 # for a report, so that a single lost message does not break the link. Work does not
 # wait for that: starts and polls have the shorter limit.
-ASK_AFTER_S = 7.5
+REPORT_REQUEST_AFTER_S = 7.5
 REPORT_TIMEOUT_S = 9.0
 ANSWER_TIMEOUT_S = 2.0
 ATTACH_TIMEOUT_S = 2.0
@@ -87,9 +87,11 @@
         self._owner = owner
         self._report_timeout_s = report_timeout_s
         self._answer_timeout_s = min(ANSWER_TIMEOUT_S, report_timeout_s)
-        self._ask_after_s = report_timeout_s * ASK_AFTER_S / REPORT_TIMEOUT_S
-        self._silence = deadline.Deadline(self._ask)
-        self._answer = deadline.Deadline(self._expire)
+        self._report_request_after_s = (
+            report_timeout_s * REPORT_REQUEST_AFTER_S / REPORT_TIMEOUT_S
+        )
+        self._report_deadline = deadline.Deadline(self._request_report)
+        self._answer_deadline = deadline.Deadline(self._expire)
         self._epoch: int | None = None
         self._expired: errors.Timeout | None = None
         self._attached: event.AsyncResult | None = None
@@ -97,7 +99,7 @@
         self._pending: dict[int, list[str]] = {}
         self.tick = 0
         self.closed = False
-        self._silence.set(self._ask_after_s)
+        self._report_deadline.set(self._report_request_after_s)
         self._reader = gevent.spawn(self._read)
 
     @property
@@ -134,21 +136,21 @@
         self, epoch: int, tasks: list[wire.TaskStart], tick: int | None = None
     ) -> None:
         """Send starts; `tick` is the value of `self.tick` when starting was allowed."""
-        given_tick = self.tick if tick is None else tick
+        start_tick = self.tick if tick is None else tick
         batch: list[wire.TaskStart] = []
         size = 0
         for task in tasks:
             added = _bound_size(task)
             if added > MAX_BATCH_BYTES:
-                self._refuse([task], f"start exceeds {MAX_BATCH_BYTES} bytes")
+                self._report_unsent([task], f"start exceeds {MAX_BATCH_BYTES} bytes")
                 continue
             if size + added > MAX_BATCH_BYTES:
-                self._send_batch(epoch, given_tick, batch)
+                self._send_batch(epoch, start_tick, batch)
                 batch, size = [], 0
             batch.append(task)
             size += added
         if batch:
-            self._send_batch(epoch, given_tick, batch)
+            self._send_batch(epoch, start_tick, batch)
 
     def renew(self, epoch: int, lease_ms: int, tick: int) -> None | errors.Failure:
         """Extend the worker's lease to `lease_ms` after `tick`."""
@@ -156,7 +158,7 @@
 
     def poll(self, epoch: int) -> None | errors.Failure:
         """Ask for a report; without one the link closes after `ANSWER_TIMEOUT_S`."""
-        self._answer.set_once(self._answer_timeout_s)
+        self._answer_deadline.set_once(self._answer_timeout_s)
         return self._stream.send(wire.Poll(epoch))
 
     def stop(self, epoch: int, task_ids: list[str], mode: str) -> None | errors.Failure:
@@ -183,15 +185,15 @@
 
     def _send_batch(self, epoch: int, tick: int, tasks: list[wire.TaskStart]) -> None:
         if self.closed or self._stream.closed:
-            self._refuse(tasks, "the stream to the worker is closed")
+            self._report_unsent(tasks, "the stream to the worker is closed")
             return
         self._batch += 1
         self._pending[self._batch] = [task.task_id for task in tasks]
-        self._answer.set_once(self._answer_timeout_s)
+        self._answer_deadline.set_once(self._answer_timeout_s)
         # After a failed send the reader finds the stream closed and reports the batch.
         self._stream.send(wire.Start(epoch, tick, self._batch, tasks))
 
-    def _refuse(self, tasks: list[wire.TaskStart], reason: str) -> None:
+    def _report_unsent(self, tasks: list[wire.TaskStart], reason: str) -> None:
         """Report starts that were never sent, outside the caller's greenlet."""
         refused = [(task.task_id, reason) for task in tasks]
         gevent.spawn(self._on_message, wire.Started(0, [], refused))
@@ -204,25 +206,27 @@
                 if isinstance(message, errors.Failure):
                     failure = self._expired or message
                     return
-                self._silence.set(self._ask_after_s)
-                self._answer.clear()
+                self._report_deadline.set(self._report_request_after_s)
+                self._answer_deadline.clear()
                 unexpected = self._deliver(message)
                 if unexpected is not None:
                     failure = unexpected
                     return
         finally:
             self.closed = True
-            self._silence.close()
-            self._answer.close()
+            self._report_deadline.close()
+            self._answer_deadline.close()
             self._stream.close()
             unanswered = [task for ids in self._pending.values() for task in ids]
             if self._attached is not None:
                 self._attached.set(errors.Ambiguous(reason=failure.reason))
             self._on_closed(failure, unanswered)
 
-    def _ask(self) -> None:
+    def _request_report(self) -> None:
         """Ask a silent worker for a report, which it must send in the time left."""
-        self._answer.set_once(self._report_timeout_s - self._ask_after_s)
+        self._answer_deadline.set_once(
+            self._report_timeout_s - self._report_request_after_s
+        )
         if self._epoch is not None:
             # In a greenlet of its own: a send may block, and this runs in the hub.
             gevent.spawn(self._stream.send, wire.Poll(self._epoch))
--- a/toucanspring/callers/admission.py
+++ b/toucanspring/callers/admission.py
@@ -9,20 +9,20 @@
 from toucanspring import errors, job
 
 QUEUE_LIMIT = 512  # requests that wait in one process
-ORDER = tuple(job.JobClass)
+CLASS_ORDER = tuple(job.JobClass)
 COMPACT_FACTOR = 4  # deadlines kept for each request that may wait
-SECONDS_WEIGHT = 0.05  # of the newest request in the mean service time
+NEWEST_WEIGHT = 0.05  # of the newest request in the mean service time
 
 
 # A request is dropped when less than this many mean service times are left for it.
 # Measured with bench.overload at three times the capacity: 1,784 requests/s in time
 # with 0, 1,860 with 1 and 1,931 with 3. Newest first reached 1,922, but made checks
 # wait 159 ms instead of 78 ms (p99).
-SERVICE_TIMES_LEFT = 3.0
+MIN_SERVICE_TIMES_LEFT = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admitted:
+class QueuedRequest:
     """Say that a request was queued, or is to be sent now."""
 
     request_id: str
@@ -35,9 +35,9 @@
 
     def __init__(self, limit: int = QUEUE_LIMIT) -> None:
         self._limit = limit
-        self._queues: dict[job.JobClass, collections.OrderedDict[str, Admitted]] = {
-            job_class: collections.OrderedDict() for job_class in ORDER
-        }
+        self._queues: dict[
+            job.JobClass, collections.OrderedDict[str, QueuedRequest]
+        ] = {job_class: collections.OrderedDict() for job_class in CLASS_ORDER}
         self._size = 0
         self._ended: collections.deque[
             tuple[str, errors.NotRun | errors.Overloaded]
@@ -50,14 +50,14 @@
 
     def offer(
         self, request_id: str, job_class: job.JobClass, deadline: float, now: float
-    ) -> Admitted | errors.Overloaded:
+    ) -> QueuedRequest | errors.Overloaded:
         """Queue a request, if need be in place of one of a lower class."""
         self._expire(now)
-        if deadline - now < self._least_left(job_class):
+        if deadline - now < self._min_time_left(job_class):
             return errors.Overloaded(reason="the deadline cannot be met")
-        if self._size >= self._limit and not self._shed_below(job_class):
+        if self._size >= self._limit and not self._shed_lower_class(job_class):
             return errors.Overloaded(reason=f"the queue for {job_class} is full")
-        entry = Admitted(request_id, job_class, deadline)
+        entry = QueuedRequest(request_id, job_class, deadline)
         self._queues[job_class][request_id] = entry
         heapq.heappush(self._deadlines, (deadline, request_id, job_class))
         self._size += 1
@@ -65,23 +65,23 @@
 
     def next(
         self, now: float
-    ) -> tuple[str, Admitted | errors.NotRun | errors.Overloaded] | None:
+    ) -> tuple[str, QueuedRequest | errors.NotRun | errors.Overloaded] | None:
         """Return the next request to send, or one that ended without being sent."""
         self._expire(now)
         if self._ended:
             return self._ended.popleft()
-        for job_class in ORDER:
+        for job_class in CLASS_ORDER:
             queue = self._queues[job_class]
             if not queue:
                 continue
             request_id, entry = queue.popitem(last=False)
             self._size -= 1
-            if entry.deadline - now < self._least_left(job_class):
+            if entry.deadline - now < self._min_time_left(job_class):
                 return request_id, errors.NotRun(reason="the deadline cannot be met")
             return request_id, entry
         return None
 
-    def head(self) -> job.JobClass | None:
+    def next_class(self) -> job.JobClass | None:
         """Return the class of the request that is sent next."""
         for job_class, queue in self._queues.items():
             if queue:
@@ -95,7 +95,7 @@
         self._ended.clear()
         return ended
 
-    def put_back(self, entry: Admitted) -> None:
+    def requeue(self, entry: QueuedRequest) -> None:
         """Queue a request again, in front, that a full server refused."""
         queue = self._queues[entry.job_class]
         queue[entry.request_id] = entry
@@ -113,13 +113,13 @@
                 return True
         return False
 
-    def served(self, job_class: job.JobClass, seconds: float) -> None:
+    def record_service_time(self, job_class: job.JobClass, seconds: float) -> None:
         """Record the service time of a request."""
         mean = self._seconds.get(job_class)
         if mean is None:
             self._seconds[job_class] = seconds
         else:
-            self._seconds[job_class] = mean + SECONDS_WEIGHT * (seconds - mean)
+            self._seconds[job_class] = mean + NEWEST_WEIGHT * (seconds - mean)
 
     def _expire(self, now: float) -> None:
         if len(self._deadlines) > COMPACT_FACTOR * max(self._limit, self._size):
@@ -140,11 +140,11 @@
         ]
         heapq.heapify(self._deadlines)
 
-    def _least_left(self, job_class: job.JobClass) -> float:
-        return SERVICE_TIMES_LEFT * self._seconds.get(job_class, 0.0)
+    def _min_time_left(self, job_class: job.JobClass) -> float:
+        return MIN_SERVICE_TIMES_LEFT * self._seconds.get(job_class, 0.0)
 
-    def _shed_below(self, job_class: job.JobClass) -> bool:
-        for lower in reversed(ORDER):
+    def _shed_lower_class(self, job_class: job.JobClass) -> bool:
+        for lower in reversed(CLASS_ORDER):
             if lower == job_class:
                 return False
             queue = self._queues[lower]
--- a/toucanspring/callers/api.py
+++ b/toucanspring/callers/api.py
@@ -20,7 +20,7 @@
 JSON = "application/json"
 MAX_KEY_CHARACTERS = 256
 MAX_ID_CHARACTERS = 128
-ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
+ID_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 # IDs with this prefix belong to work of open queues. It keeps callers without a key
 # from taking IDs of keyed work, and lets them read back their own.
 OPEN_PREFIX = "open."
@@ -28,7 +28,7 @@
 READ_BYTES = 64 * 1024
 
 # Callers depend on this mapping; it changes only together with the API version.
-STATUS: dict[type[errors.Failure], int] = {
+HTTP_STATUS: dict[type[errors.Failure], int] = {
     errors.Invalid: 400,
     errors.Malformed: 400,
     errors.Forbidden: 403,
@@ -50,10 +50,12 @@
 
 def status_of(failure: errors.Failure) -> int:
     """Return the HTTP status of a failure; a subtype has that of its base."""
-    return next(STATUS[kind] for kind in type(failure).__mro__ if kind in STATUS)
+    return next(
+        HTTP_STATUS[kind] for kind in type(failure).__mro__ if kind in HTTP_STATUS
+    )
 
 
-class Failed(Exception):
+class ApiError(Exception):
     """Carry a failure out of a resource; `extra` is added to the JSON body."""
 
     def __init__(
@@ -69,19 +71,19 @@
 
 
 def answer_failure(
-    _request, response: falcon.Response, failed: Failed, _params
+    _request, response: falcon.Response, error: ApiError, _params
 ) -> None:
     """Answer with the JSON form of a failure."""
-    failure = failed.failure
-    response.status = falcon.code_to_http_status(failed.status)
+    failure = error.failure
+    response.status = falcon.code_to_http_status(error.status)
     response.content_type = JSON
     response.data = msgspec.json.encode(
-        {"error": errors.to_dict(failure), **failed.extra}
+        {"error": errors.to_dict(failure), **error.extra}
     )
     if isinstance(failure, errors.Overloaded):
         # Whole seconds only; 0 would invite an immediate retry.
         response.set_header("Retry-After", str(max(1, round(failure.retry_after_s))))
-    if failed.status == 401:
+    if error.status == 401:
         response.set_header("WWW-Authenticate", "Bearer")
 
 
@@ -106,7 +108,7 @@
 def unwrap(result: object) -> object:
     """Return a result, or raise `Failed` if it is a failure."""
     if isinstance(result, errors.Failure):
-        raise Failed(result)
+        raise ApiError(result)
     return result
 
 
@@ -125,20 +127,20 @@
     """Return the body of a request; its size and the time to send it are bounded."""
     oversized = errors.Oversized(reason=f"the body exceeds {limit} bytes", limit=limit)
     if (request.content_length or 0) > limit:
-        raise Failed(oversized)
+        raise ApiError(oversized)
     received = bytearray()
     source = request.env["wsgi.input"]
     slow = errors.Timeout(
         reason=f"the body took longer than {handler.BODY_TIMEOUT_S:g} s; not run"
     )
     try:
-        with gevent.Timeout(handler.BODY_TIMEOUT_S, Failed(slow, 408)):
+        with gevent.Timeout(handler.BODY_TIMEOUT_S, ApiError(slow, 408)):
             while chunk := source.read(READ_BYTES):
                 received += chunk
                 if len(received) > limit:
-                    raise Failed(oversized)
+                    raise ApiError(oversized)
     except OSError as error:
-        raise Failed(errors.Malformed(reason=f"the body ended early: {error}"))
+        raise ApiError(errors.Malformed(reason=f"the body ended early: {error}"))
     return bytes(received)
 
 
@@ -153,18 +155,18 @@
             if " - at `" in str(error)
             else ""
         )
-        raise Failed(errors.Invalid(reason=str(error), path=path))
+        raise ApiError(errors.Invalid(reason=str(error), path=path))
     except (msgspec.DecodeError, RecursionError, UnicodeError) as error:
-        raise Failed(errors.Malformed(reason=f"not JSON: {error}"))
+        raise ApiError(errors.Malformed(reason=f"not JSON: {error}"))
 
 
-def check_id(value: str, what: str = "id") -> str:
+def check_id(value: str, field: str = "id") -> str:
     """Return an ID that is safe in paths, rows and logs."""
-    if not ID.fullmatch(value):
-        raise Failed(
+    if not ID_PATTERN.fullmatch(value):
+        raise ApiError(
             errors.Invalid(
-                reason=f"not a valid {what}",
-                path=what,
+                reason=f"not a valid {field}",
+                path=field,
                 value=value[:MAX_ID_CHARACTERS],
                 expected="1 to 128 letters, digits, '.', '_', ':' and '-'",
             )
@@ -187,7 +189,7 @@
         scheme, _, secret = value.partition(" ")
         secret = secret.strip()
         if scheme.lower() != "bearer" or not 0 < len(secret) <= MAX_KEY_CHARACTERS:
-            raise Failed(
+            raise ApiError(
                 errors.Forbidden(reason="expected `Authorization: Bearer <key>`"), 401
             )
         return secret
@@ -203,9 +205,9 @@
         """Return the name of the operator; raises `Failed` without the key."""
         secret = self.secret(request)
         if secret is None:
-            raise Failed(errors.Forbidden(reason="an operator key is required"), 401)
+            raise ApiError(errors.Forbidden(reason="an operator key is required"), 401)
         if not self.is_operator(secret):
-            raise Failed(errors.Forbidden(reason="not the operator key"))
+            raise ApiError(errors.Forbidden(reason="not the operator key"))
         name = request.get_header("X-Operator") or "operator"
         return "".join(char for char in name if char.isprintable())[:64]
 
@@ -217,7 +219,7 @@
         """
         documents = self._kernel.find("documents")
         if not documents.fresh(time.monotonic()):
-            raise Failed(
+            raise ApiError(
                 errors.NotRun(reason="not run: the view of keys may be out of date")
             )
         return unwrap(documents.check_key(secret)).team
@@ -226,7 +228,7 @@
         """Return the team of the presented key."""
         secret = self.secret(request)
         if secret is None:
-            raise Failed(errors.Forbidden(reason="a team key is required"), 401)
+            raise ApiError(errors.Forbidden(reason="a team key is required"), 401)
         return self.team(secret)
 
     def reader(self, request: falcon.Request) -> str | None:
@@ -244,5 +246,5 @@
     if reader is None or reader == owner or item_id.startswith(OPEN_PREFIX):
         return
     if reader == "":
-        raise Failed(errors.Forbidden(reason="a team key is required"), 401)
-    raise Failed(errors.Forbidden(reason="the work belongs to another team"))
+        raise ApiError(errors.Forbidden(reason="a team key is required"), 401)
+    raise ApiError(errors.Forbidden(reason="the work belongs to another team"))
--- a/toucanspring/callers/api_events.py
+++ b/toucanspring/callers/api_events.py
@@ -39,7 +39,7 @@
         self._access.require_operator(request)
         since_s = request.get_param_as_float("since", default=DEFAULT_SINCE_S)
         if math.isnan(since_s) or not 0 < since_s <= RETENTION_S:
-            raise api.Failed(
+            raise api.ApiError(
                 errors.Invalid(
                     reason="events are not kept so long",
                     path="since",
@@ -50,7 +50,7 @@
         kind = request.get_param("kind", default="")
         known = [each.__struct_config__.tag for each in event_kinds.KINDS]
         if kind and kind not in known:
-            raise api.Failed(
+            raise api.ApiError(
                 errors.Invalid(
                     reason=f"no kind of event {kind[:80]}",
                     path="kind",
--- a/toucanspring/callers/api_jobs.py
+++ b/toucanspring/callers/api_jobs.py
@@ -16,7 +16,7 @@
 MAX_CANCELLATIONS = 1000
 MAX_CANCELLATION_BYTES = 1 << 18
 # Lookups of one call that are under way at a time.
-LOOKUPS = 32
+MAX_PARALLEL_LOOKUPS = 32
 
 
 class Cancellations(msgspec.Struct, forbid_unknown_fields=True):
@@ -34,9 +34,11 @@
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
         """Accept jobs; the answer follows once they are durable."""
-        bulk = api.read_json(request, submission.Bulk, MAX_SUBMISSION_BYTES)
+        bulk = api.read_json(request, submission.BulkSubmission, MAX_SUBMISSION_BYTES)
         cell = self._kernel.find("documents").cell()
-        specs = submission.Specs(cell, self._access, self._access.secret(request))
+        specs = submission.JobSpecBuilder(
+            cell, self._access, self._access.secret(request)
+        )
         built: list[job.JobSpec] = []
         ends: list[int] = []  # index of the job of each submission in `built`
         for index, item in enumerate(bulk.jobs):
@@ -70,7 +72,7 @@
                 {"id": built[index].id, "error": errors.to_dict(results[index])}
             )
     if failures and len(failures) == len(items):
-        raise api.Failed(failures[0], extra={"jobs": items})
+        raise api.ApiError(failures[0], extra={"jobs": items})
     api.send_json(response, {"jobs": items}, 207 if failures else 202)
 
 
@@ -131,7 +133,9 @@
         allowed = ids
         if reader is not None:
             allowed = []
-            owners = pool.Pool(LOOKUPS).map(self._kernel.find("partitions").lookup, ids)
+            owners = pool.Pool(MAX_PARALLEL_LOOKUPS).map(
+                self._kernel.find("partitions").lookup, ids
+            )
             for job_id, status in zip(ids, owners, strict=True):
                 if isinstance(status, errors.Failure):
                     results[job_id] = status
@@ -139,8 +143,8 @@
                 try:
                     api.check_reader(reader, status.team, job_id)
                     allowed.append(job_id)
-                except api.Failed as failed:
-                    results[job_id] = failed.failure
+                except api.ApiError as api_error:
+                    results[job_id] = api_error.failure
         if allowed:
             results.update(self._kernel.find("partitions").cancel(allowed))
         items = [
--- a/toucanspring/callers/api_operators.py
+++ b/toucanspring/callers/api_operators.py
@@ -54,13 +54,13 @@
         try:
             source = body.decode()
         except UnicodeDecodeError as error:
-            raise api.Failed(errors.Malformed(reason=f"not UTF-8: {error.reason}"))
+            raise api.ApiError(errors.Malformed(reason=f"not UTF-8: {error.reason}"))
         cell = reader.parse_all(source)
         if isinstance(cell, list):
             faults = [errors.to_dict(fault) for fault in cell]
-            raise api.Failed(cell[0], extra={"faults": faults})
+            raise api.ApiError(cell[0], extra={"faults": faults})
         if not cell.name:
-            raise api.Failed(
+            raise api.ApiError(
                 errors.Invalid(reason="empty text", path="cell", expected="a cell")
             )
         before = self._documents.cell()
@@ -82,7 +82,7 @@
     """Return the version in `If-Match`; raise `Failed` without one."""
     given = (request.get_header("If-Match") or "").strip('" ')
     if not given.isdecimal() or len(given) > 18:
-        raise api.Failed(
+        raise api.ApiError(
             errors.Invalid(
                 reason="the version in force is needed, so that no change is lost",
                 path="If-Match",
@@ -99,11 +99,11 @@
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
         """Answer with the versions, the newest first; `source=1` adds their texts."""
         self._access.require_operator(request)
-        wanted = request.get_param_as_bool("source", default=False)
+        with_source = request.get_param_as_bool("source", default=False)
         items = []
         for version in api.unwrap(self._documents.history()):
             fields = msgspec.to_builtins(version)
-            if not wanted:
+            if not with_source:
                 fields.pop("source", None)
             items.append(fields)
         api.send_json(response, {"versions": items})
@@ -167,7 +167,7 @@
         documents = self._documents
         known = name in documents.cell().availability_zones
         if not known and not (name in documents.zones_out() and not self._out):
-            raise api.Failed(
+            raise api.ApiError(
                 errors.NotFound(reason=f"no availability zone {name[:80]}")
             )
         version = api.unwrap(documents.set_zone(name, self._out, operator))
@@ -180,7 +180,7 @@
         api.send_json(response, {"version": version, "name": name, "out": self._out})
 
 
-class Departure(Resource):
+class MemberGone(Resource):
     """`POST /v1/members/<name>/gone`."""
 
     def on_post(self, request: falcon.Request, response: falcon.Response, name) -> None:
@@ -204,7 +204,7 @@
         operator = self._access.require_operator(request)
         body = api.read_json(request, KeyRequest, MAX_KEY_REQUEST_BYTES)
         if body.team not in self._documents.cell().teams:
-            raise api.Failed(errors.NotFound(reason=f"no team {body.team[:80]}"))
+            raise api.ApiError(errors.NotFound(reason=f"no team {body.team[:80]}"))
         granted = api.unwrap(self._documents.grant_key(body.team, operator))
         log.info("operator {} granted key {} to {}", operator, granted.id, body.team)
         api.send_json(response, granted, 201, Cache_Control="no-store")
--- a/toucanspring/callers/api_partitions.py
+++ b/toucanspring/callers/api_partitions.py
@@ -18,7 +18,7 @@
 MAX_BODY_BYTES = 1024
 
 
-class Number(msgspec.Struct, forbid_unknown_fields=True):
+class PartitionCount(msgspec.Struct, forbid_unknown_fields=True):
     """Body of `PUT /v1/partitions`."""
 
     partitions: Annotated[int, msgspec.Meta(ge=1, le=settings.MAX_PARTITIONS)]
@@ -33,7 +33,7 @@
         service = self._kernel.find("layout")
         failure = service.reread()
         if failure is not None:
-            raise api.Failed(errors.Unavailable(reason=f"store: {failure.reason}"))
+            raise api.ApiError(errors.Unavailable(reason=f"store: {failure.reason}"))
         present = service.layout
         held = self._kernel.find("handover").survey() if present.former else {}
         value = {
@@ -46,7 +46,7 @@
         """Change the number if `If-Match` names the present generation."""
         operator = self._access.require_operator(request)
         expected = api_operators.expected_version(request)
-        body = api.read_json(request, Number, MAX_BODY_BYTES)
+        body = api.read_json(request, PartitionCount, MAX_BODY_BYTES)
         service = self._kernel.find("layout")
         changed = api.unwrap(service.change(body.partitions, expected, operator))
         log.info("operator {} set {} partitions", operator, body.partitions)
--- a/toucanspring/callers/api_services.py
+++ b/toucanspring/callers/api_services.py
@@ -12,15 +12,15 @@
 from toucanspring.owners import runner
 
 MAX_DEADLINE_MS = 3_600_000
-FALSE_WORDS = {"false", "0", "no"}
-TRUE_WORDS = {"true", "1", "yes"}
+FALSE_VALUES = {"false", "0", "no"}
+TRUE_VALUES = {"true", "1", "yes"}
 
 
 def _choose_class(service: text.Service, name: str | None) -> job.JobClass:
     if name is None:
         return service.default_class
     if name not in service.classes:
-        raise api.Failed(
+        raise api.ApiError(
             errors.Invalid(
                 reason=f"service {service.name} has no such class; not run",
                 path="X-Class",
@@ -31,36 +31,36 @@
     return job.JobClass(name)
 
 
-def _is_idempotent(rule: text.ClassRule, word: str | None) -> bool:
+def _is_idempotent(rule: text.ClassRule, value: str | None) -> bool:
     """Return whether a request may run twice: only if nobody says otherwise.
 
     Operators decide for a class; a caller may ask for more care, never for less.
     """
-    if word is not None and word.lower() not in TRUE_WORDS | FALSE_WORDS:
-        raise api.Failed(
+    if value is not None and value.lower() not in TRUE_VALUES | FALSE_VALUES:
+        raise api.ApiError(
             errors.Invalid(
-                reason="not run", path="X-Idempotent", value=word[:80], expected="true"
+                reason="not run", path="X-Idempotent", value=value[:80], expected="true"
             )
         )
-    said = None if word is None else word.lower() in TRUE_WORDS
+    requested = None if value is None else value.lower() in TRUE_VALUES
     if rule.idempotent is None:
-        return bool(said)
-    return rule.idempotent and said is not False
+        return bool(requested)
+    return rule.idempotent and requested is not False
 
 
-def _deadline_s(rule: text.ClassRule, word: str | None) -> float:
-    if word is None:
+def _deadline_s(rule: text.ClassRule, value: str | None) -> float:
+    if value is None:
         return rule.timeout_seconds
-    if not word.isdecimal() or not 0 < int(word[:12]) <= MAX_DEADLINE_MS:
-        raise api.Failed(
+    if not value.isdecimal() or not 0 < int(value[:12]) <= MAX_DEADLINE_MS:
+        raise api.ApiError(
             errors.Invalid(
                 reason="not run",
                 path="X-Deadline-Ms",
-                value=word[:80],
+                value=value[:80],
                 expected=f"1 to {MAX_DEADLINE_MS}",
             )
         )
-    return min(rule.timeout_seconds, int(word) / 1000)
+    return min(rule.timeout_seconds, int(value) / 1000)
 
 
 class Requests:
@@ -75,7 +75,9 @@
         cell = self._kernel.find("documents").cell()
         service = cell.services.get(name)
         if service is None:
-            raise api.Failed(errors.NotFound(reason=f"no service {name[:80]}; not run"))
+            raise api.ApiError(
+                errors.NotFound(reason=f"no service {name[:80]}; not run")
+            )
         queue = cell.queues[service.queue]
         team = queue.team
         if not queue.is_open:
@@ -115,7 +117,7 @@
         return f"{prefix}{secrets.token_hex(10)}"
     api.check_id(given, "X-Request-Id")
     if given.startswith(api.OPEN_PREFIX) != queue.is_open:
-        raise api.Failed(
+        raise api.ApiError(
             errors.Invalid(
                 reason="request ID of another access; not run",
                 path="X-Request-Id",
@@ -150,7 +152,7 @@
         api.check_id(request_id)
         reader = self._access.reader(request)
         if reader == "" and not request_id.startswith(api.OPEN_PREFIX):
-            raise api.Failed(errors.Forbidden(reason="a team key is required"), 401)
+            raise api.ApiError(errors.Forbidden(reason="a team key is required"), 401)
         found = api.unwrap(self._kernel.find("requests").lookup(request_id))
         if isinstance(found, runner.Running):
             response.set_header("X-State", "running")
--- a/toucanspring/callers/api_status.py
+++ b/toucanspring/callers/api_status.py
@@ -69,7 +69,7 @@
         """Answer with a report that joins what all reachable processes count."""
         self._access.require_operator(request)
         if name not in report.NAMES:
-            raise api.Failed(errors.NotFound(reason=f"no report {name[:80]}"))
+            raise api.ApiError(errors.NotFound(reason=f"no report {name[:80]}"))
         membership = self._kernel.find("membership")
         peers = self._kernel.find("peers")
         own = membership.identity.process
--- a/toucanspring/callers/backend_pool.py
+++ b/toucanspring/callers/backend_pool.py
@@ -18,10 +18,10 @@
 
 # A server may free a slot at any moment without this process being told, so waiting
 # requests are offered again at this interval at least.
-LONGEST_PAUSE_S = 0.1
-SHORTEST_PAUSE_S = 0.002
+MAX_DISPATCH_DELAY_S = 0.1
+MIN_DISPATCH_DELAY_S = 0.002
 # Classes that leave a slot that becomes free on a full server to checks for a moment.
-BACKGROUND = frozenset({job.JobClass.NORMAL, job.JobClass.DEFERRABLE})
+BACKGROUND_CLASSES = frozenset({job.JobClass.NORMAL, job.JobClass.DEFERRABLE})
 
 
 class Waiter:
@@ -43,7 +43,7 @@
         self.result = event.AsyncResult()
 
 
-class Lane:
+class BackendPool:
     """Own the router and the queue of one service in this process."""
 
     def __init__(
@@ -78,13 +78,13 @@
         """Replace the backend servers and serve waiting requests."""
         self._servers = {facts.id: facts for facts in servers}
         self.router.set_servers(servers)
-        self.pump()
+        self.dispatch()
 
     def set_zones_out(self, zones: frozenset[str]) -> None:
         """Use no server in these availability zones."""
         self._zones_out = zones
         self.router.set_zones_out(zones)
-        self.pump()
+        self.dispatch()
 
     def is_usable(self, server_id: str) -> bool:
         """Return whether a server is listed, not leaving and in a zone in service."""
@@ -126,7 +126,7 @@
             offered = self._admission.offer(key, job_class, deadline, now)
             if isinstance(offered, errors.Failure):
                 return offered
-            self.pump()
+            self.dispatch()
             return waiter.result.get(timeout=deadline - now)
         except gevent.Timeout:
             if waiter.result.ready():  # a server was given in the same moment
@@ -147,25 +147,25 @@
         """Record how a request ended at a server and serve the next one."""
         self.router.finished(server_id, outcome, seconds, self._clock())
         if outcome is routing.Outcome.OK:
-            self._admission.served(job_class, seconds)
-        self.pump()
+            self._admission.record_service_time(job_class, seconds)
+        self.dispatch()
 
     def release(self, server_id: str) -> None:
         """Give back a server to which nothing was sent."""
         self.router.unsent(server_id)
-        self.pump()
+        self.dispatch()
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Give servers to waiting requests while there are both."""
         while self._waiters:
             now = self._clock()
             if now > self.usable_until():
-                self._arm(LONGEST_PAUSE_S)
+                self._schedule_dispatch(MAX_DISPATCH_DELAY_S)
                 return
-            background = self._admission.head() in BACKGROUND
-            probe = self.router.choose(now, background=background)
-            if isinstance(probe, errors.Failure):
-                self._arm(probe.retry_after_s)
+            background = self._admission.next_class() in BACKGROUND_CLASSES
+            available = self.router.choose(now, background=background)
+            if isinstance(available, errors.Failure):
+                self._schedule_dispatch(available.retry_after_s)
                 return
             item = self._admission.next(now)
             if item is None:
@@ -180,15 +180,15 @@
             server = self.router.choose(now, waiter.excluded, background)
             if isinstance(server, errors.Failure):
                 # All others are full; a second try at the same one beats waiting.
-                server = probe
+                server = available
             self.router.sent(server.id, waiter.retry)
             waiter.result.set(server)
 
-    def _arm(self, delay_s: float) -> None:
+    def _schedule_dispatch(self, delay_s: float) -> None:
         if self._timer is None:
-            pause = min(LONGEST_PAUSE_S, max(SHORTEST_PAUSE_S, delay_s))
-            self._timer = gevent.spawn_later(pause, self._run_timer)
+            delay = min(MAX_DISPATCH_DELAY_S, max(MIN_DISPATCH_DELAY_S, delay_s))
+            self._timer = gevent.spawn_later(delay, self._run_timer)
 
     def _run_timer(self) -> None:
         self._timer = None
-        self.pump()
+        self.dispatch()
--- a/toucanspring/callers/forwarding.py
+++ b/toucanspring/callers/forwarding.py
@@ -14,9 +14,9 @@
 PREFETCH_BYTES = 256 * 1024
 # Refused connections are certain not to have run anything, so they need no budget,
 # but each costs time; a caller with a long deadline still gets an answer.
-MAX_UNREACHED = 8
+MAX_CONNECT_FAILURES = 8
 # Statuses with which a server says that it failed, not the request.
-SERVER_FAULTS = frozenset({502, 503, 504})
+SERVER_FAILURE_STATUSES = frozenset({502, 503, 504})
 
 Clock = Callable[[], float]
 
@@ -40,22 +40,22 @@
 
     def __init__(
         self,
-        first: list[bytes],
+        prefetched: list[bytes],
         answer: backend_servers.Answer | None,
         finish: Callable[[routing.Outcome], None],
     ) -> None:
-        self._first = iter(first)
+        self._prefetched = iter(prefetched)
         self._answer = answer
         self._rest: Iterator[bytes] = answer.chunks if answer else iter(())
         self._finish = finish
         self._ended = answer is None
-        self.on_cut: Callable[[], None] | None = None
+        self.on_abort: Callable[[], None] | None = None
 
     def __iter__(self) -> Stream:
         return self
 
     def __next__(self) -> bytes:
-        for chunk in self._first:
+        for chunk in self._prefetched:
             return chunk
         if self._ended:
             raise StopIteration
@@ -66,9 +66,9 @@
             raise
         except backend_servers.BrokenAnswer as broken:
             self._end(routing.Outcome.FAILED)
-            if self.on_cut is not None:
-                self.on_cut()
-            raise handler.AnswerCut(broken.failure.reason) from None
+            if self.on_abort is not None:
+                self.on_abort()
+            raise handler.AnswerAborted(broken.failure.reason) from None
 
     def close(self) -> None:
         """Abandon the rest of the answer, if there is one."""
@@ -81,57 +81,57 @@
         self._finish(outcome)
 
 
-class Attempt:
+class IdempotentCall:
     """Hold one request while it is tried at one server after the other."""
 
     def __init__(
         self,
-        target: backend_pool.Lane,
+        target: backend_pool.BackendPool,
         client: backend_servers.BackendServerClient,
         request: answers.Request,
         clock: Clock = time.monotonic,
     ) -> None:
-        self._lane = target
+        self._pool = target
         self._client = client
         self._request = request
         self._clock = clock
         self._deadline = clock() + request.deadline_s
         self._excluded: frozenset[str] = frozenset()
         self._retries = 0
-        self._unreached = 0
+        self._connect_failures = 0
         self._may_have_run = False
-        self._last: errors.Failure | None = None
+        self._last_failure: errors.Failure | None = None
 
     def run(self) -> answers.Answer | errors.Failure:
         """Return the answer of the first server that gives a whole beginning of one."""
         request = self._request
         while True:
-            server = self._lane.acquire(
+            server = self._pool.acquire(
                 request.job_class, self._deadline, self._excluded, self._retries > 0
             )
             if isinstance(server, errors.Failure):
-                return self._give_up(server)
-            result = self._try(server)
+                return self._final_failure(server)
+            result = self._send(server)
             if isinstance(result, answers.Answer):
                 return result
-            self._last = result
-            if not self._may_try_again(server, result):
-                return self._give_up(result)
+            self._last_failure = result
+            if not self._may_retry(server, result):
+                return self._final_failure(result)
 
-    def _try(self, server: routing.ServerFacts) -> answers.Answer | errors.Failure:
+    def _send(self, server: routing.ServerFacts) -> answers.Answer | errors.Failure:
         started = self._clock()
         left_s = self._deadline - started
 
         def finish(outcome: routing.Outcome) -> None:
             seconds = self._clock() - started
-            self._lane.finished(server.id, outcome, self._request.job_class, seconds)
+            self._pool.finished(server.id, outcome, self._request.job_class, seconds)
 
         if left_s <= 0:
-            self._lane.release(server.id)
+            self._pool.release(server.id)
             return errors.NotRun(reason="not run: the deadline passed before a start")
-        if started > self._lane.usable_until():
+        if started > self._pool.usable_until():
             # The process was paused since the server was chosen.
-            self._lane.release(server.id)
+            self._pool.release(server.id)
             return errors.NotRun(reason="not run: the VM list was read too long ago")
         result = self._client.send(
             address_of(server),
@@ -139,7 +139,7 @@
             self._request.body,
             left_s,
             headers=headers_of(self._request),
-            send_by=min(self._deadline, self._lane.usable_until()),
+            send_by=min(self._deadline, self._pool.usable_until()),
         )
         match result:
             case errors.NotRun():
@@ -156,35 +156,33 @@
         finish: Callable[[routing.Outcome], None],
     ) -> answers.Answer | errors.Failure:
         """Receive the beginning of an answer; a small one is received whole."""
-        first: list[bytes] = []
+        prefetched: list[bytes] = []
         size = 0
-        whole = False
+        is_complete = False
         try:
             while size < PREFETCH_BYTES:
                 chunk = next(answer.chunks, None)
                 if chunk is None:
-                    whole = True
+                    is_complete = True
                     break
-                first.append(chunk)
+                prefetched.append(chunk)
                 size += len(chunk)
         except backend_servers.BrokenAnswer as broken:
             finish(routing.Outcome.FAILED)
             return broken.failure
         headers = answers.end_to_end(answer.headers)
-        if whole:
-            fault = answer.status in SERVER_FAULTS
-            finish(routing.Outcome.FAILED if fault else routing.Outcome.OK)
-            body = Stream([b"".join(first)], None, finish)
+        if is_complete:
+            server_failed = answer.status in SERVER_FAILURE_STATUSES
+            finish(routing.Outcome.FAILED if server_failed else routing.Outcome.OK)
+            body = Stream([b"".join(prefetched)], None, finish)
             return answers.Answer(answer.status, headers, body, size)
         declared = answer.headers.get("content-length", "")
         length = int(declared) if declared.isdigit() else None
         return answers.Answer(
-            answer.status, headers, Stream(first, answer, finish), length
+            answer.status, headers, Stream(prefetched, answer, finish), length
         )
 
-    def _may_try_again(
-        self, server: routing.ServerFacts, failure: errors.Failure
-    ) -> bool:
+    def _may_retry(self, server: routing.ServerFacts, failure: errors.Failure) -> bool:
         now = self._clock()
         if now >= self._deadline:
             self._may_have_run |= isinstance(failure, errors.Ambiguous)
@@ -194,19 +192,19 @@
                 return True
             case errors.Unavailable():
                 self._excluded |= {server.id}
-                self._unreached += 1
-                return self._unreached <= MAX_UNREACHED
+                self._connect_failures += 1
+                return self._connect_failures <= MAX_CONNECT_FAILURES
         self._may_have_run = True
         self._excluded |= {server.id}
         self._retries += 1
-        return self._retries <= self._lane.service.retries and (
-            self._lane.router.retry_allowed(now)
+        return self._retries <= self._pool.service.retries and (
+            self._pool.router.retry_allowed(now)
         )
 
-    def _give_up(self, failure: errors.Failure) -> errors.Failure:
+    def _final_failure(self, failure: errors.Failure) -> errors.Failure:
         """Say `not run` only if no server can have begun the request."""
         if self._may_have_run:
-            last = self._last or failure
+            last = self._last_failure or failure
             return errors.Unknown(reason=f"outcome unknown: {last.reason}")
         match failure:
             case errors.Overloaded() | errors.NotRun():
--- a/toucanspring/callers/gateway.py
+++ b/toucanspring/callers/gateway.py
@@ -27,7 +27,7 @@
 log = logbook.Logger(__name__)
 
 
-class Timing:
+class RequestMetrics:
     """Count requests and their seconds by route and status."""
 
     def __init__(self, core: kernel.Kernel) -> None:
@@ -54,7 +54,7 @@
         self._seconds.add({"route": route}, seconds)
 
 
-class Startup:
+class StartupGuard:
     """Refuse calls until the documents were read once.
 
     Before that, every team, queue and service looks unknown, and a caller would be
@@ -79,21 +79,21 @@
     def process_request(self, request: falcon.Request, _response) -> None:
         """Answer 503 for all but the status routes."""
         if request.path.startswith("/v1/") and not self.is_over():
-            raise api.Failed(
+            raise api.ApiError(
                 errors.Unavailable(reason="documents not read yet; not run")
             )
 
 
 def build_application(core: kernel.Kernel, settings: object, is_draining) -> falcon.App:
     """Return the WSGI application with all routes of the page."""
-    startup = Startup(core)
+    startup_guard = StartupGuard(core)
     # falcon would read the VM's tables of file types, 0.3 MB; no files are served here.
     mimetypes.knownfiles.clear()
-    application = falcon.App(middleware=[Timing(core), startup])
+    application = falcon.App(middleware=[RequestMetrics(core), startup_guard])
     application.req_options.strip_url_path_trailing_slash = True
-    application.add_error_handler(api.Failed, api.answer_failure)
+    application.add_error_handler(api.ApiError, api.answer_failure)
     application.add_error_handler(falcon.HTTPError, api.answer_http_error)
-    application.add_error_handler(Exception, _answer_fault)
+    application.add_error_handler(Exception, _answer_internal_error)
     access = api.Access(core, settings)
     routes = {
         "/v1/jobs": api_jobs.Jobs(core, access),
@@ -113,19 +113,21 @@
         "/v1/keys/{key_id}": api_operators.Key(core, access),
         "/v1/events": api_events.Events(core, access),
         "/v1/workers": api_status.Workers(core, access),
-        "/v1/members/{name}/gone": api_operators.Departure(core, access),
+        "/v1/members/{name}/gone": api_operators.MemberGone(core, access),
         "/v1/members": api_status.Members(core, access),
         "/v1/reports/{name}": api_status.Reports(core, access),
         "/metrics": api_status.Metrics(core),
         "/healthz": api_status.Health(),
-        "/readyz": api_status.Ready(startup.is_over, is_draining),
+        "/readyz": api_status.Ready(startup_guard.is_over, is_draining),
     }
     for path, resource in routes.items():
         application.add_route(path, resource)
     return application
 
 
-def _answer_fault(_request, response: falcon.Response, error: Exception, _params):
+def _answer_internal_error(
+    _request, response: falcon.Response, error: Exception, _params
+):
     """Answer a programming error; whether work ran is then unknown."""
     log.error("request failed: {!r}", error, exc_info=True)
     response.status = falcon.HTTP_500
--- a/toucanspring/callers/handler.py
+++ b/toucanspring/callers/handler.py
@@ -33,13 +33,13 @@
 # Time for a client to read a refusal before the connection is closed: closing with
 # unread bytes resets it, and the client may lose the refusal.
 LINGER_S = 1.0
-MAX_JOINED_BYTES = 16 * 1024  # copied to save a packet
+MAX_COALESCED_BYTES = 16 * 1024  # copied to save a packet
 
-_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
+_METHOD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
 _VERSION = re.compile(r"HTTP/1\.[01]")
 _CONTENT_LENGTH = re.compile(r"[0-9]{1,15}")
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-_REASONS = {
+_REASON_PHRASES = {
     400: "Bad Request",
     408: "Request Timeout",
     411: "Length Required",
@@ -59,7 +59,7 @@
         self.failure = failure
 
 
-class AnswerCut(Exception):
+class AnswerAborted(Exception):
     """Raised by an application to cut an answer of which a part was sent."""
 
 
@@ -114,7 +114,7 @@
     """Serve the requests of one connection."""
 
     body_length = 0  # bytes of the present answer that were handed to the socket
-    served = False  # whether a request has arrived on this connection
+    received_request = False  # whether a request has arrived on this connection
 
     def handle(self) -> None:
         """Serve requests until either side ends the connection."""
@@ -138,7 +138,7 @@
         finally:
             self.server.connections.discard(self)
             if not self.busy:
-                _end_encryption(self.socket)
+                _send_close_notify(self.socket)
             self.busy = False
             self._close()
 
@@ -152,20 +152,20 @@
             return None
         if not line or line.strip() == b"":
             return None
-        self.busy = self.served = True
+        self.busy = self.received_request = True
         self.response_length = 0
         self.socket.settimeout(SEND_TIMEOUT_S)
         try:
-            with gevent.Timeout(HEAD_TIMEOUT_S, _too_slow("head", HEAD_TIMEOUT_S)):
+            with gevent.Timeout(HEAD_TIMEOUT_S, _timeout_error("head", HEAD_TIMEOUT_S)):
                 if len(line) >= pywsgi.MAX_REQUEST_LINE:
                     reason = f"the request line exceeds {len(line)} bytes"
                     raise BadRequest(414, errors.Oversized(reason=reason))
                 self._read_head(line.decode("latin-1"))
         except BadRequest as error:
-            return error.status, _refusal(error)
+            return error.status, _error_response(error)
         except (ValueError, client.HTTPException) as error:
             failure = errors.Malformed(reason=str(error) or "unreadable request")
-            return 400, _refusal(BadRequest(400, failure))
+            return 400, _error_response(BadRequest(400, failure))
         self.environ = self.get_environ()
         self.application = self.server.application
         self.handle_one_response()
@@ -176,7 +176,7 @@
             return None
         return True
 
-    def is_awaited(self) -> bool:
+    def has_pending_request(self) -> bool:
         """Return whether a request is under way, or was sent and not read yet."""
         if self.busy:
             return True
@@ -193,16 +193,16 @@
 
     def _read_head(self, line: str) -> None:
         words = line.split()
-        if len(words) != 3 or not _TOKEN.fullmatch(words[0]):
+        if len(words) != 3 or not _METHOD.fullmatch(words[0]):
             raise BadRequest(400, errors.Malformed(reason="not an HTTP/1.1 request"))
         if not _VERSION.fullmatch(words[2]):
             reason = "only HTTP/1.0 and HTTP/1.1 are served"
             raise BadRequest(505, errors.Malformed(reason=reason))
-        plain, self.rfile = self.rfile, HeadReader(self.rfile)
+        unbounded, self.rfile = self.rfile, HeadReader(self.rfile)
         try:
             self.read_request(line)
         finally:
-            self.rfile = plain
+            self.rfile = unbounded
         if (self.content_length or 0) > MAX_BODY_BYTES:
             reason = f"the body exceeds {MAX_BODY_BYTES} bytes"
             raise BadRequest(413, errors.Oversized(reason=reason, limit=MAX_BODY_BYTES))
@@ -224,12 +224,12 @@
     def get_environ(self) -> dict[str, object]:
         """Return the WSGI environment with an input that bounds what it discards."""
         environ = super().get_environ()
-        plain = self.wsgi_input
+        unbounded = self.wsgi_input
         bounded = Input(
-            plain.rfile,
-            plain.content_length,
-            socket=plain.socket,
-            chunked_input=plain.chunked_input,
+            unbounded.rfile,
+            unbounded.content_length,
+            socket=unbounded.socket,
+            chunked_input=unbounded.chunked_input,
         )
         bounded.handler = self
         self.wsgi_input = bounded
@@ -250,20 +250,20 @@
         super().process_result()
         declared = self.provided_content_length
         if declared is not None and int(declared) != self.body_length:
-            raise AnswerCut(f"{self.body_length} bytes instead of {declared}")
+            raise AnswerAborted(f"{self.body_length} bytes instead of {declared}")
 
     def _write_with_headers(self, data: bytes) -> None:
         """Send the head and a small first part in one packet."""
-        if len(data) > MAX_JOINED_BYTES:
+        if len(data) > MAX_COALESCED_BYTES:
             super()._write_with_headers(data)
             return
-        plain, held = self._sendall, bytearray()
-        self._sendall = held.extend
+        send_all, head_buffer = self._sendall, bytearray()
+        self._sendall = head_buffer.extend
         try:
             super()._write_with_headers(data)
         finally:
             del self._sendall  # the method of the class shows again
-        plain(bytes(held))
+        send_all(bytes(head_buffer))
 
     def _write(self, data: bytes) -> None:
         self.body_length += len(data)
@@ -271,7 +271,7 @@
 
     def handle_error(self, kind, value, trace) -> None:
         """Cut the answer if a part of it was sent, else answer with a failure."""
-        if not isinstance(value, AnswerCut | OSError):
+        if not isinstance(value, AnswerAborted | OSError):
             log.error("request failed: {}", value, exc_info=(kind, value, trace))
         if self.headers_sent:
             log.debug("answer cut: {}", value)
@@ -309,7 +309,7 @@
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
 
     def _linger(self) -> None:
-        _end_encryption(self.socket)
+        _send_close_notify(self.socket)
         with contextlib.suppress(OSError, gevent.Timeout):
             self.socket.shutdown(socket.SHUT_WR)
             with gevent.Timeout(LINGER_S):
@@ -329,7 +329,7 @@
                 sock.close()
 
 
-def _end_encryption(sock: object) -> None:
+def _send_close_notify(sock: object) -> None:
     """Tell a TLS client that the bytes so far are complete.
 
     Under TLS the end of the connection alone looks like a cut, and a cut like the end.
@@ -341,15 +341,15 @@
             encryption.shutdown()
 
 
-def _too_slow(part: str, limit_s: float) -> BadRequest:
+def _timeout_error(part: str, limit_s: float) -> BadRequest:
     reason = f"the request {part} took longer than {limit_s:g} s"
     return BadRequest(408, errors.Timeout(reason=reason))
 
 
-def _refusal(error: BadRequest) -> bytes:
+def _error_response(error: BadRequest) -> bytes:
     body = render(error.failure)
     head = (
-        f"HTTP/1.1 {error.status} {_REASONS[error.status]}\r\n"
+        f"HTTP/1.1 {error.status} {_REASON_PHRASES[error.status]}\r\n"
         "Content-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
--- a/toucanspring/callers/listing.py
+++ b/toucanspring/callers/listing.py
@@ -21,7 +21,7 @@
 SLACK_S = 0.25
 
 
-class Listing:
+class VmListCache:
     """Read the VM list in turns, and notice turns that come late."""
 
     def __init__(
--- a/toucanspring/callers/outcome_lookup.py
+++ b/toucanspring/callers/outcome_lookup.py
@@ -19,11 +19,11 @@
 # a responsive server has not seen for this long ends as unknown; a trial with servers
 # that hung up kept callers waiting for 25 s without this limit.
 UNSEEN_LIMIT_S = 3.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
-class Inquiry:
+class OutcomeLookup:
     """Ask servers what became of requests."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self._clock = clock
 
     def look_up(
-        self, request_id: str, start: outcomes.Start, limit_s: float, certain: bool
+        self, request_id: str, start: outcomes.Start, limit_s: float, epoch_raised: bool
     ) -> answers.Stored | errors.Failure:
         """Ask a server what became of a request.
 
@@ -43,7 +43,7 @@
         will not run any more.
         """
         give_up = self._clock() + limit_s
-        pause = FIRST_PAUSE_S
+        backoff_s = FIRST_BACKOFF_S
         reason = "no answer"
         unseen_since: float | None = None
         while self._clock() < give_up:
@@ -54,7 +54,7 @@
                     if not isinstance(received, errors.Ambiguous):
                         return received
                     reason = received.reason
-                case errors.NotFound() if certain:
+                case errors.NotFound() if epoch_raised:
                     return errors.NotRun(reason="not run: the server never saw it")
                 case errors.NotFound():
                     reason = state.reason
@@ -64,8 +64,8 @@
                         break
                 case errors.Failure():
                     reason = state.reason
-            gevent.sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_S)
+            gevent.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
         return errors.Unknown(reason=f"outcome unknown: {start.server}: {reason}")
 
 
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -25,17 +25,17 @@
 
 RETRY_S = 0.05  # until the owner of a partition is asked again
 STATUS_TIMEOUT_S = 2.0
-RECOVER_LIMIT_S = 60.0  # until the log of a claimed partition is read
+RECOVERY_TIMEOUT_S = 60.0  # until the log of a claimed partition is read
 # The owner refuses just after the deadline; its refusal is awaited this much longer.
 OWNER_GRACE_S = 0.5
 # The owner was not reached, or refused before it looked at the ID.
-RETRY_FAILURES = (errors.Unavailable, errors.Refused)
+RETRYABLE_FAILURES = (errors.Unavailable, errors.Refused)
 # The request may have run: the owner's answer was lost, or the owner lost its
 # ownership while it dealt with the request.
-LOST_FAILURES = (errors.Ambiguous, errors.Timeout, errors.Closed, errors.Fenced)
+AMBIGUOUS_FAILURES = (errors.Ambiguous, errors.Timeout, errors.Closed, errors.Fenced)
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True):
+class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
     """Begin the answer to a forwarded request; `length` bytes of body follow."""
 
     status: int
@@ -43,7 +43,7 @@
     length: int = 0
 
 
-class State(msgspec.Struct, frozen=True, kw_only=True):
+class RequestState(msgspec.Struct, frozen=True, kw_only=True):
     """Answer the question for the state of a request ID."""
 
     running: bool = False
@@ -51,8 +51,8 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_head_decoder = msgspec.msgpack.Decoder(Head)
-_state_decoder = msgspec.msgpack.Decoder(State)
+_head_decoder = msgspec.msgpack.Decoder(AnswerHead)
+_state_decoder = msgspec.msgpack.Decoder(RequestState)
 
 
 class Service:
@@ -70,14 +70,14 @@
             settings.process
         )
         self._rng = random.Random()
-        self._lanes: dict[str, backend_pool.Lane] = {}
+        self._pools: dict[str, backend_pool.BackendPool] = {}
         self._cell: text.Cell | None = None
         self._zones_out: frozenset[str] = frozenset()
-        self._listing = listing.Listing(lambda: core.find("store").vms.list())
+        self._listing = listing.VmListCache(lambda: core.find("store").vms.list())
         self._poller: gevent.Greenlet | None = None
         self._serving = 0
         self.burn = burn.Recorder()
-        self._runner = runner.Runner(core, self._lane_of, self._client)
+        self._runner = runner.Runner(core, self._pool_of, self._client)
 
     def start(self) -> None:
         """Answer the other processes and follow the VM list."""
@@ -91,7 +91,7 @@
         """Stop following the VM list and close idle connections."""
         if self._poller is not None:
             self._poller.kill()
-        for each in self._lanes.values():
+        for each in self._pools.values():
             each.close()
         self._client.close()
 
@@ -101,14 +101,14 @@
 
     def serve(self, request: Request) -> Answer | errors.Failure:
         """Run a request and return its answer; see the page for the guarantees."""
-        target = self._lane_of(request.service)
+        target = self._pool_of(request.service)
         if target is None:
             return errors.NotFound(reason=f"no service {request.service}")
         started = time.monotonic()
         self._serving += 1
         try:
             if request.idempotent:
-                result = forwarding.Attempt(target, self._client, request).run()
+                result = forwarding.IdempotentCall(target, self._client, request).run()
             else:
                 result = self._forward(request)
         finally:
@@ -120,7 +120,7 @@
                 event_kinds.RequestsRefused(request.service, request.job_class)
             )
         if isinstance(result, Answer) and isinstance(result.chunks, forwarding.Stream):
-            result.chunks.on_cut = lambda: self.burn.record(
+            result.chunks.on_abort = lambda: self.burn.record(
                 request.service, request.team, False, time.monotonic()
             )
         return result
@@ -134,15 +134,15 @@
             result = search.find(
                 self._kernel.find("layout"),
                 request_id,
-                lambda number: self._ask(
+                lambda number: self._query_status(
                     number, request_id, deadline - time.monotonic()
                 ),
             )
-            retry = isinstance(result, RETRY_FAILURES + LOST_FAILURES)
+            retry = isinstance(result, RETRYABLE_FAILURES + AMBIGUOUS_FAILURES)
             if not retry or time.monotonic() + RETRY_S >= deadline:
                 break
             gevent.sleep(RETRY_S)
-        if isinstance(result, LOST_FAILURES):
+        if isinstance(result, AMBIGUOUS_FAILURES):
             return errors.Unavailable(reason=result.reason)  # a read has no effect
         if isinstance(result, errors.RecordedNotRun):
             return errors.NotRun(reason=result.reason)
@@ -150,7 +150,7 @@
 
     def waiting(self) -> dict[str, dict[str, int]]:
         """Return the number of waiting requests by service and class."""
-        return {name: each.waiting() for name, each in self._lanes.items()}
+        return {name: each.waiting() for name, each in self._pools.items()}
 
     def _recover(self, event: claims.PartitionAcquired) -> None:
         """Find out what became of requests that the former owner began."""
@@ -158,7 +158,7 @@
 
     def _recover_partition(self, number: int) -> None:
         owned = self._kernel.find("partitions").owned().get(number)
-        if owned is not None and owned.ready.wait(RECOVER_LIMIT_S):
+        if owned is not None and owned.ready.wait(RECOVERY_TIMEOUT_S):
             for request_id, server in owned.requests.interrupted().items():
                 self._runner.recover(request_id, server)
 
@@ -170,7 +170,7 @@
         The owner runs an ID once, so asking again is safe at any time.
         """
         deadline = time.monotonic() + request.deadline_s
-        lost: errors.Failure | None = None
+        ambiguous: errors.Failure | None = None
         number: int | None = None  # of a former number, where the request was begun
         while True:
             left_s = deadline - time.monotonic()
@@ -183,18 +183,18 @@
                     number = result.partition
                 case errors.RecordedNotRun():
                     return errors.NotRun(reason=result.reason)
-                case errors.NotRun() | errors.Overloaded() if lost is not None:
+                case errors.NotRun() | errors.Overloaded() if ambiguous is not None:
                     # The refusal is of this attempt; the lost one may yet arrive.
-                    return errors.Unknown(reason=f"outcome unknown: {lost.reason}")
-            if isinstance(result, LOST_FAILURES):
-                lost = result
-            elif not isinstance(result, RETRY_FAILURES):
+                    return errors.Unknown(reason=f"outcome unknown: {ambiguous.reason}")
+            if isinstance(result, AMBIGUOUS_FAILURES):
+                ambiguous = result
+            elif not isinstance(result, RETRYABLE_FAILURES):
                 return result
             if time.monotonic() + RETRY_S >= deadline:
                 break
             gevent.sleep(RETRY_S)
-        if lost is not None:
-            return errors.Unknown(reason=f"outcome unknown: {lost.reason}")
+        if ambiguous is not None:
+            return errors.Unknown(reason=f"outcome unknown: {ambiguous.reason}")
         # No log was read, so an earlier call with this ID may have run.
         return errors.Unavailable(reason=f"not run by this call: {result.reason}")
 
@@ -212,7 +212,7 @@
             stored = self._runner.run(sent)
             if isinstance(stored, errors.Failure):
                 return stored
-            return _answer(stored.status, stored.headers, stored.body)
+            return _build_answer(stored.status, stored.headers, stored.body)
         # A paused owner answers nothing; its successor knows what became of it.
         chunks = self._kernel.find("peers").call_stream(
             owner.process,
@@ -223,9 +223,9 @@
         )
         if isinstance(chunks, errors.Failure):
             return chunks
-        return _receive(chunks)
+        return _receive_answer(chunks)
 
-    def _ask(
+    def _query_status(
         self, number: int, request_id: str, left_s: float
     ) -> answers.Stored | runner.Running | errors.Failure:
         owner_of = self._kernel.find("claims").owner_of
@@ -261,7 +261,7 @@
         stored = self._runner.run(request)
         if isinstance(stored, errors.Failure):
             return stored
-        return _send(stored)
+        return _stream_answer(stored)
 
     def _serve_status(self, _sender: str, body: bytes) -> bytes | errors.Failure:
         number, request_id = msgspec.msgpack.decode(body, type=tuple[int, str])
@@ -270,40 +270,40 @@
             case errors.Failure():
                 return found
             case runner.Running():
-                return _encoder.encode(State(running=True))
-        return _encoder.encode(State(stored=found))
+                return _encoder.encode(RequestState(running=True))
+        return _encoder.encode(RequestState(stored=found))
 
     # Lanes
 
-    def _lane_of(self, service: str) -> backend_pool.Lane | None:
-        self._follow_documents()
-        return self._lanes.get(service)
+    def _pool_of(self, service: str) -> backend_pool.BackendPool | None:
+        self._apply_documents()
+        return self._pools.get(service)
 
-    def _follow_documents(self) -> None:
+    def _apply_documents(self) -> None:
         """Take in another configuration or other zones out of service."""
         documents = self._kernel.find("documents")
         cell = documents.cell()
         if cell is not self._cell:
             self._cell = cell
-            for name in [name for name in self._lanes if name not in cell.services]:
-                self._lanes.pop(name).close()
+            for name in [name for name in self._pools if name not in cell.services]:
+                self._pools.pop(name).close()
             for name, service in cell.services.items():
-                if name in self._lanes:
-                    self._lanes[name].service = service
+                if name in self._pools:
+                    self._pools[name].service = service
                 else:
-                    self._lanes[name] = backend_pool.Lane(
+                    self._pools[name] = backend_pool.BackendPool(
                         service, self._rng, usable_until=self._listing.usable_until
                     )
-                    self._lanes[name].set_zones_out(self._zones_out)
+                    self._pools[name].set_zones_out(self._zones_out)
             self._set_servers()
         zones_out = documents.zones_out()
         if zones_out != self._zones_out:
             self._zones_out = zones_out
-            for each in self._lanes.values():
+            for each in self._pools.values():
                 each.set_zones_out(zones_out)
 
     def _set_servers(self) -> None:
-        for each in self._lanes.values():
+        for each in self._pools.values():
             each.set_servers(
                 [
                     routing.ServerFacts(
@@ -323,22 +323,22 @@
         while True:
             pause_s = listing.POLL_S
             try:
-                before = self._listing.vms
+                previous = self._listing.vms
                 pause_s = self._listing.update()
-                if self._listing.vms != before:
-                    self._forget(before)
+                if self._listing.vms != previous:
+                    self._forget_unlisted(previous)
                     self._set_servers()
-                self._follow_documents()
-                for each in self._lanes.values():
-                    each.pump()
+                self._apply_documents()
+                for each in self._pools.values():
+                    each.dispatch()
             except Exception:
                 log.exception("following the VM list failed")
             gevent.sleep(pause_s)
 
-    def _forget(self, before: list[vms.Vm]) -> None:
+    def _forget_unlisted(self, previous: list[vms.Vm]) -> None:
         """Close connections to servers that are no longer listed."""
         listed = {f"{vm.address}:{vm.port}" for vm in self._listing.vms}
-        for server in {f"{vm.address}:{vm.port}" for vm in before} - listed:
+        for server in {f"{vm.address}:{vm.port}" for vm in previous} - listed:
             self._client.forget(server)
 
     def _record(
@@ -362,17 +362,19 @@
         self.burn.record(service.name, request.team, good, now)
 
 
-def _answer(status: int, headers: dict[str, str], body: bytes) -> Answer:
+def _build_answer(status: int, headers: dict[str, str], body: bytes) -> Answer:
     return Answer(status, headers, answers.split(body), len(body))
 
 
-def _send(stored: answers.Stored) -> Iterator[bytes]:
-    head = Head(status=stored.status, headers=stored.headers, length=len(stored.body))
+def _stream_answer(stored: answers.Stored) -> Iterator[bytes]:
+    head = AnswerHead(
+        status=stored.status, headers=stored.headers, length=len(stored.body)
+    )
     yield _encoder.encode(head)
     yield from answers.split(stored.body)
 
 
-def _receive(chunks: Iterator[bytes]) -> Answer | errors.Failure:
+def _receive_answer(chunks: Iterator[bytes]) -> Answer | errors.Failure:
     """Receive a whole answer; a broken one is asked for again."""
     received = bytearray()
     try:
@@ -385,4 +387,4 @@
         return errors.Ambiguous(reason=f"the owner's answer broke: {error}")
     if len(received) != head.length:
         return errors.Ambiguous(reason="the owner's answer is incomplete")
-    return _answer(head.status, head.headers, bytes(received))
+    return _build_answer(head.status, head.headers, bytes(received))
--- a/toucanspring/callers/routing.py
+++ b/toucanspring/callers/routing.py
@@ -17,16 +17,16 @@
 # there in flight, and tries one more after this part of the mean answer time, within
 # the bounds. Without the limit, nine processes at 1.1 times the capacity got 140
 # refusals for each answer (bench.overload).
-GROW_FRACTION = 0.5
+LIMIT_RAISE_FRACTION = 0.5
 # When servers are full, a slot that came free is kept for checks for this part of the
 # mean answer time.
 RESERVED_FRACTION = 0.05
 # Work that can wait tries one more this many times less often, so that free slots go
 # to processes with checks.
-BACKGROUND_PATIENCE = 4.0
-MIN_GROW_S = 0.002
-MAX_GROW_S = 0.1
-SECONDS_WEIGHT = 0.1  # of the newest answer in the mean answer time
+BACKGROUND_DELAY_FACTOR = 4.0
+MIN_LIMIT_RAISE_S = 0.002
+MAX_LIMIT_RAISE_S = 0.1
+NEWEST_WEIGHT = 0.1  # of the newest answer in the mean answer time
 MAX_RETRY_AFTER_S = 1.0
 SAMPLE_ATTEMPTS = 4  # pairs that are drawn before all servers are looked at
 
@@ -61,14 +61,14 @@
     __slots__ = (
         "facts",
         "failures",
-        "grow_at",
+        "limit_raise_at",
         "in_flight",
         "limit",
         "open_s",
         "open_until",
         "reserved_until",
         "seconds",
-        "trial",
+        "probe_in_flight",
     )
 
     def __init__(self, facts: ServerFacts) -> None:
@@ -76,29 +76,34 @@
         self.in_flight = 0
         self.seconds = 0.0  # mean answer time
         self.limit = facts.slots  # requests in flight without a refusal
-        self.grow_at = 0.0  # one more than `limit` may be tried then
+        self.limit_raise_at = 0.0  # one more than `limit` may be tried then
         self.reserved_until = 0.0  # a slot that came free is kept for checks
         self.failures = 0
         self.open_s = 0.0  # duration of the present opening; 0 when closed
         self.open_until = 0.0
-        self.trial = False  # a request that tests an open breaker is in flight
+        self.probe_in_flight = (
+            False  # a request that tests an open breaker is in flight
+        )
 
     def blocked_until(self, background: bool) -> float:
         """Return when the server may be used; inf after an answer."""
-        if self.in_flight >= self.facts.slots or (self.open_s and self.trial):
+        if self.in_flight >= self.facts.slots or (self.open_s and self.probe_in_flight):
             return math.inf
         at = 0.0
         if background:
             at = self.reserved_until
         if self.in_flight >= self.limit:
-            at = max(at, self.grow_at)
+            at = max(at, self.limit_raise_at)
             if background:
-                at += (BACKGROUND_PATIENCE - 1) * self.grow_wait()
+                at += (BACKGROUND_DELAY_FACTOR - 1) * self.limit_raise_delay()
         return max(at, self.open_until) if self.open_s else at
 
-    def grow_wait(self) -> float:
+    def limit_raise_delay(self) -> float:
         """Return how long to wait before one more request is tried."""
-        return min(MAX_GROW_S, max(MIN_GROW_S, self.seconds * GROW_FRACTION))
+        return min(
+            MAX_LIMIT_RAISE_S,
+            max(MIN_LIMIT_RAISE_S, self.seconds * LIMIT_RAISE_FRACTION),
+        )
 
     def load(self) -> float:
         """Return the estimated load per slot."""
@@ -148,7 +153,7 @@
         if not usable:
             return errors.Overloaded(reason="no backend server is in service")
         if now < self._blocked_until[background] and not excluded:
-            return self._blocked(self._blocked_until[background], now)
+            return self._overloaded(self._blocked_until[background], now)
         for _ in range(SAMPLE_ATTEMPTS):
             first = usable[int(self._rng.random() * len(usable))]
             second = usable[int(self._rng.random() * len(usable))]
@@ -159,7 +164,7 @@
                 and server.facts.id not in excluded
             ]
             if pair:
-                return self._take(min(pair, key=Server.load), now)
+                return self._select(min(pair, key=Server.load), now)
         candidates = [server for server in usable if server.facts.id not in excluded]
         if not candidates:
             return errors.Overloaded(reason="every backend server was tried")
@@ -167,11 +172,11 @@
             server for server in candidates if server.blocked_until(background) <= now
         ]
         if free:
-            return self._take(min(free, key=Server.load), now)
+            return self._select(min(free, key=Server.load), now)
         soonest = min(server.blocked_until(background) for server in candidates)
         if not excluded:
             self._blocked_until[background] = soonest
-        return self._blocked(soonest, now)
+        return self._overloaded(soonest, now)
 
     def sent(self, server_id: str, retry: bool = False) -> None:
         """Record that a request was sent; first attempts earn retries."""
@@ -179,7 +184,7 @@
         if server is not None:
             server.in_flight += 1
             if server.open_s:
-                server.trial = True
+                server.probe_in_flight = True
         if not retry:
             self._tokens = min(RETRY_BURST, self._tokens + RETRY_FRACTION)
 
@@ -191,7 +196,7 @@
         if server is None:
             return
         server.in_flight = max(0, server.in_flight - 1)
-        server.trial = False
+        server.probe_in_flight = False
         self._blocked_until = [0.0, 0.0]
         match outcome:
             case Outcome.OK:
@@ -199,11 +204,11 @@
                 server.open_s = 0.0
                 if server.limit < server.facts.slots:
                     server.reserved_until = now + RESERVED_FRACTION * server.seconds
-                weight = SECONDS_WEIGHT if server.seconds else 1.0
+                weight = NEWEST_WEIGHT if server.seconds else 1.0
                 server.seconds += weight * (seconds - server.seconds)
             case Outcome.REFUSED:
                 server.limit = server.in_flight
-                server.grow_at = now + server.grow_wait()
+                server.limit_raise_at = now + server.limit_raise_delay()
             case Outcome.FAILED:
                 server.failures += 1
                 if server.open_s or server.failures >= FAILURES_TO_OPEN:
@@ -217,7 +222,7 @@
         server = self._servers.get(server_id)
         if server is not None:
             server.in_flight = max(0, server.in_flight - 1)
-            server.trial = False
+            server.probe_in_flight = False
             self._blocked_until = [0.0, 0.0]
 
     def retry_allowed(self, now: float) -> bool:
@@ -237,14 +242,14 @@
         return server.in_flight if server else 0
 
     @staticmethod
-    def _take(server: Server, now: float) -> ServerFacts:
+    def _select(server: Server, now: float) -> ServerFacts:
         if server.in_flight >= server.limit:
-            server.grow_at = now + server.grow_wait()
+            server.limit_raise_at = now + server.limit_raise_delay()
             server.limit = server.in_flight + 1
         return server.facts
 
     @staticmethod
-    def _blocked(until: float, now: float) -> errors.Overloaded:
+    def _overloaded(until: float, now: float) -> errors.Overloaded:
         return errors.Overloaded(
             reason="every backend server is full or failing",
             retry_after_s=min(MAX_RETRY_AFTER_S, max(0.0, until - now)),
--- a/toucanspring/callers/server.py
+++ b/toucanspring/callers/server.py
@@ -20,10 +20,10 @@
 # Callers find an idle connection closed only after this time into a graceful stop;
 # one more request on it is still answered.
 DRAIN_IDLE_S = 1.0
-ACCEPTS_AT_STOP = 4  # of 100 connections each; the backlog holds 256
+FINAL_ACCEPT_CALLS = 4  # of 100 connections each; the backlog holds 256
 # Handshakes that began before the listener ignores new ones end within a round trip,
 # 6 ms to callers.
-HANDSHAKE_S = 0.02
+TCP_HANDSHAKE_S = 0.02
 # A caller that has connected sends its first request within this time, or a graceful
 # stop no longer waits for it.
 FIRST_REQUEST_S = 3.0
@@ -102,28 +102,28 @@
         """
         if not self.draining:
             return sum(each.busy for each in self.connections)
-        awaited = sum(each.is_awaited() for each in self.connections)
+        pending = sum(each.has_pending_request() for each in self.connections)
         # Handlers of connections that were accepted a moment ago have not run yet.
-        awaited += max(0, len(self.pool) - len(self.connections) - self._handshakes)
+        pending += max(0, len(self.pool) - len(self.connections) - self._handshakes)
         now = time.monotonic()
         if now < self._idle_until:
-            return awaited + bool(self.connections) + self._handshakes
+            return pending + bool(self.connections) + self._handshakes
         if now < self._first_requests_until:
-            first = any(not each.served for each in self.connections)
-            return awaited + first + self._handshakes
-        return awaited
+            first = any(not each.received_request for each in self.connections)
+            return pending + first + self._handshakes
+        return pending
 
     def stop_accepting_connections(self) -> None:
         """Serve the connections that the kernel has completed, accept no others."""
         if self.draining:
             return
         self.draining = True
-        now = time.monotonic() + HANDSHAKE_S
+        now = time.monotonic() + TCP_HANDSHAKE_S
         self._idle_until = now + DRAIN_IDLE_S
         self._first_requests_until = now + FIRST_REQUEST_S
         if listener.ignore_new_connections(self.socket):
-            gevent.sleep(HANDSHAKE_S)
-        for _ in range(ACCEPTS_AT_STOP):
+            gevent.sleep(TCP_HANDSHAKE_S)
+        for _ in range(FINAL_ACCEPT_CALLS):
             self._do_read()
         self.close()
 
@@ -133,6 +133,6 @@
         deadline = time.monotonic() + limit_s
         while self.in_flight() and time.monotonic() < deadline:
             gevent.sleep(0.02)
-        interrupted = sum(each.is_awaited() for each in self.connections)
+        interrupted = sum(each.has_pending_request() for each in self.connections)
         self.pool.kill(timeout=handler.LINGER_S)
         return interrupted
--- a/toucanspring/callers/submission.py
+++ b/toucanspring/callers/submission.py
@@ -39,14 +39,14 @@
     payload_base64: bytes | None = None
 
 
-class Bulk(msgspec.Struct, forbid_unknown_fields=True):
+class BulkSubmission(msgspec.Struct, forbid_unknown_fields=True):
     """Body of `POST /v1/jobs`."""
 
     jobs: Annotated[list[Submission], msgspec.Meta(min_length=1, max_length=MAX_JOBS)]
 
 
-def _invalid(path: str, value: object, expected: str, reason: str) -> api.Failed:
-    return api.Failed(
+def _invalid(path: str, value: object, expected: str, reason: str) -> api.ApiError:
+    return api.ApiError(
         errors.Invalid(
             reason=reason, path=path, value=str(value)[:80], expected=expected
         )
@@ -138,7 +138,7 @@
     return template
 
 
-class Specs:
+class JobSpecBuilder:
     """Turn the submissions of one call into jobs of the teams that may run them."""
 
     def __init__(self, cell: text.Cell, access: api.Access, secret: str | None) -> None:
@@ -174,14 +174,14 @@
         """Check the key against the queue and return the ID of the job."""
         if not queue.is_open:
             if self._secret is None:
-                raise api.Failed(
+                raise api.ApiError(
                     errors.Forbidden(reason=f"queue {queue.name} needs a team key"), 401
                 )
             if self._team is None:
                 self._team = self._access.team(self._secret)
             if self._team != queue.team:
                 reason = f"queue {queue.name} belongs to another team than the key"
-                raise api.Failed(errors.Forbidden(reason=reason))
+                raise api.ApiError(errors.Forbidden(reason=reason))
         prefix = api.OPEN_PREFIX if queue.is_open else ""
         if not item.id:
             return f"{prefix}{secrets.token_hex(10)}"
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -62,16 +62,16 @@
     def __init__(
         self,
         core: kernel.Kernel,
-        lane_of: Callable[[str], backend_pool.Lane | None],
+        pool_of: Callable[[str], backend_pool.BackendPool | None],
         client: backend_servers.BackendServerClient,
         clock: Clock = time.monotonic,
     ) -> None:
         self._kernel = core
-        self._lane_of = lane_of
+        self._pool_of = pool_of
         self._client = client
         self._clock = clock
         self._outcomes = outcomes.Outcomes(core)
-        self._inquiry = outcome_lookup.Inquiry(client, clock)
+        self._outcome_lookup = outcome_lookup.OutcomeLookup(client, clock)
         self._running: dict[str, UnderWay] = {}  # by request ID
         self._waiting = 0
 
@@ -159,7 +159,7 @@
         self, request: answers.Request, digest: bytes
     ) -> answers.Stored | errors.Failure:
         deadline = self._clock() + request.deadline_s
-        target = self._lane_of(request.service)
+        target = self._pool_of(request.service)
         if target is None:
             return errors.NotFound(reason=f"no service {request.service}")
         if self._epoch(request.id) is None:
@@ -192,7 +192,7 @@
     def _send_or_move(
         self,
         request: answers.Request,
-        target: backend_pool.Lane,
+        target: backend_pool.BackendPool,
         server: routing.ServerFacts,
         start: outcomes.Start,
         epoch: int,
@@ -237,7 +237,7 @@
     def _find_server(
         self,
         request: answers.Request,
-        target: backend_pool.Lane,
+        target: backend_pool.BackendPool,
         deadline: float,
         excluded: frozenset[str] = frozenset(),
     ) -> routing.ServerFacts | errors.Failure:
@@ -285,7 +285,7 @@
     def _send(
         self,
         request: answers.Request,
-        target: backend_pool.Lane,
+        target: backend_pool.BackendPool,
         server: routing.ServerFacts,
         start: outcomes.Start,
         epoch: int,
@@ -323,15 +323,15 @@
                     if self._clock() - refused_since >= MOVE_AFTER_S:
                         return errors.NotRun(reason=f"not run: {result.reason}")
                 case errors.Failure():
-                    return self._inquiry.look_up(
-                        request.id, start, FOLLOW_S, certain=False
+                    return self._outcome_lookup.look_up(
+                        request.id, start, FOLLOW_S, epoch_raised=False
                     )
                 case _:
                     received = outcome_lookup.receive(result, start)
                     if isinstance(received, errors.Ambiguous):
                         # The server remembers the answer of which a part was lost.
-                        return self._inquiry.look_up(
-                            request.id, start, FOLLOW_S, certain=False
+                        return self._outcome_lookup.look_up(
+                            request.id, start, FOLLOW_S, epoch_raised=False
                         )
                     return received
             gevent.sleep(RESEND_PAUSE_S)
@@ -339,7 +339,7 @@
     def _refusal(
         self,
         request: answers.Request,
-        target: backend_pool.Lane,
+        target: backend_pool.BackendPool,
         server: routing.ServerFacts,
         epoch: int,
         expired: bool,
@@ -360,7 +360,7 @@
     ) -> answers.Stored | errors.Failure:
         """Find out the outcome of a request that a former owner may have sent."""
         give_up = self._clock() + FOLLOW_S
-        pause = outcome_lookup.FIRST_PAUSE_S
+        pause = outcome_lookup.FIRST_BACKOFF_S
         while True:
             number = self._epoch(request_id)
             if number is None:
@@ -377,9 +377,11 @@
                 lost = errors.Unknown(reason=f"outcome unknown: {raised.reason}")
                 return self._outcomes.record(request_id, start, lost)
             gevent.sleep(pause)
-            pause = min(2 * pause, outcome_lookup.LONGEST_PAUSE_S)
+            pause = min(2 * pause, outcome_lookup.MAX_BACKOFF_S)
         left_s = max(outcome_lookup.LOOKUP_TIMEOUT_S, give_up - self._clock())
-        result = self._inquiry.look_up(request_id, start, left_s, certain=True)
+        result = self._outcome_lookup.look_up(
+            request_id, start, left_s, epoch_raised=True
+        )
         return self._outcomes.record(request_id, start, result)
 
 
