--- a/toucanspring/adapters/__init__.py
+++ b/toucanspring/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Typed interfaces to the platform, one implementation each."""
+"""Typed interfaces to the platform, with one implementation each."""
--- a/toucanspring/adapters/backend_servers.py
+++ b/toucanspring/adapters/backend_servers.py
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Epoch:
-    """Name a partition and the epoch of its owner."""
+    """Identify a partition and the epoch of its owner."""
 
     partition: int
     epoch: int
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """The backend server still works on the request."""
+    """The backend server is still running the request."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,7 +73,7 @@
         headers: dict[str, str] | None = None,
         send_by: float = math.inf,
     ) -> Answer | errors.Failure:
-        """Run a request and return its answer once the head has arrived.
+        """Send a request and return its answer once the head has arrived.
 
         `NotRun` (refused, or no connection was free) and `Unavailable` (the server was
         not reached) mean that it certainly did not run, `Ambiguous` that it may have.
@@ -127,7 +127,7 @@
         headers: dict[str, str] | None = None,
         send_by: float = math.inf,
     ) -> Answer | errors.Failure:
-        """Run a request and return its answer once the head has arrived."""
+        """Send a request and return its answer once the head has arrived."""
         sent = dict(headers or {})
         sent["X-Deadline-Ms"] = str(int(timeout_s * 1000))
         if epoch is not None:
--- a/toucanspring/adapters/exchange.py
+++ b/toucanspring/adapters/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges that tell a call that was never sent from one without an answer."""
+"""HTTP client that distinguishes calls never sent from calls without an answer."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         if sock is None or sock.fileno() < 0:
             return False
         try:
-            # The socket below an encrypted one: that takes no flags.
+            # Reads the underlying socket, since a TLS socket does not support flags.
             sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return True
@@ -69,7 +69,7 @@
     _head_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse more bytes; raises `HTTPParseError` for a head without an end."""
+        """Parse more bytes; raises `HTTPParseError` if the head is too large."""
         if not self.headers_complete:
             self._head_bytes += len(data)
             if self._head_bytes > MAX_HEAD_BYTES:
@@ -79,8 +79,8 @@
     def read_available(self) -> bytes:
         """Wait for body bytes and return them, none at the declared end.
 
-        Raises `HTTPParseError` if the connection ends before. The inherited `read`
-        waits for whole blocks.
+        Raises `HTTPParseError` if the connection ends earlier. The inherited `read`
+        waits for full blocks.
         """
         while not self._body_buffer and not self.message_complete:
             if self._sock is None:
@@ -151,7 +151,7 @@
             self.close()
 
     def _is_framed(self) -> bool:
-        # Without a length or chunks a cut connection looks like a complete answer.
+        # Without a length or chunks, a truncated answer looks like a complete one.
         return (
             self._parsed.message_complete
             or "content-length" in self.headers
@@ -215,7 +215,7 @@
                 if time.monotonic() > send_by:
                     self._pool.return_socket(sock)
                     sock = None
-                    return errors.Overloaded(reason="no connection in time to send")
+                    return errors.Overloaded(reason="no connection became free in time")
                 sent = True
                 sock.sendall(head + body)
                 # From here on the response releases the socket.
@@ -260,7 +260,7 @@
         timeout_s: float = TIMEOUT_S,
         max_bytes: int = MAX_BODY_BYTES,
     ) -> Reply | errors.Unavailable | errors.Ambiguous | errors.Oversized:
-        """Exchange a request for a complete answer of at most `max_bytes`."""
+        """Send a request and return a complete answer of at most `max_bytes`."""
         opened = self.open(method, target, body, headers, timeout_s)
         if isinstance(opened, errors.Overloaded):
             return errors.Unavailable(reason=opened.reason)
--- a/toucanspring/adapters/platform.py
+++ b/toucanspring/adapters/platform.py
@@ -1,4 +1,4 @@
-"""What the HTTP clients of the platform's services share."""
+"""Base class of the HTTP clients of the platform's services."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self._endpoint.close()
 
     def _read_failure(self, reply: exchange.Reply | errors.Failure) -> errors.Failure:
-        """Return why a call without an effect got no result."""
+        """Return the failure of a read, which had no effect."""
         match reply:
             case exchange.Reply():
                 return errors.Unavailable(
@@ -46,7 +46,7 @@
                 return reply
 
     def _write_failure(self, reply: exchange.Reply | errors.Failure) -> errors.Failure:
-        """Return why a call got no result; an error may hide that it took effect."""
+        """Return the failure of a write; it may have taken effect despite an error."""
         if isinstance(reply, exchange.Reply):
             return errors.Ambiguous(reason=f"{self.service} answered {reply.status}")
         return reply
--- a/toucanspring/adapters/tables.py
+++ b/toucanspring/adapters/tables.py
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Committed:
-    """State the new versions of the written rows."""
+    """Hold the new versions of the written rows."""
 
     versions: dict[str, int]
 
--- a/toucanspring/adapters/vms.py
+++ b/toucanspring/adapters/vms.py
@@ -1,4 +1,4 @@
-"""Client of the platform's VM list, which lags behind the real state."""
+"""Client of the platform's VM list, which lags behind the actual state."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange, platform
 
-# The list is read once a second; `listing` relies on an end of each read.
+# The list is read once a second; `callers.listing` relies on a limit for each read.
 TIMEOUT_S = 1.5
 MAX_LIST_BYTES = 1 << 26
-# Two services read the list every second; accepting this age they share the answers.
+# Two services read the list every second; accepting this age, they share answers.
 SHARED_AGE_S = 0.5
 
 
@@ -75,8 +75,8 @@
 
     def list(self, max_age_s: float = 0.0) -> list[Vm] | errors.Failure:
         """Return all listed VMs; the same list object while nothing has changed."""
-        asked_at = time.monotonic()
-        if asked_at - self._read_at < max_age_s:
+        requested_at = time.monotonic()
+        if requested_at - self._read_at < max_age_s:
             return self._listed
         reply = self._endpoint.call(
             "GET", "/v1/vms", timeout_s=self._timeout_s, max_bytes=MAX_LIST_BYTES
@@ -88,7 +88,7 @@
                     if isinstance(listed, errors.Failure):
                         return listed
                     self._body, self._listed = reply.body, listed
-                self._read_at = asked_at
+                self._read_at = requested_at
                 return self._listed
             case _:
                 return self._read_failure(reply)
--- a/toucanspring/adapters/workers.py
+++ b/toucanspring/adapters/workers.py
@@ -1,4 +1,4 @@
-"""Client of the workers: one framed stream for each worker."""
+"""Client of the workers, with one framed stream per worker."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from toucanspring import deadline, errors, stream, wire
 
-# A worker reports every 7 s at least, with tasks every 4 s. One that is late is asked
-# for a report, so that a single lost message does not break the link. Work does not
-# wait for that: starts and polls have the shorter limit.
+# A worker reports at least every 7 s, and every 4 s while it has tasks. A late report
+# is requested, so that a single lost message does not close the link. Starts and polls
+# have the shorter limit ANSWER_TIMEOUT_S, so that work does not wait for this one.
 REPORT_REQUEST_AFTER_S = 7.5
 REPORT_TIMEOUT_S = 9.0
 ANSWER_TIMEOUT_S = 2.0
@@ -223,7 +223,7 @@
             self._on_closed(failure, unanswered)
 
     def _request_report(self) -> None:
-        """Ask a silent worker for a report, which it must send in the time left."""
+        """Request a report from a silent worker, due within the rest of the timeout."""
         self._answer_deadline.set_once(
             self._report_timeout_s - self._report_request_after_s
         )
@@ -249,7 +249,7 @@
                     )
                     return None
             case wire.Started():
-                # An unknown batch would report tasks twice or invent them.
+                # A task of an unknown batch would be reported twice or was never sent.
                 if self._pending.pop(message.batch, None) is None:
                     return errors.Malformed(reason=f"unknown batch {message.batch}")
             case wire.Report():
--- a/toucanspring/callers/__init__.py
+++ b/toucanspring/callers/__init__.py
@@ -1,1 +1,1 @@
-"""What callers and operators reach over HTTP, and requests to services."""
+"""HTTP API for callers and operators, and requests to services."""
--- a/toucanspring/callers/admission.py
+++ b/toucanspring/callers/admission.py
@@ -1,4 +1,4 @@
-"""Queues of requests with deadlines; sheds load by class."""
+"""Request queues with deadlines and load shedding by class."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from toucanspring import errors, job
 
-QUEUE_LIMIT = 512  # requests that wait in one process
+QUEUE_LIMIT = 512  # waiting requests of a service in one process
 CLASS_ORDER = tuple(job.JobClass)
-COMPACT_FACTOR = 4  # deadlines kept for each request that may wait
-NEWEST_WEIGHT = 0.05  # of the newest request in the mean service time
+COMPACT_FACTOR = 4  # heap entries per request that may wait
+NEWEST_WEIGHT = 0.05  # weight of the newest request in the mean service time
 
 
-# A request is dropped when less than this many mean service times are left for it.
-# Measured with bench.overload at three times the capacity: 1,784 requests/s in time
-# with 0, 1,860 with 1 and 1,931 with 3. Newest first reached 1,922, but made checks
-# wait 159 ms instead of 78 ms (p99).
+# A request is dropped when less than this many mean service times are left before its
+# deadline. At three times the capacity (bench.overload), 1,784 requests/s are answered
+# in time with 0, 1,860 with 1 and 1,931 with 3. Serving the newest request first
+# answers 1,922, but makes checks wait 159 ms instead of 78 ms (p99).
 MIN_SERVICE_TIMES_LEFT = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """Say that a request was queued, or is to be sent now."""
+    """Describe a request that was queued."""
 
     request_id: str
     job_class: job.JobClass
@@ -51,7 +51,7 @@
     def offer(
         self, request_id: str, job_class: job.JobClass, deadline: float, now: float
     ) -> QueuedRequest | errors.Overloaded:
-        """Queue a request, if need be in place of one of a lower class."""
+        """Queue a request; if the queue is full, shed one of a lower class."""
         self._expire(now)
         if deadline - now < self._min_time_left(job_class):
             return errors.Overloaded(reason="the deadline cannot be met")
@@ -82,7 +82,7 @@
         return None
 
     def next_class(self) -> job.JobClass | None:
-        """Return the class of the request that is sent next."""
+        """Return the class of the next request to send, or None without one."""
         for job_class, queue in self._queues.items():
             if queue:
                 return job_class
@@ -96,7 +96,7 @@
         return ended
 
     def requeue(self, entry: QueuedRequest) -> None:
-        """Queue a request again, in front, that a full server refused."""
+        """Put a request that a full server refused back at the head of its queue."""
         queue = self._queues[entry.job_class]
         queue[entry.request_id] = entry
         queue.move_to_end(entry.request_id, last=False)
@@ -106,7 +106,7 @@
         self._size += 1
 
     def cancel(self, request_id: str) -> bool:
-        """Take a waiting request out; return whether it waited."""
+        """Remove a waiting request; return whether it was queued."""
         for queue in self._queues.values():
             if queue.pop(request_id, None) is not None:
                 self._size -= 1
@@ -128,7 +128,9 @@
             _, request_id, job_class = heapq.heappop(self._deadlines)
             if self._queues[job_class].pop(request_id, None) is not None:
                 self._size -= 1
-                failure = errors.NotRun(reason="the deadline passed before a start")
+                failure = errors.NotRun(
+                    reason="the deadline passed before the request was sent"
+                )
                 self._ended.append((request_id, failure))
 
     def _compact(self) -> None:
--- a/toucanspring/callers/answers.py
+++ b/toucanspring/callers/answers.py
@@ -13,11 +13,11 @@
 # Larger answers go to the object store, since the log shares its rows among many
 # records.
 MAX_LOGGED_BYTES = 64 * 1024
-# A forwarded request travels in one peer frame of 1 MiB.
+# A forwarded request must fit into one peer frame of 1 MiB.
 MAX_BODY_BYTES = 960 * 1024
 CHUNK_BYTES = 64 * 1024
 
-# Headers of one connection or of the exchange with the backend server.
+# Hop-by-hop headers, and headers meant for this process only.
 _HOP_HEADERS = frozenset(
     {
         "connection",
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """Hold an answer; iterating `chunks` raises `AnswerCut` if it is truncated.
+    """Hold an answer; iterating `chunks` raises `AnswerAborted` if it is truncated.
 
     `length` is the number of bytes of the body, if it is known.
     """
@@ -86,7 +86,7 @@
 
 
 def digest(request: Request) -> bytes:
-    """Return the hash of what a request asks for."""
+    """Return a hash of the content of a request."""
     parts = hashlib.sha256()
     for part in (request.service, request.team, request.content_type):
         parts.update(part.encode() + b"\0")
--- a/toucanspring/callers/api.py
+++ b/toucanspring/callers/api.py
@@ -1,4 +1,4 @@
-"""Rules that all HTTP resources share: keys, bodies, failures and their status."""
+"""Common parts of the HTTP resources: keys, bodies, failures and their status."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 # IDs with this prefix belong to work of open queues. It keeps callers without a key
 # from taking IDs of keyed work, and lets them read back their own.
 OPEN_PREFIX = "open."
-# Lengths of a blocking read of a body; the total time is bounded as well.
+# Size of one blocking read of a body; the total time is bounded as well.
 READ_BYTES = 64 * 1024
 
 # Callers depend on this mapping; it changes only together with the API version.
@@ -56,7 +56,7 @@
 
 
 class ApiError(Exception):
-    """Carry a failure out of a resource; `extra` is added to the JSON body."""
+    """Raised to answer with a failure; `extra` is added to the JSON body."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
 
 
 def unwrap(result: object) -> object:
-    """Return a result, or raise `Failed` if it is a failure."""
+    """Return a result, or raise `ApiError` if it is a failure."""
     if isinstance(result, errors.Failure):
         raise ApiError(result)
     return result
@@ -202,7 +202,7 @@
         return hmac.compare_digest(presented, self._operator_hash)
 
     def require_operator(self, request: falcon.Request) -> str:
-        """Return the name of the operator; raises `Failed` without the key."""
+        """Return the name of the operator; raises `ApiError` without the key."""
         secret = self.secret(request)
         if secret is None:
             raise ApiError(errors.Forbidden(reason="an operator key is required"), 401)
@@ -212,7 +212,7 @@
         return "".join(char for char in name if char.isprintable())[:64]
 
     def team(self, secret: str) -> str:
-        """Return the team of a key; raises `Failed` if it is not in force.
+        """Return the team of a key; raises `ApiError` if it is not in force.
 
         Keyed work is refused while the view of keys may be out of date, since a
         withdrawn key has to stop working within 3 s.
@@ -232,7 +232,7 @@
         return self.team(secret)
 
     def reader(self, request: falcon.Request) -> str | None:
-        """Return the team that may read, or None for operators, who read all."""
+        """Return the team of the reader: None for operators, "" without a key."""
         secret = self.secret(request)
         if secret is None:
             return ""
@@ -242,7 +242,7 @@
 
 
 def check_reader(reader: str | None, owner: str, item_id: str) -> None:
-    """Raise `Failed` unless the reader may see work of the owning team."""
+    """Raise `ApiError` unless the reader may see work of the owning team."""
     if reader is None or reader == owner or item_id.startswith(OPEN_PREFIX):
         return
     if reader == "":
--- a/toucanspring/callers/api_events.py
+++ b/toucanspring/callers/api_events.py
@@ -1,4 +1,4 @@
-"""HTTP resource of events, and the actions that `explain` shows of a job."""
+"""HTTP resource for events, and the actions that `explain` shows for a job."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 # Bounds the answer; the newest entries are kept.
 MAX_ENTRIES = 10_000
 MAX_ACTIONS = 100
-# Concern a job. A team sees of its own jobs only, so other jobs' IDs are left out.
+# Kinds about a job. A team sees those of its own jobs, without the IDs of other jobs.
 JOB_KINDS = frozenset(
     kind.__struct_config__.tag
     for kind in event_kinds.KINDS
@@ -32,7 +32,7 @@
         self._access = access
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with what processes did by themselves, and what this lacks.
+        """Answer with the events of all processes, and name those that are missing.
 
         `since` is in seconds before now; `kind` and `subject` select entries.
         """
@@ -41,7 +41,7 @@
         if math.isnan(since_s) or not 0 < since_s <= RETENTION_S:
             raise api.ApiError(
                 errors.Invalid(
-                    reason="events are not kept so long",
+                    reason="events are not kept that long",
                     path="since",
                     value=str(since_s),
                     expected=f"seconds, at most {RETENTION_S:.0f}",
@@ -68,7 +68,7 @@
 def describe_actions(
     service: events.Service, job_id: str, for_operator: bool
 ) -> dict[str, object]:
-    """Return what was done with a job, also by former owners of its partition."""
+    """Return the actions on a job, also by former owners of its partition."""
     report = service.report(RETENTION_S, subject=f"job:{job_id}")
     found = [item for item in report.events if item["kind"] in JOB_KINDS]
     if not for_operator:
--- a/toucanspring/callers/api_jobs.py
+++ b/toucanspring/callers/api_jobs.py
@@ -15,7 +15,7 @@
 MAX_SUBMISSION_BYTES = 16 << 20
 MAX_CANCELLATIONS = 1000
 MAX_CANCELLATION_BYTES = 1 << 18
-# Lookups of one call that are under way at a time.
+# Concurrent lookups of one call.
 MAX_PARALLEL_LOOKUPS = 32
 
 
@@ -63,8 +63,8 @@
             failures.append(results[index])
             item["error"] = errors.to_dict(results[index])
         items.append(item)
-    # A dependency that was not accepted keeps its dependent waiting for ever, so
-    # it is reported although the caller did not name it.
+    # A job waits forever for a dependency that was not accepted, so the failure of
+    # the dependency is reported although the caller did not name it.
     for index in sorted(set(range(len(built))) - set(ends)):
         if isinstance(results[index], errors.Failure):
             failures.append(results[index])
--- a/toucanspring/callers/api_operators.py
+++ b/toucanspring/callers/api_operators.py
@@ -23,7 +23,7 @@
 
 
 class Resource:
-    """Hold what each resource of operators needs."""
+    """Base class of the resources for operators."""
 
     def __init__(self, core: kernel.Kernel, access: api.Access) -> None:
         self._kernel = core
@@ -38,7 +38,7 @@
     """`GET` and `PUT /v1/config`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the text in force; `ETag` is its version."""
+        """Answer with the configuration text in force; `ETag` is its version."""
         self._access.require_operator(request)
         source = self._documents.source()
         response.content_type = YAML
@@ -47,7 +47,7 @@
         response.data = source.source.encode()
 
     def on_put(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Put a text into force if `If-Match` names the version in force."""
+        """Apply a configuration text if `If-Match` names the version in force."""
         operator = self._access.require_operator(request)
         expected = expected_version(request)
         body = api.read_body(request, syntax.MAX_TEXT_BYTES)
@@ -67,8 +67,8 @@
         version = api.unwrap(self._documents.apply(source, expected, operator))
         unchanged = version == expected
         if not unchanged:
-            log.info("operator {} put configuration {} into force", operator, version)
-        # The autostart service submits them once the text is in force.
+            log.info("operator {} applied configuration {}", operator, version)
+        # The autostart service submits these jobs once the text is in force.
         introduced = [] if unchanged else text.introduced(before, cell)
         starts = [text.apply_id(each) for each in introduced]
         api.send_json(
@@ -79,12 +79,12 @@
 
 
 def expected_version(request: falcon.Request) -> int:
-    """Return the version in `If-Match`; raise `Failed` without one."""
+    """Return the version in `If-Match`; raise `ApiError` without one."""
     given = (request.get_header("If-Match") or "").strip('" ')
     if not given.isdecimal() or len(given) > 18:
         raise api.ApiError(
             errors.Invalid(
-                reason="the version in force is needed, so that no change is lost",
+                reason="If-Match is required, so that no concurrent change is lost",
                 path="If-Match",
                 value=given[:80],
                 expected="the version that the change is based on",
@@ -115,20 +115,21 @@
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
         """Answer with the processes and whether the version is in force there.
 
-        `unreachable` names those that this process does not hear. They have ended,
-        or are cut off, and then accept no keyed work and start nothing.
+        `unreachable` names those that this process cannot reach. They have stopped,
+        or are partitioned from the cell, and then accept no keyed work and start
+        nothing.
         """
         self._access.require_operator(request)
         version = request.get_param_as_int("version", required=True, min_value=0)
         found = self._documents.confirmations(version)
         membership = self._kernel.find("membership")
-        heard = membership.reachable() | {membership.identity.process}
+        reachable = membership.reachable() | {membership.identity.process}
         api.send_json(
             response,
             {
                 "version": version,
                 "processes": found,
-                "unreachable": sorted(set(found) - heard),
+                "unreachable": sorted(set(found) - reachable),
             },
         )
 
@@ -200,7 +201,7 @@
         api.send_json(response, {"keys": self._documents.keys()})
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Grant a key; its secret is in this answer only."""
+        """Grant a key; only this answer contains its secret."""
         operator = self._access.require_operator(request)
         body = api.read_json(request, KeyRequest, MAX_KEY_REQUEST_BYTES)
         if body.team not in self._documents.cell().teams:
--- a/toucanspring/callers/api_services.py
+++ b/toucanspring/callers/api_services.py
@@ -31,36 +31,40 @@
     return job.JobClass(name)
 
 
-def _is_idempotent(rule: text.ClassRule, value: str | None) -> bool:
-    """Return whether a request may run twice: only if nobody says otherwise.
+def _is_idempotent(rule: text.ClassRule, header: str | None) -> bool:
+    """Return whether a request may run more than once.
 
-    Operators decide for a class; a caller may ask for more care, never for less.
+    The setting of the class decides, and a caller may only make it stricter. Without a
+    setting, the request is idempotent only if the caller says so.
     """
-    if value is not None and value.lower() not in TRUE_VALUES | FALSE_VALUES:
+    if header is not None and header.lower() not in TRUE_VALUES | FALSE_VALUES:
         raise api.ApiError(
             errors.Invalid(
-                reason="not run", path="X-Idempotent", value=value[:80], expected="true"
+                reason="invalid header; not run",
+                path="X-Idempotent",
+                value=header[:80],
+                expected="true",
             )
         )
-    requested = None if value is None else value.lower() in TRUE_VALUES
+    requested = None if header is None else header.lower() in TRUE_VALUES
     if rule.idempotent is None:
         return bool(requested)
     return rule.idempotent and requested is not False
 
 
-def _deadline_s(rule: text.ClassRule, value: str | None) -> float:
-    if value is None:
+def _deadline_s(rule: text.ClassRule, header: str | None) -> float:
+    if header is None:
         return rule.timeout_seconds
-    if not value.isdecimal() or not 0 < int(value[:12]) <= MAX_DEADLINE_MS:
+    if not header.isdecimal() or not 0 < int(header[:12]) <= MAX_DEADLINE_MS:
         raise api.ApiError(
             errors.Invalid(
-                reason="not run",
+                reason="invalid header; not run",
                 path="X-Deadline-Ms",
-                value=value[:80],
+                value=header[:80],
                 expected=f"1 to {MAX_DEADLINE_MS}",
             )
         )
-    return min(rule.timeout_seconds, int(value) / 1000)
+    return min(rule.timeout_seconds, int(header) / 1000)
 
 
 class Requests:
@@ -71,7 +75,7 @@
         self._access = access
 
     def on_post(self, request, response, name: str) -> None:
-        """Run a request at a backend server and pass on its whole answer."""
+        """Run a request at a backend server and pass on its answer."""
         cell = self._kernel.find("documents").cell()
         service = cell.services.get(name)
         if service is None:
@@ -90,7 +94,7 @@
         request_id = _request_id(given, queue)
         body = api.read_body(request, answers.MAX_BODY_BYTES)
         if not queue.is_open:
-            # The body may have taken longer than a withdrawn key may work.
+            # The key may have been withdrawn during a slow upload of the body.
             self._access.require_team(request)
         response.set_header("X-Request-Id", request_id)
         result = self._kernel.find("requests").serve(
@@ -119,7 +123,7 @@
     if given.startswith(api.OPEN_PREFIX) != queue.is_open:
         raise api.ApiError(
             errors.Invalid(
-                reason="request ID of another access; not run",
+                reason="the request ID does not fit the queue; not run",
                 path="X-Request-Id",
                 value=given,
                 expected=f"the prefix {api.OPEN_PREFIX} on open queues only",
--- a/toucanspring/callers/api_status.py
+++ b/toucanspring/callers/api_status.py
@@ -18,7 +18,7 @@
 
 
 class Resource:
-    """Hold what each resource needs."""
+    """Base class of the resources for operators."""
 
     def __init__(self, core: kernel.Kernel, access: api.Access) -> None:
         self._kernel = core
@@ -29,7 +29,7 @@
     """`GET /v1/workers`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the workers of the cell, and what this list lacks."""
+        """Answer with the workers of the cell, and what is missing from the list."""
         self._access.require_operator(request)
         api.send_json(response, survey.describe(self._kernel))
 
@@ -66,7 +66,7 @@
     """`GET /v1/reports/<share|waiting|burn>`."""
 
     def on_get(self, request, response, name: str) -> None:
-        """Answer with a report that joins what all reachable processes count."""
+        """Answer with a report merged from all reachable processes."""
         self._access.require_operator(request)
         if name not in report.NAMES:
             raise api.ApiError(errors.NotFound(reason=f"no report {name[:80]}"))
@@ -102,7 +102,7 @@
 
 
 class Ready:
-    """`GET /readyz`: the balancer may send callers here."""
+    """`GET /readyz`: the load balancer may send callers here."""
 
     def __init__(
         self, has_documents: Callable[[], bool], is_draining: Callable[[], bool]
@@ -111,7 +111,7 @@
         self._is_draining = is_draining
 
     def on_get(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Answer 503 until the documents were read once, and while stopping."""
+        """Answer 503 until the documents have been read once, and while stopping."""
         if self._is_draining():
             api.send_json(response, {"status": "stopping"}, 503)
         elif not self._has_documents():
--- a/toucanspring/callers/backend_pool.py
+++ b/toucanspring/callers/backend_pool.py
@@ -1,4 +1,4 @@
-"""Backend servers of one service: who waits for a slot, and who gets the next one."""
+"""Backend servers of one service, and the requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from toucanspring.callers import admission, routing
 from toucanspring.configuration import text
 
-# A server may free a slot at any moment without this process being told, so waiting
-# requests are offered again at this interval at least.
+# A server may free a slot without notifying this process, so waiting requests are
+# dispatched again at least at this interval.
 MAX_DISPATCH_DELAY_S = 0.1
 MIN_DISPATCH_DELAY_S = 0.002
-# Classes that leave a slot that becomes free on a full server to checks for a moment.
+# Classes that may not use a slot freed on a full server while it is kept for checks.
 BACKGROUND_CLASSES = frozenset({job.JobClass.NORMAL, job.JobClass.DEFERRABLE})
 
 
 class Waiter:
-    """Stand for one request that waits for a slot."""
+    """Hold one request that waits for a slot."""
 
     __slots__ = ("deadline", "excluded", "job_class", "result", "retry")
 
@@ -54,7 +54,7 @@
         usable_until: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.service = service
-        # When the servers must be listed again before the next request is sent.
+        # Returns the monotonic time after which the VM list must be read before a send.
         self.usable_until = usable_until
         self.router = routing.Router(rng)
         self._admission = admission.Admission()
@@ -67,7 +67,7 @@
         self._zones_out: frozenset[str] = frozenset()
 
     def close(self) -> None:
-        """Stop offering slots; requests that wait end as not run."""
+        """Stop dispatching; waiting requests fail with `NotRun`."""
         if self._timer is not None:
             self._timer.kill()
             self._timer = None
@@ -75,13 +75,13 @@
             waiter.result.set(errors.NotRun(reason="not run: the process stops"))
 
     def set_servers(self, servers: list[routing.ServerFacts]) -> None:
-        """Replace the backend servers and serve waiting requests."""
+        """Replace the backend servers and dispatch waiting requests."""
         self._servers = {facts.id: facts for facts in servers}
         self.router.set_servers(servers)
         self.dispatch()
 
     def set_zones_out(self, zones: frozenset[str]) -> None:
-        """Use no server in these availability zones."""
+        """Exclude the servers in these availability zones."""
         self._zones_out = zones
         self.router.set_zones_out(zones)
         self.dispatch()
@@ -112,11 +112,13 @@
         """
         now = self._clock()
         if now >= deadline:
-            return errors.NotRun(reason="not run: the deadline passed before a start")
+            return errors.NotRun(
+                reason="not run: the deadline passed before the request was sent"
+            )
         rule = self.service.classes.get(job_class)
         if rule is not None and self._waiting[job_class] >= rule.max_waiting:
             return errors.Overloaded(
-                reason=f"not run: {rule.max_waiting} {job_class} requests wait already"
+                reason=f"not run: {rule.max_waiting} {job_class} requests already wait"
             )
         key = str(next(self._keys))
         waiter = Waiter(job_class, deadline, excluded, retry)
@@ -129,9 +131,11 @@
             self.dispatch()
             return waiter.result.get(timeout=deadline - now)
         except gevent.Timeout:
-            if waiter.result.ready():  # a server was given in the same moment
+            if waiter.result.ready():  # a server was assigned at the same time
                 return waiter.result.get()
-            return errors.NotRun(reason="not run: the deadline passed before a start")
+            return errors.NotRun(
+                reason="not run: the deadline passed before the request was sent"
+            )
         finally:
             self._waiting[job_class] -= 1
             del self._waiters[key]
@@ -144,19 +148,19 @@
         job_class: job.JobClass,
         seconds: float,
     ) -> None:
-        """Record how a request ended at a server and serve the next one."""
+        """Record how a request ended at a server and dispatch the next one."""
         self.router.finished(server_id, outcome, seconds, self._clock())
         if outcome is routing.Outcome.OK:
             self._admission.record_service_time(job_class, seconds)
         self.dispatch()
 
     def release(self, server_id: str) -> None:
-        """Give back a server to which nothing was sent."""
+        """Release a server to which nothing was sent."""
         self.router.unsent(server_id)
         self.dispatch()
 
     def dispatch(self) -> None:
-        """Give servers to waiting requests while there are both."""
+        """Assign servers to waiting requests while there are both."""
         while self._waiters:
             now = self._clock()
             if now > self.usable_until():
@@ -179,7 +183,7 @@
                 continue
             server = self.router.choose(now, waiter.excluded, background)
             if isinstance(server, errors.Failure):
-                # All others are full; a second try at the same one beats waiting.
+                # All others are full; an excluded server is better than waiting.
                 server = available
             self.router.sent(server.id, waiter.retry)
             waiter.result.set(server)
--- a/toucanspring/callers/forwarding.py
+++ b/toucanspring/callers/forwarding.py
@@ -1,4 +1,4 @@
-"""Idempotent requests: sent by any process, again elsewhere after a failure."""
+"""Idempotent requests: any process sends them, and retries them at other servers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from toucanspring.adapters import backend_servers
 from toucanspring.callers import answers, backend_pool, handler, routing
 
-# Part of an answer that is received before any of it is passed on. A failure within
-# it leads to a retry that the caller does not notice.
+# Size of the beginning of an answer that is received before any of it is passed on. A
+# failure within it is retried without the caller noticing.
 PREFETCH_BYTES = 256 * 1024
-# Refused connections are certain not to have run anything, so they need no budget,
-# but each costs time; a caller with a long deadline still gets an answer.
+# A failed connection certainly ran nothing, so it takes no retry from the budget. But
+# each costs time, and a caller with a long deadline must still get an answer.
 MAX_CONNECT_FAILURES = 8
-# Statuses with which a server says that it failed, not the request.
+# Statuses that report a failure of the server, not of the request.
 SERVER_FAILURE_STATUSES = frozenset({502, 503, 504})
 
 Clock = Callable[[], float]
@@ -28,7 +28,7 @@
 
 
 def headers_of(request: answers.Request) -> dict[str, str]:
-    """Return the headers that a backend server gets with a request."""
+    """Return the headers to send to a backend server with a request."""
     headers = {"X-Class": str(request.job_class), "X-Team": request.team}
     if request.content_type:
         headers["Content-Type"] = request.content_type
@@ -36,7 +36,7 @@
 
 
 class Stream:
-    """Pass on an answer in parts; frees the slot at its end or when closed."""
+    """Stream an answer; frees the slot at its end or when closed."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
 
 
 class IdempotentCall:
-    """Hold one request while it is tried at one server after the other."""
+    """Send one request to one server after another until one answers."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         self._last_failure: errors.Failure | None = None
 
     def run(self) -> answers.Answer | errors.Failure:
-        """Return the answer of the first server that gives a whole beginning of one."""
+        """Return the first answer of which at least the beginning arrives intact."""
         request = self._request
         while True:
             server = self._pool.acquire(
@@ -128,9 +128,11 @@
 
         if left_s <= 0:
             self._pool.release(server.id)
-            return errors.NotRun(reason="not run: the deadline passed before a start")
+            return errors.NotRun(
+                reason="not run: the deadline passed before the request was sent"
+            )
         if started > self._pool.usable_until():
-            # The process was paused since the server was chosen.
+            # The process was paused after the server was chosen.
             self._pool.release(server.id)
             return errors.NotRun(reason="not run: the VM list was read too long ago")
         result = self._client.send(
@@ -155,7 +157,7 @@
         answer: backend_servers.Answer,
         finish: Callable[[routing.Outcome], None],
     ) -> answers.Answer | errors.Failure:
-        """Receive the beginning of an answer; a small one is received whole."""
+        """Receive the beginning of an answer, or all of a small one."""
         prefetched: list[bytes] = []
         size = 0
         is_complete = False
@@ -188,7 +190,7 @@
             self._may_have_run |= isinstance(failure, errors.Ambiguous)
             return False
         match failure:
-            case errors.NotRun():  # the router avoids the full server by itself
+            case errors.NotRun():  # the router itself avoids the full server
                 return True
             case errors.Unavailable():
                 self._excluded |= {server.id}
@@ -202,7 +204,7 @@
         )
 
     def _final_failure(self, failure: errors.Failure) -> errors.Failure:
-        """Say `not run` only if no server can have begun the request."""
+        """Return the final failure: `NotRun` only if no server can have run it."""
         if self._may_have_run:
             last = self._last_failure or failure
             return errors.Unknown(reason=f"outcome unknown: {last.reason}")
--- a/toucanspring/callers/gateway.py
+++ b/toucanspring/callers/gateway.py
@@ -28,7 +28,7 @@
 
 
 class RequestMetrics:
-    """Count requests and their seconds by route and status."""
+    """Record the number and duration of requests by route and status."""
 
     def __init__(self, core: kernel.Kernel) -> None:
         metrics = core.find("metrics")
@@ -40,7 +40,7 @@
         )
 
     def process_request(self, request: falcon.Request, _response) -> None:
-        """Note when a request began."""
+        """Record when a request started."""
         request.context.started = time.monotonic()
 
     def process_response(
@@ -68,7 +68,7 @@
     def is_over(self) -> bool:
         """Return whether the documents were read.
 
-        An old view does not count later: during an outage of the store all processes
+        A stale view does not matter later: during an outage of the store all processes
         have one, and idempotent requests are still served.
         """
         if not self._was_fresh:
@@ -85,7 +85,7 @@
 
 
 def build_application(core: kernel.Kernel, settings: object, is_draining) -> falcon.App:
-    """Return the WSGI application with all routes of the page."""
+    """Return the WSGI application with all routes of the API."""
     startup_guard = StartupGuard(core)
     # falcon would read the VM's tables of file types, 0.3 MB; no files are served here.
     mimetypes.knownfiles.clear()
@@ -128,7 +128,7 @@
 def _answer_internal_error(
     _request, response: falcon.Response, error: Exception, _params
 ):
-    """Answer a programming error; whether work ran is then unknown."""
+    """Answer an unexpected exception; whether the work ran is then unknown."""
     log.error("request failed: {!r}", error, exc_info=True)
     response.status = falcon.HTTP_500
     response.content_type = api.JSON
@@ -183,7 +183,7 @@
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Close the listener; answers under way end their connections."""
+        """Close the listener; each connection ends with its current answer."""
         if not self._draining:
             self._drain_until = time.monotonic() + self._settings.drain_s
         self._draining = True
@@ -191,15 +191,15 @@
             self._server.stop_accepting_connections()
 
     def in_flight(self) -> int:
-        """Return the number of requests under way, counting those on their way in."""
+        """Return the number of requests in progress, including those in transit."""
         return 0 if self._server is None else self._server.in_flight()
 
     def stop(self) -> None:
-        """Wait for the requests under way, then close all connections."""
+        """Wait for the requests in progress, then close all connections."""
         if self._server is None:
             return
         self.stop_accepting()
-        # The daemon has waited before; both waits together take `drain_s` at most.
+        # The daemon has already waited; both waits together take `drain_s` at most.
         left_s = max(0.0, self._drain_until - time.monotonic())
         interrupted = self._server.drain(left_s)
         if interrupted:
@@ -212,5 +212,5 @@
         name = body.decode(errors="replace")
         if name not in report.NAMES:
             return errors.NotFound(reason=f"no report {name}")
-        # In blocks: the error budgets of many teams exceed one frame.
+        # In chunks: the error budgets of many teams exceed one frame.
         return answers.split(report.encode(report.collect(self._kernel, name)))
--- a/toucanspring/callers/handler.py
+++ b/toucanspring/callers/handler.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections of callers: limits on size and time, and a clean cut.
+"""HTTP/1.1 connections of callers: limits on size and time, and aborted answers.
 
-The base class reads headers and bodies without a limit on time, and discards the
-unread rest of any body; both let one slow or large client hold a connection.
+The base class reads headers and bodies without a time limit, and reads the rest of
+any body to discard it; both let one slow or large client occupy a connection.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADERS = 100
 MAX_BODY_BYTES = 16 << 20
-# More than this of an unread body is not worth reading to keep the connection.
+# A connection with a larger unread rest of a body is closed rather than reused.
 MAX_DISCARDED_BYTES = 64 * 1024
 HEAD_TIMEOUT_S = 10.0
 BODY_TIMEOUT_S = 30.0
-# A client that takes no part of an answer for this long is cut off.
+# A client that reads nothing of its answer for this long is disconnected.
 SEND_TIMEOUT_S = 30.0
-# Time for a client to read a refusal before the connection is closed: closing with
-# unread bytes resets it, and the client may lose the refusal.
+# Time for a client to read an error response before the connection is closed: closing
+# with unread bytes resets it, and the client may lose the response.
 LINGER_S = 1.0
-MAX_COALESCED_BYTES = 16 * 1024  # copied to save a packet
+MAX_COALESCED_BYTES = 16 * 1024  # copied to send the head and body in one packet
 
 _METHOD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
 _VERSION = re.compile(r"HTTP/1\.[01]")
@@ -60,7 +60,7 @@
 
 
 class AnswerAborted(Exception):
-    """Raised by an application to cut an answer of which a part was sent."""
+    """Raised by an application to abort an answer that was sent in part."""
 
 
 def render(failure: errors.Failure) -> bytes:
@@ -87,7 +87,7 @@
 
 
 class Input(pywsgi.Input):
-    """Read a request body; leave a large unread rest unread and close instead."""
+    """Read a request body; close the connection instead of discarding a large rest."""
 
     __slots__ = ("handler",)
 
@@ -113,8 +113,8 @@
 class Handler(pywsgi.WSGIHandler):
     """Serve the requests of one connection."""
 
-    body_length = 0  # bytes of the present answer that were handed to the socket
-    received_request = False  # whether a request has arrived on this connection
+    body_length = 0  # bytes of the current answer passed to the socket
+    received_request = False  # on this connection, at any time
 
     def handle(self) -> None:
         """Serve requests until either side ends the connection."""
@@ -134,7 +134,7 @@
                     self._linger()
                     break
         except OSError:
-            pass  # the client is gone
+            pass  # the client closed the connection
         finally:
             self.server.connections.discard(self)
             if not self.busy:
@@ -143,7 +143,7 @@
             self._close()
 
     def handle_one_request(self) -> object:
-        """Wait for a request, read its head in limited time, and answer it."""
+        """Wait for a request, read its head within a time limit, and answer it."""
         self.busy = False
         try:
             self.socket.settimeout(self.server.idle_timeout())
@@ -177,14 +177,14 @@
         return True
 
     def has_pending_request(self) -> bool:
-        """Return whether a request is under way, or was sent and not read yet."""
+        """Return whether a request is in progress, or has arrived but is unread."""
         if self.busy:
             return True
         sock = self.__dict__.get("socket")
         if sock is None:
             return False
         try:
-            # Under TLS, bytes are in the decoder or, encrypted, still in the kernel.
+            # With TLS, bytes may be in the TLS buffer or, encrypted, in the kernel.
             if hasattr(sock, "pending") and sock.pending():
                 return True
             return bool(sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -208,17 +208,18 @@
             raise BadRequest(413, errors.Oversized(reason=reason, limit=MAX_BODY_BYTES))
 
     def MessageClass(self, *arguments):  # noqa: N802 - name of the base class
-        """Parse the headers; refuse two framings or two lengths of one body.
+        """Parse the headers; reject conflicting framings or lengths of the body.
 
-        They let a proxy and this server read different requests from the same bytes.
+        They allow request smuggling: a proxy and this server would read different
+        requests from the same bytes.
         """
         headers = super().MessageClass(*arguments)
         coding = [name.lower() for name in headers.get_all("transfer-encoding", [])]
         lengths = headers.get_all("content-length", [])
         if coding and (lengths or coding != ["chunked"]):
-            raise BadRequest(400, errors.Malformed(reason="unclear body framing"))
+            raise BadRequest(400, errors.Malformed(reason="ambiguous body framing"))
         if len(lengths) > 1 or not all(map(_CONTENT_LENGTH.fullmatch, lengths)):
-            raise BadRequest(400, errors.Malformed(reason="unclear body length"))
+            raise BadRequest(400, errors.Malformed(reason="ambiguous body length"))
         return headers
 
     def get_environ(self) -> dict[str, object]:
@@ -238,14 +239,14 @@
         return environ
 
     def start_response(self, status, headers, exc_info=None):
-        """Start the answer; while the server stops, say that the connection ends."""
+        """Start the answer; while the server drains, add `Connection: close`."""
         if self.server.draining:
             headers = [item for item in headers if item[0].lower() != "connection"]
             headers.append(("Connection", "close"))
         return super().start_response(status, headers, exc_info)
 
     def process_result(self) -> None:
-        """Send the answer; one of another length than declared is cut."""
+        """Send the answer; abort it if it differs from the declared length."""
         self.body_length = 0
         super().process_result()
         declared = self.provided_content_length
@@ -262,7 +263,7 @@
         try:
             super()._write_with_headers(data)
         finally:
-            del self._sendall  # the method of the class shows again
+            del self._sendall  # restores the method of the class
         send_all(bytes(head_buffer))
 
     def _write(self, data: bytes) -> None:
@@ -270,11 +271,11 @@
         super()._write(data)
 
     def handle_error(self, kind, value, trace) -> None:
-        """Cut the answer if a part of it was sent, else answer with a failure."""
+        """Abort the answer if a part of it was sent, else answer with a failure."""
         if not isinstance(value, AnswerAborted | OSError):
             log.error("request failed: {}", value, exc_info=(kind, value, trace))
         if self.headers_sent:
-            log.debug("answer cut: {}", value)
+            log.debug("answer aborted: {}", value)
             self._abort()
             return
         self.close_connection = True
@@ -299,9 +300,9 @@
         """Write no access log; the metrics count requests."""
 
     def _abort(self) -> None:
-        """Reset the connection, so that no client takes the part for the whole.
+        """Reset the connection, so that no client takes a partial answer for complete.
 
-        An orderly close ends an answer without a length as if it were complete.
+        After a normal close, an answer without a length looks complete.
         """
         self.aborted = True
         self.close_connection = True
@@ -323,20 +324,20 @@
         self.__dict__.pop("wsgi_input", None)
         if sock is not None:
             with contextlib.suppress(OSError):
-                # The reader's file object keeps a reference that close() alone waits
-                # for.
+                # The reader's file object holds a reference, with which close() alone
+                # leaves the connection open.
                 sock._sock.close()
                 sock.close()
 
 
 def _send_close_notify(sock: object) -> None:
-    """Tell a TLS client that the bytes so far are complete.
+    """Send the TLS close_notify alert, which says that the data is complete.
 
-    Under TLS the end of the connection alone looks like a cut, and a cut like the end.
+    Without it, a client cannot tell the end of the data from a truncated connection.
     """
     encryption = getattr(sock, "_sslobj", None)
     if encryption is not None:
-        # Sends the notice; that of the client is not awaited, as `unwrap` would.
+        # Unlike `unwrap`, this does not wait for the client's close_notify.
         with contextlib.suppress(OSError):
             encryption.shutdown()
 
--- a/toucanspring/callers/listener.py
+++ b/toucanspring/callers/listener.py
@@ -10,13 +10,13 @@
 
 log = logbook.Logger(__name__)
 
-# Of <linux/filter.h> and <asm-generic/socket.h>; Python does not name them.
+# From <linux/filter.h> and <asm-generic/socket.h>; Python does not define them.
 _SO_ATTACH_FILTER = 26
 _LOAD_BYTE = 0x30  # BPF_LD | BPF_B | BPF_ABS
 _AND = 0x54  # BPF_ALU | BPF_AND | BPF_K
 _JUMP_IF_EQUAL = 0x15  # BPF_JMP | BPF_JEQ | BPF_K
 _RETURN = 0x06  # BPF_RET | BPF_K
-_FLAGS_OFFSET = 13  # of the flags in a TCP header
+_FLAGS_OFFSET = 13  # offset of the flags in a TCP header, in bytes
 _SYN = 0x02
 _SYN_AND_ACK = 0x12
 _WHOLE_PACKET = 0xFFFFFFFF
@@ -39,12 +39,13 @@
 
 
 def ignore_new_connections(listener: socket.socket) -> bool:
-    """Let the kernel drop new connection attempts; return False where it cannot.
+    """Make the kernel drop new connection attempts; return False if it cannot.
 
     Closing a listening socket resets every connection that the kernel completed after
-    the last accept, although its caller may have sent a request. With the filter, the
-    queue can be emptied for good before the close. A caller whose attempt was dropped
-    repeats it after a second and is then refused, so nothing of it was sent.
+    the last accept, although its caller may have sent a request. With the filter, no
+    connection is added while the queue is emptied before the close. A caller whose
+    attempt was dropped retries it after a second and is then refused, so it has sent
+    nothing.
     """
     program = ctypes.create_string_buffer(_DROP_SYN, len(_DROP_SYN))
     count = len(_DROP_SYN) // _INSTRUCTION_BYTES
@@ -53,6 +54,6 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, described)
     except OSError as error:
-        log.debug("the listener takes no packet filter: {}", error)
+        log.debug("attaching a packet filter to the listener failed: {}", error)
         return False
     return True
--- a/toucanspring/callers/listing.py
+++ b/toucanspring/callers/listing.py
@@ -1,4 +1,4 @@
-"""The VM list as last read, and until when it may be used to send requests."""
+"""Cache of the VM list, with the time until which requests may be sent by it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 log = logbook.Logger(__name__)
 
 POLL_S = 1.0
-# A read that is on time ends within the client's limit; one that takes longer, and a
-# poll that begins later, show that the process was paused. With the poll this bounds
-# the age of a list in use to 2.75 s, below the 3 s after which a leaving backend server
-# gets no new work. While the VM list is down the last list stays in use.
+# A read that exceeds the client's timeout by more than this, or a poll that begins
+# later by more than this, means that the process was paused. A list in use is therefore
+# at most 2.75 s old, below the 3 s after which a leaving backend server must get no new
+# work. While the VM list cannot be reached, the last list stays in use.
 SLACK_S = 0.25
 
 
 class VmListCache:
-    """Read the VM list in turns, and notice turns that come late."""
+    """Hold the last VM list, and detect polls delayed by a pause of the process."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         return self._usable_until
 
     def update(self) -> float:
-        """Read the list; return the seconds until the next turn."""
+        """Read the list; return the seconds until the next poll."""
         while True:
             sent_at = self._clock()
             if sent_at <= self._usable_until:
@@ -50,7 +50,7 @@
                 break
             # The answer may be as old as the pause.
         if isinstance(listed, errors.Failure):
-            log.warning("VM list: {}", listed.reason)
+            log.warning("reading the VM list failed: {}", listed.reason)
         else:
             self.vms = listed
         pause_s = max(0.0, sent_at + POLL_S - now)
--- a/toucanspring/callers/outcome_lookup.py
+++ b/toucanspring/callers/outcome_lookup.py
@@ -1,4 +1,4 @@
-"""Questions to backend servers about requests whose answers were lost."""
+"""Lookup of the outcome of requests whose answers were lost, at backend servers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from toucanspring.callers import answers
 from toucanspring.owners import outcomes
 
-# Whole answers are held in memory until they are durable.
+# Complete answers are kept in memory until they are durable.
 MAX_ANSWER_BYTES = 16 << 20
 LOOKUP_TIMEOUT_S = 2.0
-# A request whose connection broke may still wait in a buffer of its server. One that
-# a responsive server has not seen for this long ends as unknown; a trial with servers
-# that hung up kept callers waiting for 25 s without this limit.
+# A request whose connection broke may still wait in a buffer of its server. If a
+# responsive server has not seen it for this long, its outcome is unknown. Without this
+# limit, servers that closed connections kept callers waiting for 25 s.
 UNSEEN_LIMIT_S = 3.0
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 
 
 class OutcomeLookup:
-    """Ask servers what became of requests."""
+    """Look up the outcome of requests at backend servers."""
 
     def __init__(
         self,
@@ -37,16 +37,16 @@
     def look_up(
         self, request_id: str, start: outcomes.Start, limit_s: float, epoch_raised: bool
     ) -> answers.Stored | errors.Failure:
-        """Ask a server what became of a request.
+        """Return the outcome of a request from the server it was sent to.
 
-        `certain` says that the epoch was raised there, so that an ID it never saw
-        will not run any more.
+        `epoch_raised` says that the epoch was raised there, so that a request that
+        the server has not seen can no longer run.
         """
-        give_up = self._clock() + limit_s
+        deadline = self._clock() + limit_s
         backoff_s = FIRST_BACKOFF_S
         reason = "no answer"
         unseen_since: float | None = None
-        while self._clock() < give_up:
+        while self._clock() < deadline:
             state = self._client.lookup(start.server, request_id, LOOKUP_TIMEOUT_S)
             match state:
                 case backend_servers.Answer():
@@ -72,11 +72,13 @@
 def receive(
     answer: backend_servers.Answer, start: outcomes.Start
 ) -> answers.Stored | errors.Ambiguous | errors.Unknown:
-    """Receive a whole answer."""
+    """Receive a complete answer."""
     body = answer.read(MAX_ANSWER_BYTES)
     match body:
         case errors.Oversized():
-            return errors.Unknown(reason=f"ran, but its answer: {body.reason}")
+            return errors.Unknown(
+                reason=f"ran, but its answer was not received: {body.reason}"
+            )
         case errors.Failure():
             return body
     return answers.Stored(
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers to services: sent from here, or by the owner of their ID."""
+"""Requests to services, sent by this process or by the owner of the request ID."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 Request = answers.Request
 Answer = answers.Answer
 
-RETRY_S = 0.05  # until the owner of a partition is asked again
+RETRY_S = 0.05  # delay before the owner of a partition is called again
 STATUS_TIMEOUT_S = 2.0
-RECOVERY_TIMEOUT_S = 60.0  # until the log of a claimed partition is read
-# The owner refuses just after the deadline; its refusal is awaited this much longer.
+RECOVERY_TIMEOUT_S = 60.0  # limit on reading the log of a claimed partition
+# Extra wait for the refusal that the owner sends just after the deadline.
 OWNER_GRACE_S = 0.5
-# The owner was not reached, or refused before it looked at the ID.
+# The owner was not reached, or refused before it looked up the ID.
 RETRYABLE_FAILURES = (errors.Unavailable, errors.Refused)
 # The request may have run: the owner's answer was lost, or the owner lost its
-# ownership while it dealt with the request.
+# ownership while it processed the request.
 AMBIGUOUS_FAILURES = (errors.Ambiguous, errors.Timeout, errors.Closed, errors.Fenced)
 
 
 class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
-    """Begin the answer to a forwarded request; `length` bytes of body follow."""
+    """Start the answer to a forwarded request; `length` bytes of body follow."""
 
     status: int
     headers: dict[str, str] = {}
@@ -44,7 +44,7 @@
 
 
 class RequestState(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer the question for the state of a request ID."""
+    """Answer a status query for a request ID."""
 
     running: bool = False
     stored: answers.Stored | None = None
@@ -56,7 +56,7 @@
 
 
 class Service:
-    """Own the lanes of all services and the requests under way."""
+    """Own the backend pools of all services and the requests in progress."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._runner = runner.Runner(core, self._pool_of, self._client)
 
     def start(self) -> None:
-        """Answer the other processes and follow the VM list."""
+        """Register the handlers of peer calls and start polling the VM list."""
         peers = self._kernel.find("peers")
         peers.handle("request", self._serve_forwarded)
         peers.handle("request_status", self._serve_status)
@@ -88,7 +88,7 @@
         self._poller = gevent.spawn(self._poll)
 
     def stop(self) -> None:
-        """Stop following the VM list and close idle connections."""
+        """Stop polling the VM list and close idle connections."""
         if self._poller is not None:
             self._poller.kill()
         for each in self._pools.values():
@@ -96,11 +96,14 @@
         self._client.close()
 
     def in_flight(self) -> int:
-        """Return the number of requests that this process still works on."""
+        """Return the number of requests that this process is still handling."""
         return self._serving + self._runner.in_flight()
 
     def serve(self, request: Request) -> Answer | errors.Failure:
-        """Run a request and return its answer; see the page for the guarantees."""
+        """Run a request and return its answer.
+
+        Idempotent requests are retried at other servers; others run at most once.
+        """
         target = self._pool_of(request.service)
         if target is None:
             return errors.NotFound(reason=f"no service {request.service}")
@@ -128,7 +131,7 @@
     def lookup(
         self, request_id: str
     ) -> answers.Stored | runner.Running | errors.Failure:
-        """Return the outcome of a non-idempotent request, wherever it is owned."""
+        """Return the outcome of a non-idempotent request from the owner of its ID."""
         deadline = time.monotonic() + STATUS_TIMEOUT_S
         while True:
             result = search.find(
@@ -153,7 +156,7 @@
         return {name: each.waiting() for name, each in self._pools.items()}
 
     def _recover(self, event: claims.PartitionAcquired) -> None:
-        """Find out what became of requests that the former owner began."""
+        """Determine the outcome of requests that the former owner started."""
         gevent.spawn(self._recover_partition, event.partition)
 
     def _recover_partition(self, number: int) -> None:
@@ -162,16 +165,16 @@
             for request_id, server in owned.requests.interrupted().items():
                 self._runner.recover(request_id, server)
 
-    # Entry side
+    # Calls from the process that received the request
 
     def _forward(self, request: Request) -> Answer | errors.Failure:
-        """Pass a request to the owner of its ID, again after a lost owner.
+        """Forward a request to the owner of its ID; retry if the owner is lost.
 
-        The owner runs an ID once, so asking again is safe at any time.
+        The owner runs an ID at most once, so a retry is always safe.
         """
         deadline = time.monotonic() + request.deadline_s
         ambiguous: errors.Failure | None = None
-        number: int | None = None  # of a former number, where the request was begun
+        number: int | None = None  # set if another partition has the request
         while True:
             left_s = deadline - time.monotonic()
             result = self._forward_once(request, number, max(0.001, left_s))
@@ -184,7 +187,7 @@
                 case errors.RecordedNotRun():
                     return errors.NotRun(reason=result.reason)
                 case errors.NotRun() | errors.Overloaded() if ambiguous is not None:
-                    # The refusal is of this attempt; the lost one may yet arrive.
+                    # Only this attempt was refused; an earlier one may still arrive.
                     return errors.Unknown(reason=f"outcome unknown: {ambiguous.reason}")
             if isinstance(result, AMBIGUOUS_FAILURES):
                 ambiguous = result
@@ -213,7 +216,7 @@
             if isinstance(stored, errors.Failure):
                 return stored
             return _build_answer(stored.status, stored.headers, stored.body)
-        # A paused owner answers nothing; its successor knows what became of it.
+        # A paused owner does not answer; its successor knows the outcome.
         chunks = self._kernel.find("peers").call_stream(
             owner.process,
             "request",
@@ -249,14 +252,14 @@
             return errors.Malformed(reason=f"state of {request_id}: {error}")
         return runner.Running() if state.running else state.stored
 
-    # Owner side
+    # Calls handled by the owner of the request ID
 
     def _serve_forwarded(
         self, sender: str, body: bytes
     ) -> Iterator[bytes] | errors.Failure:
         request = answers.decode_request(body)
         if isinstance(request, errors.Failure):
-            log.error("from {}: {}", sender, request.reason)
+            log.error("invalid request forwarded by {}: {}", sender, request.reason)
             return request
         stored = self._runner.run(request)
         if isinstance(stored, errors.Failure):
@@ -273,14 +276,14 @@
                 return _encoder.encode(RequestState(running=True))
         return _encoder.encode(RequestState(stored=found))
 
-    # Lanes
+    # Backend pools
 
     def _pool_of(self, service: str) -> backend_pool.BackendPool | None:
         self._apply_documents()
         return self._pools.get(service)
 
     def _apply_documents(self) -> None:
-        """Take in another configuration or other zones out of service."""
+        """Apply a changed configuration and changes of the zones out of service."""
         documents = self._kernel.find("documents")
         cell = documents.cell()
         if cell is not self._cell:
@@ -332,7 +335,7 @@
                 for each in self._pools.values():
                     each.dispatch()
             except Exception:
-                log.exception("following the VM list failed")
+                log.exception("polling the VM list failed")
             gevent.sleep(pause_s)
 
     def _forget_unlisted(self, previous: list[vms.Vm]) -> None:
@@ -353,7 +356,7 @@
             case Answer(status=status):
                 good = status < 500
             case errors.Conflict() | errors.NotFound() | errors.Forbidden():
-                return  # the caller's fault spends no budget
+                return  # a caller's mistake does not use up the error budget
             case _:
                 good = False
         rule = service.classes.get(request.job_class)
@@ -375,7 +378,7 @@
 
 
 def _receive_answer(chunks: Iterator[bytes]) -> Answer | errors.Failure:
-    """Receive a whole answer; a broken one is asked for again."""
+    """Receive a complete answer; an incomplete one is `Ambiguous` and retried."""
     received = bytearray()
     try:
         head = _head_decoder.decode(next(chunks))
@@ -384,7 +387,7 @@
     except (StopIteration, msgspec.MsgspecError) as error:
         return errors.Ambiguous(reason=f"the owner's answer has no head: {error}")
     except rpc.StreamBrokenError as error:
-        return errors.Ambiguous(reason=f"the owner's answer broke: {error}")
+        return errors.Ambiguous(reason=f"the owner's answer ended early: {error}")
     if len(received) != head.length:
         return errors.Ambiguous(reason="the owner's answer is incomplete")
     return _build_answer(head.status, head.headers, bytes(received))
--- a/toucanspring/callers/routing.py
+++ b/toucanspring/callers/routing.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server for a request, circuit breakers and retry budget."""
+"""Choice of a backend server for each request, circuit breakers, retry budget."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 from toucanspring import errors
 
-FAILURES_TO_OPEN = 5  # failures in a row that open the breaker of a server
+FAILURES_TO_OPEN = 5  # consecutive failures that open a server's breaker
 FIRST_OPEN_S = 1.0
 MAX_OPEN_S = 30.0
-# After a refusal for lack of slots, a process sends to that server no more than it has
-# there in flight, and tries one more after this part of the mean answer time, within
-# the bounds. Without the limit, nine processes at 1.1 times the capacity got 140
-# refusals for each answer (bench.overload).
+# After a server refuses a request for lack of slots, a process limits its requests in
+# flight there to their current number. It raises the limit by one after this fraction
+# of the mean answer time, between MIN_LIMIT_RAISE_S and MAX_LIMIT_RAISE_S. Without the
+# limit, nine processes at 1.1 times the capacity got 140 refusals for each answer
+# (bench.overload).
 LIMIT_RAISE_FRACTION = 0.5
-# When servers are full, a slot that came free is kept for checks for this part of the
-# mean answer time.
+# When servers are full, a freed slot is reserved for requests of the class check for
+# this fraction of the mean answer time.
 RESERVED_FRACTION = 0.05
-# Work that can wait tries one more this many times less often, so that free slots go
-# to processes with checks.
+# Before exceeding the limit by one, background requests wait this many times longer,
+# so that free slots go to processes with requests of the class check.
 BACKGROUND_DELAY_FACTOR = 4.0
 MIN_LIMIT_RAISE_S = 0.002
 MAX_LIMIT_RAISE_S = 0.1
-NEWEST_WEIGHT = 0.1  # of the newest answer in the mean answer time
+NEWEST_WEIGHT = 0.1  # weight of the newest answer in the mean answer time
 MAX_RETRY_AFTER_S = 1.0
-SAMPLE_ATTEMPTS = 4  # pairs that are drawn before all servers are looked at
+SAMPLE_ATTEMPTS = 4  # random pairs drawn before all servers are compared
 
 RETRY_FRACTION = 0.1  # retries per request
 RETRY_BURST = 50.0
-RETRIES_PER_S = 1.0  # lets a process with few requests retry at all
+RETRIES_PER_S = 1.0  # allows retries in a process with few requests
 
 
 class Outcome(enum.StrEnum):
@@ -56,7 +57,7 @@
 
 
 class Server:
-    """Hold what this process knows of the load and health of one server."""
+    """Track the load and health of one server as seen by this process."""
 
     __slots__ = (
         "facts",
@@ -75,18 +76,16 @@
         self.facts = facts
         self.in_flight = 0
         self.seconds = 0.0  # mean answer time
-        self.limit = facts.slots  # requests in flight without a refusal
-        self.limit_raise_at = 0.0  # one more than `limit` may be tried then
-        self.reserved_until = 0.0  # a slot that came free is kept for checks
+        self.limit = facts.slots  # requests in flight that the server accepts
+        self.limit_raise_at = 0.0  # monotonic time when `limit` may be exceeded by one
+        self.reserved_until = 0.0  # freed slots are for checks until then
         self.failures = 0
-        self.open_s = 0.0  # duration of the present opening; 0 when closed
+        self.open_s = 0.0  # how long the breaker stays open; 0 when closed
         self.open_until = 0.0
-        self.probe_in_flight = (
-            False  # a request that tests an open breaker is in flight
-        )
+        self.probe_in_flight = False  # the request that tests an open breaker
 
     def blocked_until(self, background: bool) -> float:
-        """Return when the server may be used; inf after an answer."""
+        """Return when the server may be used; inf if an answer must arrive first."""
         if self.in_flight >= self.facts.slots or (self.open_s and self.probe_in_flight):
             return math.inf
         at = 0.0
@@ -99,7 +98,7 @@
         return max(at, self.open_until) if self.open_s else at
 
     def limit_raise_delay(self) -> float:
-        """Return how long to wait before one more request is tried."""
+        """Return how many seconds to wait before exceeding the limit by one."""
         return min(
             MAX_LIMIT_RAISE_S,
             max(MIN_LIMIT_RAISE_S, self.seconds * LIMIT_RAISE_FRACTION),
@@ -118,7 +117,7 @@
         self._servers: dict[str, Server] = {}
         self._zones_out: frozenset[str] = frozenset()
         self._usable: list[Server] = []
-        # No server may be used before; for checks and for background work.
+        # No server may be used before these times, by other and by background requests.
         self._blocked_until = [0.0, 0.0]
         self._tokens = RETRY_BURST / 5
         self._refilled_at: float | None = None
@@ -147,7 +146,7 @@
     ) -> ServerFacts | errors.Overloaded:
         """Return the less loaded of two random servers that may be used.
 
-        `background` marks work that can wait.
+        `background` marks a request of a class that can wait.
         """
         usable = self._usable
         if not usable:
@@ -179,7 +178,7 @@
         return self._overloaded(soonest, now)
 
     def sent(self, server_id: str, retry: bool = False) -> None:
-        """Record that a request was sent; first attempts earn retries."""
+        """Record that a request was sent; first attempts add to the retry budget."""
         server = self._servers.get(server_id)
         if server is not None:
             server.in_flight += 1
@@ -218,7 +217,7 @@
                     server.open_until = now + server.open_s
 
     def unsent(self, server_id: str) -> None:
-        """Take back `sent` for a request that was not sent after all."""
+        """Undo `sent` for a request that was not sent after all."""
         server = self._servers.get(server_id)
         if server is not None:
             server.in_flight = max(0, server.in_flight - 1)
--- a/toucanspring/callers/server.py
+++ b/toucanspring/callers/server.py
@@ -14,20 +14,19 @@
 
 MAX_CONNECTIONS = 4096
 IDLE_TIMEOUT_S = 75.0
-# Idle connections are closed sooner when few are left for new callers.
+# Above this fraction of MAX_CONNECTIONS, idle connections are closed sooner.
 BUSY_FRACTION = 0.75
 BUSY_IDLE_TIMEOUT_S = 1.0
-# Callers find an idle connection closed only after this time into a graceful stop;
-# one more request on it is still answered.
+# Idle connections stay open for this time after a graceful stop begins; one more
+# request on each is still answered.
 DRAIN_IDLE_S = 1.0
 FINAL_ACCEPT_CALLS = 4  # of 100 connections each; the backlog holds 256
-# Handshakes that began before the listener ignores new ones end within a round trip,
-# 6 ms to callers.
+# TCP handshakes that began before the listener ignores new ones complete within a
+# round trip, 6 ms to callers.
 TCP_HANDSHAKE_S = 0.02
-# A caller that has connected sends its first request within this time, or a graceful
-# stop no longer waits for it.
+# A graceful stop waits for this time for the first request on a new connection.
 FIRST_REQUEST_S = 3.0
-# Limit on a TLS handshake, which comes before the limit on the head of a request.
+# The TLS handshake has its own limit, since handler.HEAD_TIMEOUT_S begins after it.
 TLS_HANDSHAKE_S = 10.0
 
 
@@ -58,24 +57,24 @@
             error_log=_ErrorLog(),
             **({} if tls is None else {"ssl_context": tls}),
         )
-        self._handshakes = 0  # TLS handshakes under way
+        self._handshakes = 0  # TLS handshakes in progress
         self.connections: set[handler.Handler] = set()
         self.draining = False
         self._idle_until = 0.0  # monotonic seconds
         self._first_requests_until = 0.0
 
     def update_environ(self) -> None:
-        """Name the server by its IP address.
+        """Use the IP address as the server name.
 
-        The base class asks a resolver for the name, which can take long, starts native
-        threads and imports tables.
+        The base class looks the name up with a resolver, which can take long, starts
+        native threads and loads tables.
         """
         if isinstance(self.address, tuple):
             self.environ.setdefault("SERVER_NAME", str(self.address[0]))
         super().update_environ()
 
     def wrap_socket_and_handle(self, client_socket, address) -> None:
-        """Serve a caller after the TLS handshake, which is limited in time."""
+        """Serve a caller after the TLS handshake, which has a time limit."""
         self._handshakes += 1
         try:
             with gevent.Timeout(TLS_HANDSHAKE_S, TimeoutError("slow TLS handshake")):
@@ -97,13 +96,13 @@
     def in_flight(self) -> int:
         """Return the number of requests being read or answered.
 
-        While draining has just begun, one more stands for requests that were sent
-        on idle connections and have not arrived yet.
+        Just after draining begins, one is added for requests that were sent on idle
+        connections and have not arrived yet.
         """
         if not self.draining:
             return sum(each.busy for each in self.connections)
         pending = sum(each.has_pending_request() for each in self.connections)
-        # Handlers of connections that were accepted a moment ago have not run yet.
+        # The handlers of newly accepted connections have not run yet.
         pending += max(0, len(self.pool) - len(self.connections) - self._handshakes)
         now = time.monotonic()
         if now < self._idle_until:
@@ -114,7 +113,7 @@
         return pending
 
     def stop_accepting_connections(self) -> None:
-        """Serve the connections that the kernel has completed, accept no others."""
+        """Accept the connections that the kernel has completed, but no others."""
         if self.draining:
             return
         self.draining = True
--- a/toucanspring/callers/submission.py
+++ b/toucanspring/callers/submission.py
@@ -1,4 +1,4 @@
-"""Submissions of callers, and the jobs that they become."""
+"""Job submissions of callers, and their conversion to job specs."""
 
 from __future__ import annotations
 
@@ -124,28 +124,35 @@
     if not item.template:
         if not item.queue:
             raise _invalid(
-                f"{path}.queue", "", "a queue or a template", "queue missing"
+                f"{path}.queue", "", "a queue or a template", "missing queue"
             )
         if item.resources is None:
-            raise _invalid(f"{path}.resources", "", "cpus and memory", "size missing")
+            raise _invalid(
+                f"{path}.resources", "", "cpus and memory", "missing resources"
+            )
         return None
     template = cell.jobs.get(item.template)
     if template is None:
         expected = "a job of the configuration"
         raise _invalid(f"{path}.template", item.template, expected, "unknown name")
     if item.queue and item.queue != template.queue:
-        raise _invalid(f"{path}.queue", item.queue, template.queue, "another queue")
+        raise _invalid(
+            f"{path}.queue",
+            item.queue,
+            template.queue,
+            "the template belongs to another queue",
+        )
     return template
 
 
 class JobSpecBuilder:
-    """Turn the submissions of one call into jobs of the teams that may run them."""
+    """Convert the submissions of one call to job specs, and check the key for each."""
 
     def __init__(self, cell: text.Cell, access: api.Access, secret: str | None) -> None:
         self._cell = cell
         self._access = access
         self._secret = secret
-        self._team: str | None = None  # of the key, once it was needed
+        self._team: str | None = None  # team of the key, once looked up
 
     def build(self, item: Submission, path: str) -> list[job.JobSpec]:
         """Return the job of a submission after the dependencies of its template."""
@@ -157,7 +164,12 @@
             expected = "a queue of the configuration"
             raise _invalid(f"{path}.queue", name, expected, "unknown name")
         if item.team and item.team != queue.team:
-            raise _invalid(f"{path}.team", item.team, queue.team, "another team")
+            raise _invalid(
+                f"{path}.team",
+                item.team,
+                queue.team,
+                "the queue belongs to another team",
+            )
         job_id = self._authorise(item, queue, path)
         fields = _overrides(cell, item, path)
         if template is None:
@@ -192,7 +204,9 @@
                 if queue.is_open
                 else f"an ID that does not start with {api.OPEN_PREFIX}"
             )
-            raise _invalid(f"{path}.id", item.id, expected, "ID of another access")
+            raise _invalid(
+                f"{path}.id", item.id, expected, "the ID prefix does not fit the queue"
+            )
         return item.id
 
     def _check_size(self, spec: job.JobSpec, path: str) -> None:
@@ -207,14 +221,14 @@
 
 
 def check_total(built: list[job.JobSpec]) -> None:
-    """Raise `Failed` if a call holds too much work or an ID twice."""
+    """Raise `ApiError` if a call has too many jobs or tasks, or an ID twice."""
     tasks = sum(spec.task_count for spec in built)
     if tasks > MAX_TASKS or len(built) > MAX_JOBS:
         raise _invalid(
             "jobs",
             f"{len(built)} jobs with {tasks} tasks",
             f"at most {MAX_JOBS} jobs and {MAX_TASKS} tasks a call",
-            "too much work in one call; not run",
+            "too many jobs or tasks in one call; not run",
         )
     if len({spec.id for spec in built}) < len(built):
         raise _invalid("jobs", "", "each ID once", "duplicate ID; not run")
