--- a/test/edge_fakes.py
+++ b/test/edge_fakes.py
@@ -35,7 +35,7 @@
     return types.SimpleNamespace(**{**fields, **changes})
 
 
-class Idle:
+class NoOpService:
     def start(self):
         pass
 
@@ -43,7 +43,7 @@
         pass
 
 
-class Documents(Idle):
+class Documents(NoOpService):
     def __init__(self, source=KERNHALDE):
         self.text = source
         self.version = 1
@@ -115,7 +115,7 @@
         return 2
 
 
-class Partitions(Idle):
+class Partitions(NoOpService):
     def __init__(self):
         self.jobs = {}
         self.refuse = None
@@ -182,7 +182,7 @@
         self.requests[request_id].outcome = outcome
 
 
-class Claims(Idle):
+class Claims(NoOpService):
     def __init__(self):
         self.partitions = {0: 1, 1: 1, 2: 1}
         self.owner = "entry-1"
@@ -194,7 +194,7 @@
         return claims.Owner(self.owner, 1, 1)
 
 
-class Peers(Idle):
+class Peers(NoOpService):
     def __init__(self):
         self.handlers = {}
         self.stream = lambda method, body: errors.Unavailable(reason="no peer")
@@ -211,7 +211,7 @@
 
 
 @dataclasses.dataclass
-class Membership(Idle):
+class Membership(NoOpService):
     identity: object = dataclasses.field(
         default_factory=lambda: types.SimpleNamespace(process="entry-1")
     )
@@ -233,7 +233,7 @@
         return {"entry-1"}
 
 
-class Store(Idle):
+class Store(NoOpService):
     def __init__(self, listed=()):
         self.listed = list(listed)
         self.kept = {}
--- a/test/request_fakes.py
+++ b/test/request_fakes.py
@@ -16,16 +16,16 @@
 
 REFUSED = errors.NotRun(reason="slots")
 FENCED = errors.NotRun(reason="epoch")
-UNREACHED = errors.Unavailable(reason="connection refused")
+UNREACHABLE = errors.Unavailable(reason="connection refused")
 LOST = errors.Ambiguous(reason="no answer")
-CUT = "cut"  # the answer ends after its first part
+TRUNCATED = "cut"  # the answer ends after its first part
 
 
 class Clock:
     """Pass time only while somebody sleeps."""
 
     def __init__(self):
-        self.began = self.now = time.monotonic()
+        self.started_at = self.now = time.monotonic()
         self.gevent = types.SimpleNamespace(spawn=gevent.spawn, sleep=self.sleep)
 
     def __call__(self):
@@ -36,31 +36,31 @@
         gevent.sleep(0)
 
     @property
-    def passed_s(self):
-        return self.now - self.began
+    def elapsed_s(self):
+        return self.now - self.started_at
 
 
 class Reply:
     """Stand for the connection of an answer."""
 
-    def __init__(self, parts, cut, status):
+    def __init__(self, parts, truncated, status):
         self.parts = parts
         self.status = status
         self.headers = {"x-a": "1"}
-        self.cut = cut
+        self.truncated = truncated
         self.closed = False
 
     def blocks(self):
         yield from self.parts
-        if self.cut:
+        if self.truncated:
             raise exchange.BrokenAnswer(errors.Ambiguous(reason="ended early"))
 
     def close(self):
         self.closed = True
 
 
-def answer(body=b"whole", cut=False, status=200):
-    reply = Reply([body[:1], body[1:]], cut, status)
+def answer(body=b"whole", truncated=False, status=200):
+    reply = Reply([body[:1], body[1:]], truncated, status)
     return backend_servers.Answer(status, reply.headers, reply.blocks(), reply)
 
 
@@ -73,7 +73,7 @@
         self.ran = []
         self.epochs = []
         self.raise_answer = None
-        self.dead = set()
+        self.unreachable = set()
         self.lookups = collections.deque([errors.NotFound(reason="unseen")])
 
     def send(
@@ -87,27 +87,27 @@
         send_by=math.inf,
     ):
         self.sent.append((server, request_id, epoch))
-        step = self.script.popleft() if len(self.script) > 1 else self.script[0]
-        if isinstance(step, float):
+        result = self.script.popleft() if len(self.script) > 1 else self.script[0]
+        if isinstance(result, float):
             self.ran.append(request_id)
-            gevent.sleep(step)
+            gevent.sleep(result)
             return answer()
-        if isinstance(step, errors.Failure):
-            if step is LOST:
+        if isinstance(result, errors.Failure):
+            if result is LOST:
                 self.ran.append(request_id)
-            return step
+            return result
         self.ran.append(request_id)
-        if step is CUT:
-            return answer(cut=True)
-        return answer(step)
+        if result is TRUNCATED:
+            return answer(truncated=True)
+        return answer(result)
 
     def lookup(self, server, request_id, timeout_s):
-        if server in self.dead:
-            return UNREACHED
+        if server in self.unreachable:
+            return UNREACHABLE
         if request_id not in self.ran and timeout_s == runner.PROBE_TIMEOUT_S:
             return errors.NotFound(reason="unseen")
-        step = self.lookups.popleft() if len(self.lookups) > 1 else self.lookups[0]
-        return answer(step) if isinstance(step, bytes) else step
+        result = self.lookups.popleft() if len(self.lookups) > 1 else self.lookups[0]
+        return answer(result) if isinstance(result, bytes) else result
 
     def raise_epoch(self, server, epoch):
         self.epochs.append((server, epoch.epoch))
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -44,7 +44,7 @@
         admitted = [name for name, kind in items if kind is admission.QueuedRequest]
         self.assertEqual(["c1", "c2", "c3"], admitted)
 
-    def test_expired_requests_come_out_as_not_run(self):
+    def test_expired_requests_are_returned_as_not_run(self):
         # Guards against requests that end without an answer.
         self.admission.offer("a", NORMAL, 1.0, 0.0)
         self.admission.offer("b", NORMAL, 5.0, 0.0)
@@ -59,13 +59,13 @@
         self.assertEqual([], self.admission.ended(2.0))
         self.assertEqual([("b", admission.QueuedRequest)], self.drain(2.0))
 
-    def test_memory_is_bounded_when_deadlines_are_far(self):
+    def test_memory_is_bounded_with_late_deadlines(self):
         for number in range(1000):
             self.admission.offer(f"r{number}", NORMAL, 1e6, 0.0)
             self.admission.next(0.0)
         self.assertLess(len(self.admission._deadlines), 20)
 
-    def test_hopeless_requests_are_not_run(self):
+    def test_requests_that_cannot_meet_their_deadline_are_not_run(self):
         # Guards against slots spent on answers that come too late.
         self.admission.offer("a", NORMAL, 5.0, 0.0)
         self.admission.record_service_time(NORMAL, 1.0)
@@ -73,14 +73,14 @@
         self.assertIsInstance(late, errors.Overloaded)
         self.assertEqual([("a", errors.NotRun)], self.drain(4.5))
 
-    def test_a_refused_request_goes_back_in_front(self):
+    def test_a_refused_request_returns_to_the_head_of_the_queue(self):
         first = self.admission.offer("a", NORMAL, 9.0, 0.0)
         self.admission.offer("b", NORMAL, 9.0, 0.0)
         self.assertEqual(("a", first), self.admission.next(0.0))
         self.admission.requeue(first)
         self.assertEqual("a", self.admission.next(0.0)[0])
 
-    def test_every_request_comes_out_exactly_once(self):
+    def test_every_request_is_returned_exactly_once(self):
         # Guards against lost and against doubled requests.
         queue = admission.Admission(limit=20)
         rng = random.Random(2)
--- a/test/test_api.py
+++ b/test/test_api.py
@@ -34,7 +34,7 @@
         self.assertEqual(200, self.call("DELETE", path, key=gateway_case.OPERATOR)[0])
         self.check_failure(self.submit(gateway_case.JOB), 403, "Forbidden")
 
-    def test_an_old_view_refuses_keyed_work_and_accepts_open_work(self):
+    def test_a_stale_view_refuses_keyed_work_and_accepts_open_work(self):
         # Guards against a withdrawn key that works where its withdrawal is unknown.
         self.assertEqual(202, self.submit(gateway_case.JOB)[0])
         self.documents.is_fresh = False
@@ -44,13 +44,13 @@
         )
         self.assertEqual(202, status)
 
-    def test_nothing_is_answered_before_the_documents_were_read(self):
+    def test_calls_are_refused_before_the_documents_were_read(self):
         # A restarted daemon told callers that their service does not exist.
         self.documents.is_fresh = False
         self.check_failure(self.submit(gateway_case.JOB), 503, "Unavailable")
         self.check_failure(self.call("GET", "/v1/jobs/a"), 503, "Unavailable")
 
-    def test_open_and_keyed_ids_are_apart(self):
+    def test_open_and_keyed_ids_are_separate(self):
         # Guards against anyone taking the ID of, or reading, keyed work.
         open_job = {**gateway_case.JOB, "queue": "label-previews"}
         self.check_failure(self.submit({**open_job, "id": "a"}), 400, "Invalid")
@@ -92,7 +92,7 @@
                 answer = self.call(method, path, key=key)
                 self.check_failure(answer, status, "Forbidden")
 
-    def test_no_operator_key_in_the_settings_admits_nobody(self):
+    def test_without_an_operator_key_in_the_settings_nobody_is_an_operator(self):
         access = api.Access(self.core, edge_fakes.make_settings(operator_key_hash=""))
         self.assertFalse(access.is_operator(""))
         self.assertFalse(access.is_operator("x"))
--- a/test/test_api_events.py
+++ b/test/test_api_events.py
@@ -25,12 +25,12 @@
         self.assertEqual(1, item["count"])
         self.assertIn("process", item)
 
-    def test_wrong_parameters_are_named(self):
+    def test_wrong_parameters_are_refused(self):
         for query in ("since=0", "since=nan", "since=1e9", "kind=nothing"):
             result = self.call("GET", f"/v1/events?{query}", key=OPERATOR)
             self.check_failure(result, 400, "Invalid")
 
-    def test_an_answer_is_bounded_and_says_so(self):
+    def test_an_answer_is_bounded_and_counts_omitted_events(self):
         self.patch(api_events, "MAX_ENTRIES", 2)
         for name in ("w1", "w2", "w3"):
             self.core.publish(event_kinds.WorkerQuarantined(name))
--- a/test/test_api_jobs.py
+++ b/test/test_api_jobs.py
@@ -87,7 +87,7 @@
             self.check_failure(answer, 400, "Invalid")
         self.assertEqual({}, self.partitions.jobs)
 
-    def test_a_template_brings_its_dependencies(self):
+    def test_a_template_submits_its_dependencies(self):
         status, body = self.submit(
             {"template": "demand-report", "id": "d"}, key="Bearer x"
         )
@@ -104,7 +104,7 @@
         self.partitions.refuse = errors.StoreUnavailable(reason="store")
         self.check_failure(self.submit(gateway_case.JOB), 503, "StoreUnavailable")
 
-    def test_a_slow_or_cut_body_submits_nothing(self):
+    def test_a_slow_or_truncated_body_submits_nothing(self):
         # Guards against part of a submission that is taken for the whole.
         self.patch(handler, "BODY_TIMEOUT_S", 0.2)
         body = json.dumps({"jobs": [gateway_case.JOB]}).encode()
--- a/test/test_api_services.py
+++ b/test/test_api_services.py
@@ -24,7 +24,7 @@
     def ask(self, **headers):
         return self.call("POST", self.PATH, "ask", gateway_case.DESK, **headers)
 
-    def test_a_caller_cannot_make_a_class_less_careful(self):
+    def test_a_caller_cannot_make_a_non_idempotent_class_idempotent(self):
         # Guards against an order marked idempotent by mistake that runs twice.
         self.serve_with(gateway_case.make_answer)
         for name, word, expected in (
@@ -54,7 +54,7 @@
         self.check_failure(answer, 413, "Oversized")
         self.assertEqual([], self.seen)
 
-    def test_a_key_that_is_withdrawn_during_the_upload_admits_nothing(self):
+    def test_a_key_that_is_withdrawn_during_the_upload_is_refused(self):
         # Guards against a slow upload that outlives the withdrawal by 30 s.
         self.serve_with(gateway_case.make_answer)
         with socket.create_connection(("127.0.0.1", self.port)) as sock:
@@ -68,7 +68,7 @@
             self.assertIn(b"403", sock.recv(65536))
         self.assertEqual([], self.seen)
 
-    def test_the_deadline_is_the_shorter_one(self):
+    def test_the_shorter_of_both_deadlines_applies(self):
         self.serve_with(gateway_case.make_answer)
         for word, expected in (("500", 0.5), ("999999", 2.0)):
             self.ask(X_Deadline_Ms=word)
--- a/test/test_backend_servers.py
+++ b/test/test_backend_servers.py
@@ -100,7 +100,7 @@
         )
         self.assertEqual({bytes: 8, "slots": 56, "connections": 6}, dict(results))
 
-    def test_cut_answers_are_never_complete(self):
+    def test_truncated_answers_are_never_complete(self):
         for chunked in (False, True):
             for cut_at in (0, 1, 99_999):
                 got = self.send(
@@ -112,7 +112,7 @@
         whole = self.send("r", answer_bytes=100_000, stall_ms=50)
         self.assertEqual(100_000, len(whole))
 
-    def test_iterating_a_cut_answer_raises(self):
+    def test_iterating_a_truncated_answer_raises(self):
         # Guards against a stream forwarded to a caller that seems to end normally.
         work = msgspec.json.encode({"answer_bytes": 100_000, "cut_at": 50_000})
         answer = self.client.send(self.servers[0], "r", work, 1.0)
@@ -153,7 +153,7 @@
         self.assertEqual(64, len(self.send("r2", epoch=other)))
         self.assertEqual([], self.runs("r1"))
 
-    def test_only_old_outcomes_are_forgotten(self):
+    def test_only_old_outcomes_are_removed(self):
         # Guards against a stand-in that grows without limit, or forgets too early.
         self.patch(standin, "MAX_REMEMBERED_BYTES", 1000)
         for name in ("r1", "r1", "r2", "r2", "r3"):
@@ -196,7 +196,7 @@
         self.assertEqual(503, answer.status)
         self.assertEqual(["e0"], self.runs("r1"))
 
-    def test_a_server_address_that_is_none_is_invalid(self):
+    def test_a_server_name_without_a_port_is_invalid(self):
         self.assertIsInstance(
             self.client.send("nowhere", "r1", b"", 1.0), errors.Invalid
         )
--- a/test/test_exchange.py
+++ b/test/test_exchange.py
@@ -120,7 +120,7 @@
         first_arrived.set()
         self.assertEqual([b"cd"], list(blocks))
 
-    def test_the_pool_limits_connections_and_waiting_is_not_sending(self):
+    def test_calls_that_wait_for_a_connection_of_the_pool_are_not_sent(self):
         # Guards against calls that are reported as perhaps sent while they waited for
         # a connection, and against connections beyond the limit.
         go_on = event.Event()
@@ -154,7 +154,7 @@
         self.assertEqual(1, started.connections)  # given back unused
         self.assertEqual(1, len(started.requests))
 
-    def test_no_failure_keeps_a_connection_from_the_pool(self):
+    def test_every_failure_returns_its_connection_to_the_pool(self):
         # Guards against a pool of one that is empty for good after a failure.
         failing = self.serve(OK_HEAD + b"9\r\n\r\n1", 0.2)
         endpoint = self.endpoint(failing.port)
@@ -169,7 +169,7 @@
             opened.close()
         self.assertIsInstance(endpoint.open("GET", "/"), exchange.OpenReply)
 
-    def test_a_server_that_does_not_read_keeps_no_connection(self):
+    def test_a_blocked_send_returns_its_connection_to_the_pool(self):
         # Guards against a pool that loses one connection for each blocked send.
         idle = server.StreamServer(
             service.listen("127.0.0.1", 0), lambda _sock, _address: gevent.sleep(9)
@@ -181,7 +181,7 @@
             reply = endpoint.call("PUT", "/", bytes(1 << 24), timeout_s=0.05)
             self.assertIsInstance(reply, errors.Ambiguous)
 
-    def test_an_answer_abandoned_in_the_middle_is_not_mixed_into_the_next(self):
+    def test_the_rest_of_an_abandoned_answer_is_not_read_by_the_next_call(self):
         # Guards against a caller who gets the rest of someone else's answer.
         started = self.serve(OK_HEAD + b"200000\r\n\r\n" + b"x" * 200_000, end=False)
         endpoint = self.endpoint(started.port)
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -27,43 +27,45 @@
         self.core.find("peers").stream = call
         return self.serve(idempotent=False, deadline_s=deadline_s)
 
-    def chunks(self, body=b"whole", cut=False):
+    def chunks(self, body=b"whole", truncated=False):
         stored = answers.Stored(
             team="desk", service="s", digest=b"", status=200, body=body
         )
         for part in requests._stream_answer(stored):
             yield part
-            if cut:
+            if truncated:
                 raise rpc.StreamBrokenError("the owner ended")
 
-    def test_a_broken_answer_of_the_owner_is_asked_for_again(self):
+    def test_a_broken_answer_of_the_owner_is_retried(self):
         # Guards against a truncated answer, and against giving up on a retry that
         # the owner's log makes safe.
-        result = self.forward(self.chunks(cut=True), request_fakes.LOST, self.chunks())
+        result = self.forward(
+            self.chunks(truncated=True), request_fakes.LOST, self.chunks()
+        )
         self.check_whole(result)
         self.assertEqual(3, self.calls)
 
-    def test_a_refusal_after_a_lost_call_is_no_proof(self):
+    def test_a_refusal_after_a_lost_call_leaves_the_outcome_unknown(self):
         # Guards against "not run" while the first call may still arrive.
         result = self.forward(request_fakes.LOST, errors.NotRun(reason="full"))
         self.assertIsInstance(result, errors.Unknown)
 
-    def test_a_recorded_refusal_is_proof_after_a_lost_call(self):
+    def test_a_recorded_refusal_after_a_lost_call_is_not_run(self):
         # Guards against "unknown" for each order under way during a handover.
         result = self.forward(
             request_fakes.LOST, errors.RecordedNotRun(reason="never seen")
         )
         self.assertEqual(errors.NotRun(reason="never seen"), result)
 
-    def test_an_owner_that_moved_is_looked_for_until_the_deadline(self):
+    def test_a_new_owner_is_searched_until_the_deadline(self):
         moved = errors.Refused(reason="not the owner")
-        self.check_whole(self.forward(moved, request_fakes.UNREACHED, self.chunks()))
+        self.check_whole(self.forward(moved, request_fakes.UNREACHABLE, self.chunks()))
         clock = request_fakes.Clock()
         result = self.forward(moved, deadline_s=20.0, clock=clock)
         # Not `NotRun`: an earlier call with the same ID may have run.
         self.assertIsInstance(result, errors.Unavailable)
-        self.assertGreater(clock.passed_s, 20.0 - 2 * requests.RETRY_S)
-        self.assertLessEqual(clock.passed_s, 20.0)
+        self.assertGreater(clock.elapsed_s, 20.0 - 2 * requests.RETRY_S)
+        self.assertLessEqual(clock.elapsed_s, 20.0)
 
     def test_the_owner_refuses_ids_of_other_partitions(self):
         self.start()
@@ -75,7 +77,7 @@
         self.assertIsInstance(result, errors.Refused)
         self.assertEqual([], self.client.sent)
 
-    def test_a_running_state_of_the_log_is_followed_up(self):
+    def test_the_outcome_of_a_request_that_the_log_names_running_is_looked_up(self):
         self.start()
         start = outcomes.Start("10.0.0.9:80", "desk", "request-desk", b"")
         self.partitions.begin_answer = request_log.Running(start.encode(), 1, True)
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -11,7 +11,7 @@
 
 
 class StopTest(gateway_case.GatewayCase):
-    def test_the_stop_waits_once_for_its_limit(self):
+    def test_the_stop_waits_only_once_for_its_limit(self):
         # Guards against a daemon that waits `drain_s` while it drains and again
         # when it stops.
         service = self.core.find("gateway")
--- a/test/test_handler.py
+++ b/test/test_handler.py
@@ -34,7 +34,7 @@
         return [b"slow"]
     if path == "/cut":
         start_response("200 OK", [])
-        return cut()
+        return truncated()
     if path == "/large":
         start_response("200 OK", [])
         return (b"x" * 65536 for _ in range(400))
@@ -42,7 +42,7 @@
     return [b"ok"]
 
 
-def cut():
+def truncated():
     yield b"first part"
     gevent.sleep(0.05)
     raise handler.AnswerAborted("the backend server ended early")
@@ -118,7 +118,7 @@
         )
         self.check_refused(414, "Oversized", line)
 
-    def test_unclear_framing_is_refused(self):
+    def test_ambiguous_framing_is_refused(self):
         # Guards against a request that is smuggled past a proxy.
         for headers in (
             b"Content-Length: 5\r\nContent-Length: 6\r\n",
@@ -135,7 +135,7 @@
         head = b"POST /echo HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % length
         self.check_refused(413, "Oversized", head)
 
-    def test_a_slow_head_does_not_hold_a_connection(self):
+    def test_a_slow_head_does_not_occupy_a_connection(self):
         # Guards against callers that send one byte now and then.
         self.patch(handler, "HEAD_TIMEOUT_S", 0.2)
         with self.connect() as connection:
@@ -144,7 +144,7 @@
             self.assertIn(b"408", connection.receive())
             self.assertLess(gevent.get_hub().loop.now() - started, 5)
 
-    def test_idle_connections_end_sooner_when_few_are_left(self):
+    def test_idle_connections_end_sooner_near_the_connection_limit(self):
         # Guards against idle callers that keep all others out.
         self.patch(server, "MAX_CONNECTIONS", 2)
         self.patch(server, "BUSY_IDLE_TIMEOUT_S", 0.1)
@@ -156,7 +156,7 @@
             with connection:
                 self.assertTrue(connection.receive().endswith(b"ok"))
 
-    def test_a_reader_that_stops_reading_is_cut_off(self):
+    def test_a_client_that_stops_reading_is_disconnected(self):
         # Guards against answers that stay in memory for callers that never read.
         self.patch(handler, "SEND_TIMEOUT_S", 0.2)
         with self.connect() as connection:
@@ -165,7 +165,7 @@
             gevent.sleep(1.0)
             self.assertEqual(0, self.server.in_flight())
 
-    def test_a_cut_answer_never_looks_complete(self):
+    def test_a_truncated_answer_never_looks_complete(self):
         # Guards against the truncated answer of a dead backend server that a rep
         # takes for the whole one; HTTP/1.0 callers see the end of a connection as
         # the end of an answer, so they need a reset.
@@ -179,7 +179,7 @@
                 self.assertNotEqual(b"1.0", version)
                 self.assertFalse(answer.endswith(b"0\r\n\r\n"))
 
-    def test_a_refused_upload_reads_the_reason(self):
+    def test_the_caller_of_a_refused_upload_receives_the_reason(self):
         # Guards against a reset that hides the refusal from the caller.
         length = handler.MAX_BODY_BYTES + 1
         head = b"POST /echo HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % length
@@ -209,7 +209,7 @@
             max_size=8,
         )
     )
-    def test_any_bytes_get_answers_in_http_or_an_end(self, parts):
+    def test_any_bytes_are_answered_in_http_or_end_the_connection(self, parts):
         # Guards against input that stops the server or makes it answer status 500.
         data = b"".join(parts)
         with self.connect() as connection:
--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -27,14 +27,14 @@
             self.answer = request_fakes.servers(1, state=LEAVING)
         return listed
 
-    def test_a_list_is_usable_until_the_next_turn_is_overdue(self):
+    def test_a_list_is_usable_until_the_next_poll_is_overdue(self):
         self.assertLess(self.listing.usable_until(), self.now)
         self.assertEqual(listing.POLL_S, self.listing.update())
         self.assertEqual(
             self.now + listing.POLL_S + listing.SLACK_S, self.listing.usable_until()
         )
 
-    def test_an_answer_as_old_as_a_pause_is_read_again(self):
+    def test_a_list_is_read_again_after_a_pause(self):
         # Guards against a list that was answered before a pause and read after it.
         self.pauses = [60.0]
         self.listing.update()
@@ -96,7 +96,7 @@
         gevent.sleep(0.01)
         return running
 
-    def test_a_server_that_left_meanwhile_gets_nothing(self):
+    def test_a_server_that_left_during_the_pause_gets_no_request(self):
         # Guards against new work on a server seconds after it was listed as leaving:
         # a daemon resumed after 6 s sent one request to such a server.
         self.pause_after_choice(6.0)
@@ -109,7 +109,7 @@
         ((server, _, _),) = self.client.sent
         self.assertEqual("b2:80", server)
 
-    def test_waiting_requests_get_no_server_of_an_old_list(self):
+    def test_waiting_requests_get_no_server_of_an_outdated_list(self):
         self.now = 2.0
         running = self.start()
         self.assertEqual([], self.client.sent)
@@ -128,7 +128,7 @@
 
 
 class PausedOwnerTest(request_fakes.RequestsCase):
-    def test_a_begun_request_waits_for_the_list_before_it_is_sent(self):
+    def test_a_started_request_waits_for_the_list_before_it_is_sent(self):
         # Guards against an order that a resumed owner sends to a server that left.
         self.start()
         router_lane = self.service._pool_of("request-desk")
--- a/test/test_requests.py
+++ b/test/test_requests.py
@@ -16,7 +16,7 @@
 
 
 class IdempotentTest(request_fakes.RequestsCase):
-    def test_a_refused_request_goes_elsewhere(self):
+    def test_a_refused_request_is_sent_to_another_server(self):
         # Guards against a full server that turns into a refusal of the caller.
         self.start(request_fakes.REFUSED, request_fakes.REFUSED, b"whole")
         self.check_whole(self.serve())
@@ -30,19 +30,19 @@
 
     def test_an_answer_that_breaks_at_once_is_retried_elsewhere(self):
         # Guards against a truncated answer that is presented as whole.
-        self.start(request_fakes.CUT, b"whole")
+        self.start(request_fakes.TRUNCATED, b"whole")
         self.check_whole(self.serve())
         first, second = (server for server, _, _ in self.client.sent)
         self.assertNotEqual(first, second)
 
     def test_an_answer_that_breaks_later_raises(self):
         self.patch(requests.forwarding, "PREFETCH_BYTES", 1)
-        self.start(request_fakes.CUT)
+        self.start(request_fakes.TRUNCATED)
         result = self.serve()
         with testtools.ExpectedException(handler.AnswerAborted):
             list(result.chunks)
 
-    def test_a_request_begun_under_a_former_number_is_asked_for_there(self):
+    def test_a_request_started_before_a_partition_change_is_looked_up_there(self):
         # Guards against a non-idempotent request that is refused, or run again, when
         # it is repeated after a change of the number of partitions.
         self.start(b"whole")
@@ -73,8 +73,8 @@
         for script in (
             [request_fakes.LOST],
             [request_fakes.LOST, request_fakes.REFUSED],
-            [request_fakes.LOST, request_fakes.UNREACHED],
-            [request_fakes.CUT, request_fakes.REFUSED],
+            [request_fakes.LOST, request_fakes.UNREACHABLE],
+            [request_fakes.TRUNCATED, request_fakes.REFUSED],
         ):
             self.start(*script)
             result = self.serve(deadline_s=0.3)
@@ -89,8 +89,8 @@
             self.serve(deadline_s=0.05)
         self.assertLess(len(self.client.sent), 30 * 1.5 + 13)
 
-    def test_unreached_servers_are_certainly_not_run(self):
-        self.start(request_fakes.UNREACHED)
+    def test_a_request_that_reached_no_server_is_not_run(self):
+        self.start(request_fakes.UNREACHABLE)
         result = self.serve(deadline_s=0.3)
         self.assertIsInstance(result, errors.NotRun)
 
@@ -161,9 +161,9 @@
             strategies.sampled_from(
                 [
                     request_fakes.REFUSED,
-                    request_fakes.UNREACHED,
+                    request_fakes.UNREACHABLE,
                     request_fakes.LOST,
-                    request_fakes.CUT,
+                    request_fakes.TRUNCATED,
                     b"whole",
                 ]
             ),
@@ -171,7 +171,7 @@
             max_size=6,
         )
     )
-    def test_not_run_is_said_only_if_nothing_ran(self, script):
+    def test_not_run_is_returned_only_if_nothing_ran(self, script):
         # Guards against a refusal that a dispatcher takes as leave to ask again.
         self.start(*script)
         result = self.serve(deadline_s=0.15)
--- a/test/test_routing.py
+++ b/test/test_routing.py
@@ -45,7 +45,7 @@
         excluded = frozenset({"s0"})
         self.assertIsInstance(self.router.choose(0.0, excluded), errors.Overloaded)
 
-    def test_load_stays_even(self):
+    def test_load_is_balanced(self):
         self.router.set_servers(make_facts(6))
         for _ in range(24):
             self.router.sent(self.router.choose(0.0).id)
@@ -61,7 +61,7 @@
         self.router.finished("s1", OK, 0.1, 1.0)
         self.assertEqual("s1", self.router.choose(1.0).id)
 
-    def test_after_a_refusal_one_more_is_tried_later(self):
+    def test_after_a_refusal_one_more_request_is_sent_later(self):
         self.router.set_servers(make_facts(1))
         self.use("s0", OK, 0.0)
         self.router.sent("s0")
@@ -85,7 +85,7 @@
         self.assertEqual("s0", self.router.choose(2.0).id)
         self.assertEqual("s0", self.router.choose(2.1, background=True).id)
 
-    def test_the_breaker_opens_after_failures_and_admits_one_trial(self):
+    def test_the_breaker_opens_after_failures_and_allows_one_probe(self):
         # Guards against requests sent to a dead server, and against a burst after it.
         self.router.set_servers(make_facts(2))
         for _ in range(5):
@@ -99,7 +99,7 @@
         self.use("s0", OK, 4.3)
         self.assertEqual({"s0", "s1"}, self.chosen(now=4.3))
 
-    def test_an_unsent_request_teaches_nothing(self):
+    def test_an_unsent_request_does_not_change_the_breaker(self):
         # Guards against a request that was given up closing an open breaker.
         self.router.set_servers(make_facts(2))
         for _ in range(5):
--- a/test/test_runner.py
+++ b/test/test_runner.py
@@ -45,7 +45,7 @@
         # Guards against an order that is stuck with one server, and against a
         # successor that asks the wrong server.
         self.patch(runner, "MOVE_AFTER_S", 0.0)
-        self.start(request_fakes.REFUSED, request_fakes.UNREACHED, b"whole")
+        self.start(request_fakes.REFUSED, request_fakes.UNREACHABLE, b"whole")
         named = []
         plain = self.partitions.move_request
 
@@ -93,7 +93,7 @@
 
     def test_an_unreached_server_ends_as_not_run_for_good(self):
         self.patch(runner, "MOVE_AFTER_S", 0.05)
-        self.start(request_fakes.UNREACHED)
+        self.start(request_fakes.UNREACHABLE)
         for _ in range(2):
             self.assertIsInstance(self.serve(), errors.NotRun)
         self.assertEqual(["r1"], self.partitions.begun)
@@ -116,7 +116,7 @@
     def test_a_dead_server_is_not_named_in_the_log(self):
         # Guards against an order that ends as not run although others could run it.
         self.start(count=2)
-        self.client.dead = {"10.0.0.1:80"}
+        self.client.unreachable = {"10.0.0.1:80"}
         for number in range(8):
             self.check_whole(self.serve(request_id=f"r{number}"))
         self.assertEqual({"10.0.0.2:80"}, {server for server, _, _ in self.client.sent})
@@ -130,9 +130,9 @@
         self.patch(self.service._runner, "_clock", clock)
         self.patch(self.service._runner._outcome_lookup, "_clock", clock)
         self.assertIsInstance(self.serve(deadline_s=30.0), errors.Unknown)
-        self.assertGreaterEqual(clock.passed_s, outcome_lookup.UNSEEN_LIMIT_S)
+        self.assertGreaterEqual(clock.elapsed_s, outcome_lookup.UNSEEN_LIMIT_S)
         limit_s = outcome_lookup.UNSEEN_LIMIT_S + outcome_lookup.MAX_BACKOFF_S
-        self.assertLess(clock.passed_s, limit_s)
+        self.assertLess(clock.elapsed_s, limit_s)
 
     def test_an_id_that_ran_as_idempotent_is_not_run_again(self):
         self.start(count=1)
@@ -223,6 +223,6 @@
     def test_a_dead_server_leaves_the_outcome_unknown(self):
         self.patch(runner, "FOLLOW_S", 0.2)
         self.patch(outcome_lookup, "LOOKUP_TIMEOUT_S", 0.1)
-        self.take_over(request_fakes.UNREACHED)
+        self.take_over(request_fakes.UNREACHABLE)
         for _ in range(2):
             self.assertIsInstance(self.serve(), errors.Unknown)
--- a/test/test_server.py
+++ b/test/test_server.py
@@ -30,7 +30,7 @@
         other.start()
         self.assertEqual("127.0.0.1", other.environ["SERVER_NAME"])
 
-    def test_requests_under_way_survive_a_graceful_stop(self):
+    def test_requests_in_progress_survive_a_graceful_stop(self):
         # Guards against a restart that interrupts callers: requests under way,
         # requests on idle connections, and connections not accepted yet.
         idle = self.connect()
@@ -96,7 +96,7 @@
             self.assertEqual(0, self.server.drain(5.0))
             self.assertTrue(connection.receive().endswith(b"slow"))
 
-    def test_a_first_request_that_comes_late_is_answered(self):
+    def test_a_late_first_request_is_answered(self):
         # Guards against a stop that cuts a caller who has connected and sends its
         # request after the time that idle connections get.
         self.patch(server, "DRAIN_IDLE_S", 0.05)
@@ -107,7 +107,7 @@
             self.assertTrue(connection.receive().endswith(b"ok"))
             self.assertEqual(0, stop.get(timeout=5))
 
-    def test_a_connection_without_a_request_does_not_hold_the_stop(self):
+    def test_a_connection_without_a_request_does_not_delay_the_stop(self):
         # Guards against a caller that connects, sends nothing and delays every stop
         # to its limit.
         self.patch(server, "DRAIN_IDLE_S", 0.05)
@@ -115,7 +115,7 @@
         with self.connect():
             self.assertEqual(0, self.server.drain(60.0))
 
-    def test_a_request_that_was_sent_and_not_read_counts_as_under_way(self):
+    def test_a_request_that_was_sent_but_not_read_counts_as_in_progress(self):
         # Guards against a stop that closes a connection whose next request has
         # arrived in the kernel only.
         with self.connect() as connection:
@@ -135,7 +135,7 @@
         made = certificates.Certificates(self)
         return made.server_context(), made.client_context()
 
-    def test_a_slow_handshake_holds_neither_the_server_nor_the_stop(self):
+    def test_a_slow_handshake_blocks_neither_the_server_nor_the_stop(self):
         # Guards against callers that connect, send nothing and fill the server.
         self.patch(server, "TLS_HANDSHAKE_S", 0.1)
         with test_handler.Connection(self.port) as connection:
--- a/test/test_submission.py
+++ b/test/test_submission.py
@@ -6,7 +6,7 @@
 
 
 class SubmissionTest(testtools.TestCase):
-    def test_example_templates_are_accepted_as_they_are(self):
+    def test_example_templates_are_accepted_without_changes(self):
         # Guards against templates that pass the text and fail on submission.
         cell = reader.parse(edge_fakes.KERNHALDE)
         core = edge_fakes.build()
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -144,7 +144,7 @@
         successor = self.own(epoch=2)
         wait(lambda: any(report.usage for report in successor.reports))
 
-    def test_a_worker_without_tasks_leaves_out_one_report_at_most(self):
+    def test_a_worker_without_tasks_skips_at_most_one_report(self):
         # Guards against a lease that ends because nothing happens on the worker, and
         # against tasks that a break of the link ends earlier.
         worker = self.worker
@@ -164,7 +164,7 @@
             worker._report_regularly(worker._report_series)
         self.assertEqual([4, 4, 4], pauses[-3:])
 
-    def test_a_late_report_is_asked_for_before_the_link_breaks(self):
+    def test_a_late_report_is_requested_before_the_link_closes(self):
         # Guards against the loss of a link, and with it of placements, for one
         # report that is lost.
         self.patch(worker_reports, "REPORT_INTERVAL_S", 3600.0)
@@ -283,7 +283,7 @@
             wait(lambda: "j/0" in owner.finished)
             owner.link.acknowledge(1, ["j/0"])
 
-    def test_death_loses_everything_and_changes_the_incarnation(self):
+    def test_a_restart_loses_all_tasks_and_changes_the_incarnation(self):
         owner = self.own()
         owner.link.start(1, [task("j/0", run_ms=None), task("j/1", run_ms=0)])
         wait(lambda: owner.finished)
@@ -349,7 +349,7 @@
         self.assertEqual(set(owner.finished), shown | running)
         wait(lambda: shown | set(successor.finished) == set(owner.finished))
 
-    def test_a_failing_worker_and_cut_streams(self):
+    def test_truncated_streams_and_a_failing_worker(self):
         self.faults(fail_all=True)
         owner = self.own()
         owner.link.start(1, [task("j/0")])
