--- a/test/certificates.py
+++ b/test/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates that are made in a test."""
+"""Certificates generated for tests."""
 
 import pathlib
 import tempfile
@@ -8,7 +8,7 @@
 
 
 class Certificates:
-    """Hold PEM files of an authority and of a certificate for 127.0.0.1."""
+    """Hold the PEM files of a CA and of a certificate for 127.0.0.1."""
 
     def __init__(self, case):
         directory = tempfile.TemporaryDirectory()
--- a/test/edge_fakes.py
+++ b/test/edge_fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the services that the edge services use."""
+"""Fakes of the services that `requests` and `gateway` depend on."""
 
 import dataclasses
 import hashlib
--- a/test/gateway_case.py
+++ b/test/gateway_case.py
@@ -1,4 +1,4 @@
-"""A gateway over fake services, called over HTTP."""
+"""Test case with a gateway over fake services, called over HTTP."""
 
 import http.client
 import json
--- a/test/request_fakes.py
+++ b/test/request_fakes.py
@@ -1,4 +1,4 @@
-"""Requests against scripted backend servers."""
+"""Test case for requests to scripted backend servers."""
 
 import collections
 import math
@@ -18,11 +18,11 @@
 FENCED = errors.NotRun(reason="epoch")
 UNREACHABLE = errors.Unavailable(reason="connection refused")
 LOST = errors.Ambiguous(reason="no answer")
-TRUNCATED = "cut"  # the answer ends after its first part
+TRUNCATED = "truncated"  # the answer ends after its first part
 
 
 class Clock:
-    """Pass time only while somebody sleeps."""
+    """Clock that advances only during sleeps."""
 
     def __init__(self):
         self.started_at = self.now = time.monotonic()
@@ -41,7 +41,7 @@
 
 
 class Reply:
-    """Stand for the connection of an answer."""
+    """Fake of the connection of an answer."""
 
     def __init__(self, parts, truncated, status):
         self.parts = parts
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -28,7 +28,7 @@
         self.assertIsNone(self.admission.next_class())
 
     def test_a_full_queue_sheds_the_lowest_class(self):
-        # Guards against checks refused while work that can wait is queued.
+        # Guards against checks that are refused while less urgent requests are queued.
         for name, job_class in (("d", DEFERRABLE), ("n", NORMAL), ("u", URGENT)):
             self.admission.offer(name, job_class, 9.0, 0.0)
         refused = self.admission.offer("d2", DEFERRABLE, 9.0, 0.0)
@@ -66,7 +66,7 @@
         self.assertLess(len(self.admission._deadlines), 20)
 
     def test_requests_that_cannot_meet_their_deadline_are_not_run(self):
-        # Guards against slots spent on answers that come too late.
+        # Guards against slots used for answers that come too late.
         self.admission.offer("a", NORMAL, 5.0, 0.0)
         self.admission.record_service_time(NORMAL, 1.0)
         late = self.admission.offer("b", NORMAL, 1.0, 0.0)
@@ -81,7 +81,7 @@
         self.assertEqual("a", self.admission.next(0.0)[0])
 
     def test_every_request_is_returned_exactly_once(self):
-        # Guards against lost and against doubled requests.
+        # Guards against lost or duplicated requests.
         queue = admission.Admission(limit=20)
         rng = random.Random(2)
         offered, out = [], []
--- a/test/test_api.py
+++ b/test/test_api.py
@@ -35,7 +35,8 @@
         self.check_failure(self.submit(gateway_case.JOB), 403, "Forbidden")
 
     def test_a_stale_view_refuses_keyed_work_and_accepts_open_work(self):
-        # Guards against a withdrawn key that works where its withdrawal is unknown.
+        # Guards against a withdrawn key that a process accepts because it has not
+        # received the withdrawal.
         self.assertEqual(202, self.submit(gateway_case.JOB)[0])
         self.documents.is_fresh = False
         self.check_failure(self.submit(gateway_case.JOB), 503, "NotRun")
@@ -45,13 +46,14 @@
         self.assertEqual(202, status)
 
     def test_calls_are_refused_before_the_documents_were_read(self):
-        # A restarted daemon told callers that their service does not exist.
+        # Guards against a restarted daemon that tells callers that their service does
+        # not exist.
         self.documents.is_fresh = False
         self.check_failure(self.submit(gateway_case.JOB), 503, "Unavailable")
         self.check_failure(self.call("GET", "/v1/jobs/a"), 503, "Unavailable")
 
     def test_open_and_keyed_ids_are_separate(self):
-        # Guards against anyone taking the ID of, or reading, keyed work.
+        # Guards against callers without a key that read keyed work or take its ID.
         open_job = {**gateway_case.JOB, "queue": "label-previews"}
         self.check_failure(self.submit({**open_job, "id": "a"}), 400, "Invalid")
         self.check_failure(
--- a/test/test_api_events.py
+++ b/test/test_api_events.py
@@ -39,7 +39,7 @@
         self.assertEqual(1, body["omitted"])
 
     def test_explain_names_actions_and_hides_the_jobs_of_others(self):
-        # Guards against IDs of other teams' jobs that reach a team.
+        # Guards against a team that sees the IDs of other teams' jobs.
         self.partitions.submit([job.JobSpec(id="a", name="a", team="desk")])
         self.core.publish(STOPPED)
         self.core.publish(event_kinds.WorkerQuarantined("w1"))
--- a/test/test_api_jobs.py
+++ b/test/test_api_jobs.py
@@ -37,7 +37,7 @@
 
 class JobsTest(gateway_case.GatewayCase):
     def test_the_same_id_gives_the_same_job_and_other_content_a_conflict(self):
-        # Guards against a retry at another entry VM that starts a second job.
+        # Guards against a second job after a retry at another entry VM.
         item = {**gateway_case.JOB, "id": "a"}
         for _ in range(2):
             self.assertEqual((202, {"jobs": [{"id": "a"}]}), self.submit(item))
@@ -64,7 +64,7 @@
         self.assertEqual(1000, len(self.partitions.jobs))
 
     def test_one_faulty_job_refuses_the_whole_call(self):
-        # Guards against half of a call that runs while the caller sees a refusal.
+        # Guards against jobs that run although the caller was told of a failure.
         for change in (
             {"queue": "nowhere"},
             {"resources": {"cpus": 0, "memory": 1}},
@@ -105,7 +105,7 @@
         self.check_failure(self.submit(gateway_case.JOB), 503, "StoreUnavailable")
 
     def test_a_slow_or_truncated_body_submits_nothing(self):
-        # Guards against part of a submission that is taken for the whole.
+        # Guards against a partial submission that is taken as complete.
         self.patch(handler, "BODY_TIMEOUT_S", 0.2)
         body = json.dumps({"jobs": [gateway_case.JOB]}).encode()
         for cut in (False, True):
@@ -122,7 +122,7 @@
     @SETTINGS
     @hypothesis.given(JSON_VALUES)
     def test_any_json_is_accepted_or_refused_with_a_reason(self, value):
-        # Guards against input that ends as "internal error", outcome unknown.
+        # Guards against input that causes "internal error", with an unknown outcome.
         status, body, _ = self.call(
             "POST", "/v1/jobs", json.dumps(value), gateway_case.DESK
         )
--- a/test/test_api_operators.py
+++ b/test/test_api_operators.py
@@ -11,7 +11,7 @@
         changed = edge_fakes.KERNHALDE + "# changed\n"
         status, body, headers = self.put(changed, 1)
         self.assertEqual((200, 2, '"2"'), (status, body["version"], headers["ETag"]))
-        # Also the text in force conflicts, if it is based on an older version.
+        # The text in force also conflicts if it is based on an older version.
         answer = self.put(changed, 1)
         self.check_failure(answer, 409, "Conflict")
         error = answer[1]["error"]
@@ -23,7 +23,7 @@
         self.assertTrue(body["unchanged"])
 
     def test_a_refused_text_changes_nothing(self):
-        # Guards against a text of which a part comes into force.
+        # Guards against a text that is applied in part.
         for source, status in (
             (edge_fakes.KERNHALDE.replace("share: 5", "share: 0"), 400),
             ("", 400),
@@ -57,7 +57,7 @@
         return self.call("PUT", "/v1/partitions", body, key, If_Match=given)
 
     def test_the_number_of_partitions_is_based_on_a_generation(self):
-        # Guards against a change that undoes that of another operator unseen.
+        # Guards against a change that silently reverts that of another operator.
         status, shown, *_ = self.call(
             "GET", "/v1/partitions", key=gateway_case.OPERATOR
         )
--- a/test/test_api_services.py
+++ b/test/test_api_services.py
@@ -25,7 +25,8 @@
         return self.call("POST", self.PATH, "ask", gateway_case.DESK, **headers)
 
     def test_a_caller_cannot_make_a_non_idempotent_class_idempotent(self):
-        # Guards against an order marked idempotent by mistake that runs twice.
+        # Guards against a request that runs twice because a caller marked it idempotent
+        # by mistake.
         self.serve_with(gateway_case.make_answer)
         for name, word, expected in (
             ("check", None, True),
@@ -55,7 +56,7 @@
         self.assertEqual([], self.seen)
 
     def test_a_key_that_is_withdrawn_during_the_upload_is_refused(self):
-        # Guards against a slow upload that outlives the withdrawal by 30 s.
+        # Guards against a slow upload that is accepted 30 s after the withdrawal.
         self.serve_with(gateway_case.make_answer)
         with socket.create_connection(("127.0.0.1", self.port)) as sock:
             head = (
--- a/test/test_backend_servers.py
+++ b/test/test_backend_servers.py
@@ -54,7 +54,7 @@
         return judge.check({"servers": msgspec.json.decode(self.record.dump())})
 
     def test_each_caller_gets_the_answer_to_its_own_request(self):
-        # Guards against answers swapped between calls on shared connections.
+        # Guards against answers that are mixed up between calls on shared connections.
         def ask(index):
             length = index % 5 * 50_000 + 1
             got = self.send(
@@ -113,7 +113,7 @@
         self.assertEqual(100_000, len(whole))
 
     def test_iterating_a_truncated_answer_raises(self):
-        # Guards against a stream forwarded to a caller that seems to end normally.
+        # Guards against a truncated stream that seems to the caller to end normally.
         work = msgspec.json.encode({"answer_bytes": 100_000, "cut_at": 50_000})
         answer = self.client.send(self.servers[0], "r", work, 1.0)
         self.assertEqual(200, answer.status)
@@ -154,7 +154,7 @@
         self.assertEqual([], self.runs("r1"))
 
     def test_only_old_outcomes_are_removed(self):
-        # Guards against a stand-in that grows without limit, or forgets too early.
+        # Guards against a stand-in that grows without limit, or removes them too early.
         self.patch(standin, "MAX_REMEMBERED_BYTES", 1000)
         for name in ("r1", "r1", "r2", "r2", "r3"):
             self.send(name, answer_bytes=400)
@@ -181,7 +181,7 @@
         self.assertEqual(64, len(self.send("r1")))
 
     def test_waiting_for_a_connection_is_not_a_failure_of_the_server(self):
-        # Guards against taking a busy server for one that cannot be reached.
+        # Guards against a busy server that is reported as unreachable.
         client = self.connect(1)
         first = gevent.spawn(self.send, "r1", client=client, run_ms=150)
         gevent.sleep(0.02)
@@ -191,7 +191,7 @@
         first.join()
 
     def test_an_error_without_the_not_run_header_is_an_answer(self):
-        # Guards against a refusal that claims more than the server said.
+        # Guards against `NotRun` without a statement of the server that it did not run.
         answer = self.client.send(self.servers[0], "r1", b'{"status": 503}', 1.0)
         self.assertEqual(503, answer.status)
         self.assertEqual(["e0"], self.runs("r1"))
--- a/test/test_exchange.py
+++ b/test/test_exchange.py
@@ -26,7 +26,7 @@
 
     def _serve(self, sock, _address):
         self.connections += 1
-        with contextlib.suppress(OSError):  # clients that give up reset connections
+        with contextlib.suppress(OSError):  # clients that time out reset connections
             self._answer(sock)
 
     def _answer(self, sock):
@@ -79,7 +79,7 @@
         )
 
     def test_a_short_body_is_never_complete(self):
-        # Guards against presenting the part before a cut as the whole answer.
+        # Guards against a truncated answer that is presented as complete.
         for script in (
             (OK_HEAD + b"10\r\n\r\n123456789",),
             (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n",),
@@ -93,7 +93,7 @@
         self.assertEqual(b"abc", self.exchange(*pieces).body)
 
     def test_a_slow_body_ends_at_the_deadline(self):
-        # Guards against a sender that keeps each single read alive.
+        # Guards against a sender that is just fast enough for each single read.
         pieces = [OK_HEAD + b"1000\r\n\r\n"] + [b"x", 0.05] * 100
         reply = self.exchange(*pieces)
         self.assertIsInstance(reply, errors.Ambiguous)
@@ -105,7 +105,7 @@
         self.assertIsInstance(reply, errors.Oversized)
 
     def test_an_endless_head_is_not_collected(self):
-        # Guards against memory that grows until the deadline.
+        # Guards against memory use that grows until the deadline.
         filler = b"X-Filler: " + b"x" * 65_536 + b"\r\n"
         reply = self.exchange(b"HTTP/1.1 200 OK\r\n", *[filler] * 1000, timeout_s=5)
         self.assertIn("head exceeds", reply.reason)
@@ -121,8 +121,8 @@
         self.assertEqual([b"cd"], list(blocks))
 
     def test_calls_that_wait_for_a_connection_of_the_pool_are_not_sent(self):
-        # Guards against calls that are reported as perhaps sent while they waited for
-        # a connection, and against connections beyond the limit.
+        # Guards against calls that are reported as ambiguous although they only waited
+        # for a connection, and against connections beyond the limit.
         go_on = event.Event()
         started = self.serve(go_on, OK_HEAD + b"0\r\n\r\n", end=False)
         endpoint = self.endpoint(started.port, connections=2)
@@ -144,18 +144,18 @@
         self.assertEqual((2, 4), (started.connections, len(started.requests)))
 
     def test_nothing_is_sent_after_the_last_time_to_send(self):
-        # Guards against a request that waited for a connection and is sent on a
-        # choice of a server that is too old.
+        # Guards against a request that waits for a connection and is then sent to a
+        # server that was chosen too long ago.
         started = self.serve(OK_HEAD + b"0\r\n\r\n", end=False)
         endpoint = self.endpoint(started.port)
         late = endpoint.open("POST", "/", send_by=time.monotonic() - 0.001)
         self.assertIsInstance(late, errors.Overloaded)
         self.assertEqual(200, endpoint.call("POST", "/").status)
-        self.assertEqual(1, started.connections)  # given back unused
+        self.assertEqual(1, started.connections)  # returned to the pool unused
         self.assertEqual(1, len(started.requests))
 
     def test_every_failure_returns_its_connection_to_the_pool(self):
-        # Guards against a pool of one that is empty for good after a failure.
+        # Guards against a pool of one connection that stays empty after a failure.
         failing = self.serve(OK_HEAD + b"9\r\n\r\n1", 0.2)
         endpoint = self.endpoint(failing.port)
         for _ in range(3):
@@ -170,7 +170,7 @@
         self.assertIsInstance(endpoint.open("GET", "/"), exchange.OpenReply)
 
     def test_a_blocked_send_returns_its_connection_to_the_pool(self):
-        # Guards against a pool that loses one connection for each blocked send.
+        # Guards against a pool that loses a connection with each blocked send.
         idle = server.StreamServer(
             service.listen("127.0.0.1", 0), lambda _sock, _address: gevent.sleep(9)
         )
@@ -182,7 +182,7 @@
             self.assertIsInstance(reply, errors.Ambiguous)
 
     def test_the_rest_of_an_abandoned_answer_is_not_read_by_the_next_call(self):
-        # Guards against a caller who gets the rest of someone else's answer.
+        # Guards against a caller that receives the rest of the answer to another call.
         started = self.serve(OK_HEAD + b"200000\r\n\r\n" + b"x" * 200_000, end=False)
         endpoint = self.endpoint(started.port)
         opened = endpoint.open("GET", "/")
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -37,8 +37,8 @@
                 raise rpc.StreamBrokenError("the owner ended")
 
     def test_a_broken_answer_of_the_owner_is_retried(self):
-        # Guards against a truncated answer, and against giving up on a retry that
-        # the owner's log makes safe.
+        # Guards against a truncated answer, and against a missing retry, which the
+        # owner's log makes safe.
         result = self.forward(
             self.chunks(truncated=True), request_fakes.LOST, self.chunks()
         )
@@ -51,7 +51,7 @@
         self.assertIsInstance(result, errors.Unknown)
 
     def test_a_recorded_refusal_after_a_lost_call_is_not_run(self):
-        # Guards against "unknown" for each order under way during a handover.
+        # Guards against "unknown" for each request in progress during a handover.
         result = self.forward(
             request_fakes.LOST, errors.RecordedNotRun(reason="never seen")
         )
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -27,7 +27,7 @@
 
 class GatewayTest(gateway_case.GatewayCase):
     def test_a_stop_under_load_interrupts_no_request(self):
-        # Guards against a restart that loses answers of requests under way.
+        # Guards against a restart that loses the answers of requests in progress.
         arrived = []
         go_on = gevent.event.Event()
 
@@ -41,7 +41,7 @@
             gevent.spawn(self.call, "POST", PATH, "ask", gateway_case.DESK)
             for _ in range(100)
         ]
-        # Callers that connect only after the stop are refused, so all come first.
+        # Callers that connect after the stop are refused, so all must connect before.
         while len(arrived) < len(calls):
             gevent.sleep(0.01)
         service = self.core.find("gateway")
--- a/test/test_handler.py
+++ b/test/test_handler.py
@@ -18,7 +18,7 @@
 
 
 def application(environ, start_response):
-    """Serve the paths that the tests need."""
+    """WSGI application with the paths that the tests need."""
     path = environ["PATH_INFO"]
     if path == "/echo":
         body = environ["wsgi.input"].read()
@@ -32,7 +32,7 @@
         gevent.sleep(0.4)
         start_response("200 OK", [("Content-Length", "4")])
         return [b"slow"]
-    if path == "/cut":
+    if path == "/truncated":
         start_response("200 OK", [])
         return truncated()
     if path == "/large":
@@ -69,8 +69,8 @@
     def receive(self):
         """Return everything until the end.
 
-        A reset raises ConnectionResetError or, under TLS, SSLEOFError, as does an end
-        of the connection that the server does not state.
+        A reset raises ConnectionResetError or, with TLS, SSLEOFError, as does an end
+        of the connection without a close_notify alert.
         """
         received = b""
         while chunk := self.socket.recv(65536):
@@ -108,7 +108,7 @@
 
 class HandlerTest(HandlerCase):
     def test_heads_over_the_limits_are_refused_with_a_reason(self):
-        # Guards against a caller that fills memory with an endless head.
+        # Guards against a caller that fills the memory with an endless head.
         many = b"".join(b"X-%d: 1\r\n" % number for number in range(200))
         large = b"X-A: " + b"a" * handler.MAX_HEAD_BYTES
         line = b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\n\r\n"
@@ -119,7 +119,7 @@
         self.check_refused(414, "Oversized", line)
 
     def test_ambiguous_framing_is_refused(self):
-        # Guards against a request that is smuggled past a proxy.
+        # Guards against request smuggling past a proxy.
         for headers in (
             b"Content-Length: 5\r\nContent-Length: 6\r\n",
             b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -136,7 +136,7 @@
         self.check_refused(413, "Oversized", head)
 
     def test_a_slow_head_does_not_occupy_a_connection(self):
-        # Guards against callers that send one byte now and then.
+        # Guards against callers that send a head byte by byte.
         self.patch(handler, "HEAD_TIMEOUT_S", 0.2)
         with self.connect() as connection:
             connection.send(b"GET / HTTP/1.1\r\nHost: ")
@@ -145,7 +145,7 @@
             self.assertLess(gevent.get_hub().loop.now() - started, 5)
 
     def test_idle_connections_end_sooner_near_the_connection_limit(self):
-        # Guards against idle callers that keep all others out.
+        # Guards against idle callers that use up all connections.
         self.patch(server, "MAX_CONNECTIONS", 2)
         self.patch(server, "BUSY_IDLE_TIMEOUT_S", 0.1)
         idle = [self.connect() for _ in range(2)]
@@ -157,7 +157,7 @@
                 self.assertTrue(connection.receive().endswith(b"ok"))
 
     def test_a_client_that_stops_reading_is_disconnected(self):
-        # Guards against answers that stay in memory for callers that never read.
+        # Guards against answers that stay in memory because callers never read them.
         self.patch(handler, "SEND_TIMEOUT_S", 0.2)
         with self.connect() as connection:
             connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -166,12 +166,12 @@
             self.assertEqual(0, self.server.in_flight())
 
     def test_a_truncated_answer_never_looks_complete(self):
-        # Guards against the truncated answer of a dead backend server that a rep
-        # takes for the whole one; HTTP/1.0 callers see the end of a connection as
-        # the end of an answer, so they need a reset.
+        # Guards against the truncated answer of a failed backend server that a caller
+        # takes for complete. HTTP/1.0 callers take the end of the connection as the
+        # end of an answer, so they need a reset.
         for version in (b"1.0", b"1.1"):
             with self.connect() as connection:
-                connection.send(b"GET /cut HTTP/" + version + b"\r\n\r\n")
+                connection.send(b"GET /truncated HTTP/" + version + b"\r\n\r\n")
                 try:
                     answer = connection.receive()
                 except (ConnectionResetError, ssl.SSLEOFError):
@@ -180,7 +180,7 @@
                 self.assertFalse(answer.endswith(b"0\r\n\r\n"))
 
     def test_the_caller_of_a_refused_upload_receives_the_reason(self):
-        # Guards against a reset that hides the refusal from the caller.
+        # Guards against a reset that discards the error response.
         length = handler.MAX_BODY_BYTES + 1
         head = b"POST /echo HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % length
         self.check_refused(413, "Oversized", head + b"x" * LARGE)
@@ -210,7 +210,7 @@
         )
     )
     def test_any_bytes_are_answered_in_http_or_end_the_connection(self, parts):
-        # Guards against input that stops the server or makes it answer status 500.
+        # Guards against input that stops the server or causes status 500.
         data = b"".join(parts)
         with self.connect() as connection:
             connection.send(data)
--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -16,7 +16,7 @@
     def setUp(self):
         super().setUp()
         self.now = 100.0
-        self.pauses = []  # of the process during the next reads
+        self.pauses = []  # pauses of the process in seconds, one per read
         self.answer = request_fakes.servers(1)
         self.listing = listing.VmListCache(self.read, lambda: self.now)
 
@@ -35,7 +35,7 @@
         )
 
     def test_a_list_is_read_again_after_a_pause(self):
-        # Guards against a list that was answered before a pause and read after it.
+        # Guards against a list that was sent before a pause and received after it.
         self.pauses = [60.0]
         self.listing.update()
         self.assertEqual(LEAVING, self.listing.vms[0].state)
@@ -63,7 +63,7 @@
 
 
 class PausedSendTest(testtools.TestCase):
-    """The process is paused between the choice of a server and the send."""
+    """Tests with a pause of the process between the choice of a server and the send."""
 
     def setUp(self):
         super().setUp()
@@ -97,8 +97,8 @@
         return running
 
     def test_a_server_that_left_during_the_pause_gets_no_request(self):
-        # Guards against new work on a server seconds after it was listed as leaving:
-        # a daemon resumed after 6 s sent one request to such a server.
+        # Guards against new requests to a server that is listed as leaving: a daemon
+        # that was paused for 6 s sent one request to such a server.
         self.pause_after_choice(6.0)
         running = self.start()
         self.assertEqual([], self.client.sent)
@@ -129,7 +129,7 @@
 
 class PausedOwnerTest(request_fakes.RequestsCase):
     def test_a_started_request_waits_for_the_list_before_it_is_sent(self):
-        # Guards against an order that a resumed owner sends to a server that left.
+        # Guards against a request that a resumed owner sends to a server that left.
         self.start()
         router_lane = self.service._pool_of("request-desk")
         plain = self.partitions.begin_request
--- a/test/test_requests.py
+++ b/test/test_requests.py
@@ -17,7 +17,7 @@
 
 class IdempotentTest(request_fakes.RequestsCase):
     def test_a_refused_request_is_sent_to_another_server(self):
-        # Guards against a full server that turns into a refusal of the caller.
+        # Guards against a caller that is refused because one server is full.
         self.start(request_fakes.REFUSED, request_fakes.REFUSED, b"whole")
         self.check_whole(self.serve())
         self.assertEqual(3, len(self.client.sent))
@@ -29,7 +29,7 @@
         self.assertEqual([], self.client.ran)
 
     def test_an_answer_that_breaks_at_once_is_retried_elsewhere(self):
-        # Guards against a truncated answer that is presented as whole.
+        # Guards against a truncated answer that is presented as complete.
         self.start(request_fakes.TRUNCATED, b"whole")
         self.check_whole(self.serve())
         first, second = (server for server, _, _ in self.client.sent)
@@ -69,7 +69,7 @@
         self.assertEqual(2, owners[-1])
 
     def test_a_lost_answer_makes_the_outcome_unknown(self):
-        # Guards against "not run" for a request that a server may have begun.
+        # Guards against "not run" for a request that a server may have started.
         for script in (
             [request_fakes.LOST],
             [request_fakes.LOST, request_fakes.REFUSED],
@@ -95,7 +95,7 @@
         self.assertIsInstance(result, errors.NotRun)
 
     def test_leaving_servers_and_zones_out_get_no_new_request(self):
-        # Guards against new work on a server that is about to end.
+        # Guards against new requests to a server that is about to stop.
         self.start(listed=request_fakes.servers(2, state=vms.State.LEAVING))
         self.assertIsInstance(self.serve(deadline_s=0.1), errors.NotRun)
         self.start()
@@ -113,7 +113,7 @@
         self.check_whole(self.serve())
 
     def test_an_abandoned_answer_frees_its_slot(self):
-        # Guards against callers that hang up and leave servers looking full.
+        # Guards against slots that stay occupied after callers disconnect.
         self.patch(requests.forwarding, "PREFETCH_BYTES", 1)
         self.start(b"whole", count=1)
         for _ in range(20):
@@ -139,7 +139,7 @@
         self.assertEqual((len(shed), "check"), (told["count"], told["job_class"]))
 
     def test_a_request_at_a_paused_owner_goes_to_its_successor(self):
-        # Guards against a warning that waits at a paused owner for its whole deadline.
+        # Guards against a request that waits at a paused owner until its deadline.
         self.start()
         owners = self.core.find("claims")
         owners.owner = "entry-2"
@@ -172,7 +172,7 @@
         )
     )
     def test_not_run_is_returned_only_if_nothing_ran(self, script):
-        # Guards against a refusal that a dispatcher takes as leave to ask again.
+        # Guards against `NotRun` for a request that ran, which the caller would repeat.
         self.start(*script)
         result = self.serve(deadline_s=0.15)
         match result:
--- a/test/test_routing.py
+++ b/test/test_routing.py
@@ -31,7 +31,7 @@
         self.router.finished(server_id, outcome, seconds, now)
 
     def test_leaving_servers_and_zones_out_are_excluded(self):
-        # Guards against new work in a zone that operators have taken out.
+        # Guards against new requests in a zone that is out of service.
         facts = make_facts(6)
         leaving = routing.ServerFacts("s0", "127.0.0.1", 8000, "az0", leaving=True)
         self.router.set_servers([leaving, *facts[1:]])
@@ -53,7 +53,7 @@
         self.assertLessEqual(max(loads) - min(loads), 2)
 
     def test_a_server_gets_no_more_than_its_slots(self):
-        # Guards against a queue that is flushed at servers which are sure to refuse.
+        # Guards against a queue that is sent to servers that are certain to refuse.
         self.router.set_servers(make_facts(2, slots=2))
         for _ in range(4):
             self.router.sent(self.router.choose(0.0).id)
@@ -74,7 +74,7 @@
         self.assertEqual("s0", self.router.choose(now).id)
 
     def test_a_freed_slot_is_kept_for_checks_when_servers_are_full(self):
-        # Guards against checks that wait behind work which can wait.
+        # Guards against checks that wait behind less urgent requests.
         self.router.set_servers(make_facts(1))
         self.use("s0", OK, 0.0)
         self.router.sent("s0")
@@ -86,7 +86,7 @@
         self.assertEqual("s0", self.router.choose(2.1, background=True).id)
 
     def test_the_breaker_opens_after_failures_and_allows_one_probe(self):
-        # Guards against requests sent to a dead server, and against a burst after it.
+        # Guards against requests to a failed server, and a burst when it returns.
         self.router.set_servers(make_facts(2))
         for _ in range(5):
             self.use("s0", FAILED, 1.0)
@@ -100,7 +100,7 @@
         self.assertEqual({"s0", "s1"}, self.chosen(now=4.3))
 
     def test_an_unsent_request_does_not_change_the_breaker(self):
-        # Guards against a request that was given up closing an open breaker.
+        # Guards against an open breaker that an abandoned request closes.
         self.router.set_servers(make_facts(2))
         for _ in range(5):
             self.use("s0", FAILED, 1.0)
--- a/test/test_server.py
+++ b/test/test_server.py
@@ -23,7 +23,7 @@
         return test_handler.Connection(self.port, self.client_tls)
 
     def test_a_server_starts_without_a_resolver(self):
-        # Guards against a start that waits for a name service, and its memory.
+        # Guards against a start that waits for a resolver and uses memory for it.
         self.patch(gevent.get_hub(), "resolver", object())
         other = server.Server(("127.0.0.1", 0), test_handler.application)
         self.addCleanup(other.stop)
@@ -31,13 +31,13 @@
         self.assertEqual("127.0.0.1", other.environ["SERVER_NAME"])
 
     def test_requests_in_progress_survive_a_graceful_stop(self):
-        # Guards against a restart that interrupts callers: requests under way,
+        # Guards against a restart that interrupts callers: requests in progress,
         # requests on idle connections, and connections not accepted yet.
         idle = self.connect()
         idle.send(b"GET / HTTP/1.1\r\n\r\n")
         self.assertTrue(idle.socket.recv(65536).endswith(b"ok"))
-        # Held until the stop has begun: with requests of 0.4 s, the first of them ended
-        # before it on a busy machine.
+        # These requests block until the stop has begun. On a busy machine, the first of
+        # several requests of 0.4 s ended earlier.
         test_handler.held.clear()
         self.addCleanup(test_handler.held.set)
         busy = [self.connect().send(b"GET /held HTTP/1.1\r\n\r\n") for _ in range(50)]
@@ -68,8 +68,8 @@
             self.assertEqual(1, self.server.drain(0.1))
 
     def test_no_connection_completes_between_the_last_accept_and_the_close(self):
-        # Guards against a reset of callers that connect in this gap: in CI, one of
-        # 2,936 checks during a rolling replacement.
+        # Guards against a reset of callers that connect in between, which failed one of
+        # 2,936 checks during a rolling replacement in CI.
         connected = []
         close = self.server.close
 
@@ -89,7 +89,7 @@
         self.assertEqual([], connected)
 
     def test_a_handshake_that_has_begun_is_completed(self):
-        # Guards against a filter that drops the packets of accepted connections.
+        # Guards against a packet filter that drops packets of accepted connections.
         with self.connect() as connection:
             self.assertTrue(listener.ignore_new_connections(self.server.socket))
             connection.send(b"GET /slow HTTP/1.1\r\n\r\n")
@@ -97,8 +97,8 @@
             self.assertTrue(connection.receive().endswith(b"slow"))
 
     def test_a_late_first_request_is_answered(self):
-        # Guards against a stop that cuts a caller who has connected and sends its
-        # request after the time that idle connections get.
+        # Guards against a stop that disconnects a caller which sends its first request
+        # later than DRAIN_IDLE_S.
         self.patch(server, "DRAIN_IDLE_S", 0.05)
         with self.connect() as connection:
             stop = gevent.spawn(self.server.drain, 5.0)
@@ -108,35 +108,35 @@
             self.assertEqual(0, stop.get(timeout=5))
 
     def test_a_connection_without_a_request_does_not_delay_the_stop(self):
-        # Guards against a caller that connects, sends nothing and delays every stop
-        # to its limit.
+        # Guards against callers that connect without sending anything and delay every
+        # stop to its limit.
         self.patch(server, "DRAIN_IDLE_S", 0.05)
         self.patch(server, "FIRST_REQUEST_S", 0.1)
         with self.connect():
             self.assertEqual(0, self.server.drain(60.0))
 
     def test_a_request_that_was_sent_but_not_read_counts_as_in_progress(self):
-        # Guards against a stop that closes a connection whose next request has
-        # arrived in the kernel only.
+        # Guards against a stop that closes a connection whose next request is still
+        # in a kernel buffer.
         with self.connect() as connection:
             connection.send(b"GET / HTTP/1.1\r\n\r\n")
             self.assertTrue(connection.socket.recv(65536).endswith(b"ok"))
             [held] = self.server.connections
             self.assertFalse(held.has_pending_request())
-            # No switch between the send and the look at the connection.
+            # No greenlet switch between the send and the check.
             connection.socket.send(b"GET / HTTP/1.1\r\n\r\n")
             self.assertTrue(held.has_pending_request())
 
 
 class TlsServerTest(ServerTest):
-    """Guards against a stop that interrupts callers under TLS only."""
+    """Guards against a stop that interrupts callers with TLS only."""
 
     def tls_contexts(self):
         made = certificates.Certificates(self)
         return made.server_context(), made.client_context()
 
     def test_a_slow_handshake_blocks_neither_the_server_nor_the_stop(self):
-        # Guards against callers that connect, send nothing and fill the server.
+        # Guards against callers that connect, send nothing and use up the connections.
         self.patch(server, "TLS_HANDSHAKE_S", 0.1)
         with test_handler.Connection(self.port) as connection:
             self.assertEqual(b"", connection.receive())
@@ -159,6 +159,6 @@
 
 
 class TlsHandlerTest(test_handler.HandlerTest):
-    """Guards against limits and cuts that hold without TLS only."""
+    """Guards against limits and aborts that work without TLS only."""
 
     tls_contexts = TlsServerTest.tls_contexts
--- a/test/test_submission.py
+++ b/test/test_submission.py
@@ -7,7 +7,8 @@
 
 class SubmissionTest(testtools.TestCase):
     def test_example_templates_are_accepted_without_changes(self):
-        # Guards against templates that pass the text and fail on submission.
+        # Guards against templates that are valid in the configuration but fail on
+        # submission.
         cell = reader.parse(edge_fakes.KERNHALDE)
         core = edge_fakes.build()
         access = api.Access(core, edge_fakes.make_settings())
--- a/test/test_vms.py
+++ b/test/test_vms.py
@@ -6,7 +6,7 @@
 
 
 class Endpoint:
-    """Answer calls with what `reply` holds, and count them."""
+    """Fake endpoint that answers calls with `reply` and counts them."""
 
     def __init__(self):
         self.calls = 0
@@ -36,7 +36,7 @@
         self.endpoint.reply = exchange.Reply(200, {}, msgspec.json.encode([vm]))
 
     def test_readers_share_an_answer_for_a_short_time_only(self):
-        # Guards against a call for each reader, and against a list that stays old.
+        # Guards against a call for each reader, and against a list that stays outdated.
         first = self.client.list()
         self.show("leaving")
         self.assertIs(first, self.client.list(60))
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -124,7 +124,7 @@
         self.assertEqual([], self.violations())
 
     def test_an_old_tick_is_refused(self):
-        # Guards against late starts by a process that was paused before sending.
+        # Guards against late starts by a process that was paused before the send.
         owner = self.own()
         for age_ms in (1100, -200):
             owner.link.start(1, [task(f"j{age_ms}/0")], owner.link.tick - age_ms)
@@ -145,8 +145,8 @@
         wait(lambda: any(report.usage for report in successor.reports))
 
     def test_a_worker_without_tasks_skips_at_most_one_report(self):
-        # Guards against a lease that ends because nothing happens on the worker, and
-        # against tasks that a break of the link ends earlier.
+        # Guards against a lease that expires because the worker is idle, and against
+        # tasks that end early because the link was closed.
         worker = self.worker
         sent = []
         self.patch(worker, "_report", sent.append)
@@ -165,8 +165,8 @@
         self.assertEqual([4, 4, 4], pauses[-3:])
 
     def test_a_late_report_is_requested_before_the_link_closes(self):
-        # Guards against the loss of a link, and with it of placements, for one
-        # report that is lost.
+        # Guards against the loss of a link, and of the placements on the worker, after
+        # one lost report.
         self.patch(worker_reports, "REPORT_INTERVAL_S", 3600.0)
         owner = self.own(report_timeout_s=0.6)
         wait(lambda: len(owner.reports) >= 3)
@@ -193,7 +193,7 @@
         self.assertEqual({"j/0": "epoch"}, successor.refused)
 
     def test_a_repeated_start_runs_once(self):
-        # Guards against a second run after an owner lost the answer.
+        # Guards against a second run after the answer to the owner was lost.
         owner = self.own()
         for _ in range(2):
             owner.link.start(1, [task("j/0", run_ms=100)])
@@ -225,11 +225,14 @@
         wait(lambda: owner.finished["j/0"].state == "done", timeout_s=0.3)
 
     def test_a_late_renewal_does_not_extend_the_lease(self):
-        # Guards against a lease that outlasts what its sender waits for.
+        # Guards against a lease that lasts longer than its sender expects.
         owner = self.own(lease_ms=100)
         late = self.worker._tick(time.monotonic())
         gevent.sleep(0.25)
-        for tick in (late, late + 60_000):  # from before, and of another incarnation
+        for tick in (
+            late,
+            late + 60_000,
+        ):  # an earlier one, and one of another incarnation
             owner.link.renew(1, 200, tick)
         owner.link.start(1, [task("j/0")])
         wait(lambda: owner.refused)
@@ -244,8 +247,8 @@
         wait(lambda: owner.finished, timeout_s=0.8)
 
     def test_throttling_shows_in_usage_and_at_the_next_attach(self):
-        # Guards against an owner that takes a throttled task for a small one, or
-        # never lifts the limit of its predecessor.
+        # Guards against an owner that mistakes a throttled task for a small one, or
+        # never removes the limit of its predecessor.
         self.patch(worker_reports, "REPORT_INTERVAL_S", 0.02)
         self.patch(worker_reports, "USAGE_LAG_S", 0.0)
         self.faults(pause_ms=1)  # begins a series of reports at the patched interval
@@ -265,8 +268,8 @@
         self.assertEqual(0.25, running.throttle)
 
     def test_the_usage_of_a_new_attempt_is_reported(self):
-        # Guards against an owner that takes a task for idle because the attempt
-        # before used as much.
+        # Guards against an owner that treats a task as idle because the previous
+        # attempt had the same usage.
         self.patch(worker_reports, "REPORT_INTERVAL_S", 0.02)
         self.patch(worker_reports, "USAGE_LAG_S", 0.0)
         self.faults(pause_ms=1)  # begins a series of reports at the patched interval
@@ -311,7 +314,7 @@
         self.assertEqual(1, len(owner.closed))
 
     def test_a_worker_paused_beyond_its_lease_stops_before_anything_else(self):
-        # Guards against a task that runs on after it was started elsewhere.
+        # Guards against a task that still runs after it was started elsewhere.
         self.patch(standin, "LEASE_GRACE_S", 0.1)
         owner = self.own(lease_ms=200)
         owner.link.start(1, [task("j/0", run_ms=None)])
@@ -345,7 +348,7 @@
         successor = self.own(epoch=2)
         shown = {t.task_id for t in successor.attached.finished}
         running = {t.task_id for t in successor.attached.running}
-        # Guards against taking an omitted task for one that never started.
+        # Guards against an omitted task that is treated as never started.
         self.assertEqual(set(owner.finished), shown | running)
         wait(lambda: shown | set(successor.finished) == set(owner.finished))
 
@@ -360,7 +363,7 @@
         self.assertEqual(1, len(self.own(epoch=1).attached.finished))
 
     def test_a_worker_that_breaks_the_protocol_is_disconnected(self):
-        # Guards against tasks invented or answered twice by a faulty worker.
+        # Guards against unknown tasks and duplicate answers from a faulty worker.
         for sent in (
             wire.encode(wire.Started(9, ["j/0"], [])),
             wire.encode(wire.Renew(1, 1, 1)),
