--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -131,18 +131,18 @@
     def test_a_started_request_waits_for_the_list_before_it_is_sent(self):
         # Guards against a request that a resumed owner sends to a server that left.
         self.start()
-        router_lane = self.service._pool_of("request-desk")
+        pool = self.service._pool_of("request-desk")
         plain = self.partitions.begin_request
 
         def begin(request_id, server):
-            router_lane.usable_until = lambda: float("-inf")  # paused here
+            pool.usable_until = lambda: float("-inf")  # paused here
             return plain(request_id, server)
 
         self.patch(self.partitions, "begin_request", begin)
         running = gevent.spawn(self.serve, idempotent=False)
         gevent.sleep(0.05)
         self.assertEqual([], self.client.sent)
-        router_lane.set_servers([])
-        router_lane.usable_until = lambda: float("inf")
+        pool.set_servers([])
+        pool.usable_until = lambda: float("inf")
         self.assertIsInstance(running.get(timeout=5), errors.NotRun)
         self.assertEqual([], self.client.sent)
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -229,10 +229,7 @@
         owner = self.own(lease_ms=100)
         late = self.worker._tick(time.monotonic())
         gevent.sleep(0.25)
-        for tick in (
-            late,
-            late + 60_000,
-        ):  # an earlier one, and one of another incarnation
+        for tick in (late, late + 60_000):  # too old, and of another incarnation
             owner.link.renew(1, 200, tick)
         owner.link.start(1, [task("j/0")])
         wait(lambda: owner.refused)
--- a/toucanspring/callers/routing.py
+++ b/toucanspring/callers/routing.py
@@ -22,8 +22,8 @@
 # When servers are full, a freed slot is reserved for requests of the class check for
 # this fraction of the mean answer time.
 RESERVED_FRACTION = 0.05
-# Before exceeding the limit by one, background requests wait this many times longer,
-# so that free slots go to processes with requests of the class check.
+# Background requests wait this many times longer before they raise the limit, so that
+# free slots go to processes with requests of the class check.
 BACKGROUND_DELAY_FACTOR = 4.0
 MIN_LIMIT_RAISE_S = 0.002
 MAX_LIMIT_RAISE_S = 0.1
@@ -77,12 +77,12 @@
         self.in_flight = 0
         self.seconds = 0.0  # mean answer time
         self.limit = facts.slots  # requests in flight that the server accepts
-        self.limit_raise_at = 0.0  # monotonic time when `limit` may be exceeded by one
+        self.limit_raise_at = 0.0  # monotonic time when `limit` may be raised by one
         self.reserved_until = 0.0  # freed slots are for checks until then
         self.failures = 0
         self.open_s = 0.0  # how long the breaker stays open; 0 when closed
         self.open_until = 0.0
-        self.probe_in_flight = False  # the request that tests an open breaker
+        self.probe_in_flight = False  # whether a request tests an open breaker
 
     def blocked_until(self, background: bool) -> float:
         """Return when the server may be used; inf if an answer must arrive first."""
@@ -98,7 +98,7 @@
         return max(at, self.open_until) if self.open_s else at
 
     def limit_raise_delay(self) -> float:
-        """Return how many seconds to wait before exceeding the limit by one."""
+        """Return how many seconds to wait before the limit is raised by one."""
         return min(
             MAX_LIMIT_RAISE_S,
             max(MIN_LIMIT_RAISE_S, self.seconds * LIMIT_RAISE_FRACTION),
