--- a/test/test_handler.py
+++ b/test/test_handler.py
@@ -18,7 +18,7 @@
 
 
 def application(environ, start_response):
-    """Serve the paths that the tests need."""
+    """WSGI application with the paths that the tests need."""
     path = environ["PATH_INFO"]
     if path == "/echo":
         body = environ["wsgi.input"].read()
@@ -32,9 +32,9 @@
         gevent.sleep(0.4)
         start_response("200 OK", [("Content-Length", "4")])
         return [b"slow"]
-    if path == "/cut":
+    if path == "/truncated":
         start_response("200 OK", [])
-        return cut()
+        return truncated()
     if path == "/large":
         start_response("200 OK", [])
         return (b"x" * 65536 for _ in range(400))
@@ -42,10 +42,10 @@
     return [b"ok"]
 
 
-def cut():
+def truncated():
     yield b"first part"
     gevent.sleep(0.05)
-    raise handler.AnswerCut("the backend server ended early")
+    raise handler.AnswerAborted("the backend server ended early")
 
 
 class Connection:
@@ -69,8 +69,8 @@
     def receive(self):
         """Return everything until the end.
 
-        A reset raises ConnectionResetError or, under TLS, SSLEOFError, as does an end
-        of the connection that the server does not state.
+        A reset raises ConnectionResetError or, with TLS, SSLEOFError, as does an end
+        of the connection without a close_notify alert.
         """
         received = b""
         while chunk := self.socket.recv(65536):
@@ -108,7 +108,7 @@
 
 class HandlerTest(HandlerCase):
     def test_heads_over_the_limits_are_refused_with_a_reason(self):
-        # Guards against a caller that fills memory with an endless head.
+        # Guards against a caller that fills the memory with an endless head.
         many = b"".join(b"X-%d: 1\r\n" % number for number in range(200))
         large = b"X-A: " + b"a" * handler.MAX_HEAD_BYTES
         line = b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\n\r\n"
@@ -118,8 +118,8 @@
         )
         self.check_refused(414, "Oversized", line)
 
-    def test_unclear_framing_is_refused(self):
-        # Guards against a request that is smuggled past a proxy.
+    def test_ambiguous_framing_is_refused(self):
+        # Guards against request smuggling past a proxy.
         for headers in (
             b"Content-Length: 5\r\nContent-Length: 6\r\n",
             b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -135,8 +135,8 @@
         head = b"POST /echo HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % length
         self.check_refused(413, "Oversized", head)
 
-    def test_a_slow_head_does_not_hold_a_connection(self):
-        # Guards against callers that send one byte now and then.
+    def test_a_slow_head_does_not_occupy_a_connection(self):
+        # Guards against callers that send a head byte by byte.
         self.patch(handler, "HEAD_TIMEOUT_S", 0.2)
         with self.connect() as connection:
             connection.send(b"GET / HTTP/1.1\r\nHost: ")
@@ -144,8 +144,8 @@
             self.assertIn(b"408", connection.receive())
             self.assertLess(gevent.get_hub().loop.now() - started, 5)
 
-    def test_idle_connections_end_sooner_when_few_are_left(self):
-        # Guards against idle callers that keep all others out.
+    def test_idle_connections_end_sooner_near_the_connection_limit(self):
+        # Guards against idle callers that use up all connections.
         self.patch(server, "MAX_CONNECTIONS", 2)
         self.patch(server, "BUSY_IDLE_TIMEOUT_S", 0.1)
         idle = [self.connect() for _ in range(2)]
@@ -156,8 +156,8 @@
             with connection:
                 self.assertTrue(connection.receive().endswith(b"ok"))
 
-    def test_a_reader_that_stops_reading_is_cut_off(self):
-        # Guards against answers that stay in memory for callers that never read.
+    def test_a_client_that_stops_reading_is_disconnected(self):
+        # Guards against answers that stay in memory because callers never read them.
         self.patch(handler, "SEND_TIMEOUT_S", 0.2)
         with self.connect() as connection:
             connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -165,13 +165,13 @@
             gevent.sleep(1.0)
             self.assertEqual(0, self.server.in_flight())
 
-    def test_a_cut_answer_never_looks_complete(self):
-        # Guards against the truncated answer of a dead backend server that a rep
-        # takes for the whole one; HTTP/1.0 callers see the end of a connection as
-        # the end of an answer, so they need a reset.
+    def test_a_truncated_answer_never_looks_complete(self):
+        # Guards against the truncated answer of a failed backend server that a caller
+        # takes for complete. HTTP/1.0 callers take the end of the connection as the
+        # end of an answer, so they need a reset.
         for version in (b"1.0", b"1.1"):
             with self.connect() as connection:
-                connection.send(b"GET /cut HTTP/" + version + b"\r\n\r\n")
+                connection.send(b"GET /truncated HTTP/" + version + b"\r\n\r\n")
                 try:
                     answer = connection.receive()
                 except (ConnectionResetError, ssl.SSLEOFError):
@@ -179,8 +179,8 @@
                 self.assertNotEqual(b"1.0", version)
                 self.assertFalse(answer.endswith(b"0\r\n\r\n"))
 
-    def test_a_refused_upload_reads_the_reason(self):
-        # Guards against a reset that hides the refusal from the caller.
+    def test_the_caller_of_a_refused_upload_receives_the_reason(self):
+        # Guards against a reset that discards the error response.
         length = handler.MAX_BODY_BYTES + 1
         head = b"POST /echo HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % length
         self.check_refused(413, "Oversized", head + b"x" * LARGE)
@@ -209,8 +209,8 @@
             max_size=8,
         )
     )
-    def test_any_bytes_get_answers_in_http_or_an_end(self, parts):
-        # Guards against input that stops the server or makes it answer status 500.
+    def test_any_bytes_are_answered_in_http_or_end_the_connection(self, parts):
+        # Guards against input that stops the server or causes status 500.
         data = b"".join(parts)
         with self.connect() as connection:
             connection.send(data)
--- a/test/test_listing.py
+++ b/test/test_listing.py
@@ -7,7 +7,7 @@
 from test import request_fakes
 from toucanspring import errors
 from toucanspring.adapters import vms
-from toucanspring.callers import answers, forwarding, lane, listing, routing
+from toucanspring.callers import answers, backend_pool, forwarding, listing, routing
 
 LEAVING = vms.State.LEAVING
 
@@ -16,9 +16,9 @@
     def setUp(self):
         super().setUp()
         self.now = 100.0
-        self.pauses = []  # of the process during the next reads
+        self.pauses = []  # pauses of the process in seconds, one per read
         self.answer = request_fakes.servers(1)
-        self.listing = listing.Listing(self.read, lambda: self.now)
+        self.listing = listing.VmListCache(self.read, lambda: self.now)
 
     def read(self):
         listed = self.answer
@@ -27,15 +27,15 @@
             self.answer = request_fakes.servers(1, state=LEAVING)
         return listed
 
-    def test_a_list_is_usable_until_the_next_turn_is_overdue(self):
+    def test_a_list_is_usable_until_the_next_poll_is_overdue(self):
         self.assertLess(self.listing.usable_until(), self.now)
         self.assertEqual(listing.POLL_S, self.listing.update())
         self.assertEqual(
             self.now + listing.POLL_S + listing.SLACK_S, self.listing.usable_until()
         )
 
-    def test_an_answer_as_old_as_a_pause_is_read_again(self):
-        # Guards against a list that was answered before a pause and read after it.
+    def test_a_list_is_read_again_after_a_pause(self):
+        # Guards against a list that was sent before a pause and received after it.
         self.pauses = [60.0]
         self.listing.update()
         self.assertEqual(LEAVING, self.listing.vms[0].state)
@@ -63,51 +63,53 @@
 
 
 class PausedSendTest(testtools.TestCase):
-    """The process is paused between the choice of a server and the send."""
+    """Tests with a pause of the process between the choice of a server and the send."""
 
     def setUp(self):
         super().setUp()
         self.now = 0.0
         self.usable_until = 1.0
         service = types.SimpleNamespace(classes={}, retries=0, name="request-desk")
-        self.lane = lane.Lane(
+        self.backend_pool = backend_pool.BackendPool(
             service, random.Random(5), lambda: self.now, lambda: self.usable_until
         )
-        self.lane.set_servers([facts("b1")])
+        self.backend_pool.set_servers([facts("b1")])
         self.client = request_fakes.Client(b"whole")
 
     def pause_after_choice(self, seconds):
-        plain = self.lane.acquire
+        plain = self.backend_pool.acquire
 
         def acquire(*args):
             server = plain(*args)
-            self.lane.acquire = plain
+            self.backend_pool.acquire = plain
             self.now += seconds
             return server
 
-        self.lane.acquire = acquire
+        self.backend_pool.acquire = acquire
 
     def start(self, deadline_s=30.0):
         request = request_fakes.make_request(deadline_s=deadline_s)
-        attempt = forwarding.Attempt(self.lane, self.client, request, lambda: self.now)
+        attempt = forwarding.IdempotentCall(
+            self.backend_pool, self.client, request, lambda: self.now
+        )
         running = gevent.spawn(attempt.run)
         gevent.sleep(0.01)
         return running
 
-    def test_a_server_that_left_meanwhile_gets_nothing(self):
-        # Guards against new work on a server seconds after it was listed as leaving:
-        # a daemon resumed after 6 s sent one request to such a server.
+    def test_a_server_that_left_during_the_pause_gets_no_request(self):
+        # Guards against new requests to a server that is listed as leaving: a daemon
+        # that was paused for 6 s sent one request to such a server.
         self.pause_after_choice(6.0)
         running = self.start()
         self.assertEqual([], self.client.sent)
-        self.lane.set_servers([facts("b1", leaving=True), facts("b2")])
+        self.backend_pool.set_servers([facts("b1", leaving=True), facts("b2")])
         self.usable_until = self.now + 1.0
-        self.lane.pump()
+        self.backend_pool.dispatch()
         self.assertIsInstance(running.get(timeout=5), answers.Answer)
         ((server, _, _),) = self.client.sent
         self.assertEqual("b2:80", server)
 
-    def test_waiting_requests_get_no_server_of_an_old_list(self):
+    def test_waiting_requests_get_no_server_of_an_outdated_list(self):
         self.now = 2.0
         running = self.start()
         self.assertEqual([], self.client.sent)
@@ -126,21 +128,21 @@
 
 
 class PausedOwnerTest(request_fakes.RequestsCase):
-    def test_a_begun_request_waits_for_the_list_before_it_is_sent(self):
-        # Guards against an order that a resumed owner sends to a server that left.
+    def test_a_started_request_waits_for_the_list_before_it_is_sent(self):
+        # Guards against a request that a resumed owner sends to a server that left.
         self.start()
-        router_lane = self.service._lane_of("request-desk")
+        pool = self.service._pool_of("request-desk")
         plain = self.partitions.begin_request
 
         def begin(request_id, server):
-            router_lane.usable_until = lambda: float("-inf")  # paused here
+            pool.usable_until = lambda: float("-inf")  # paused here
             return plain(request_id, server)
 
         self.patch(self.partitions, "begin_request", begin)
         running = gevent.spawn(self.serve, idempotent=False)
         gevent.sleep(0.05)
         self.assertEqual([], self.client.sent)
-        router_lane.set_servers([])
-        router_lane.usable_until = lambda: float("inf")
+        pool.set_servers([])
+        pool.usable_until = lambda: float("inf")
         self.assertIsInstance(running.get(timeout=5), errors.NotRun)
         self.assertEqual([], self.client.sent)
--- a/test/test_requests.py
+++ b/test/test_requests.py
@@ -16,8 +16,8 @@
 
 
 class IdempotentTest(request_fakes.RequestsCase):
-    def test_a_refused_request_goes_elsewhere(self):
-        # Guards against a full server that turns into a refusal of the caller.
+    def test_a_refused_request_is_sent_to_another_server(self):
+        # Guards against a caller that is refused because one server is full.
         self.start(request_fakes.REFUSED, request_fakes.REFUSED, b"whole")
         self.check_whole(self.serve())
         self.assertEqual(3, len(self.client.sent))
@@ -29,20 +29,20 @@
         self.assertEqual([], self.client.ran)
 
     def test_an_answer_that_breaks_at_once_is_retried_elsewhere(self):
-        # Guards against a truncated answer that is presented as whole.
-        self.start(request_fakes.CUT, b"whole")
+        # Guards against a truncated answer that is presented as complete.
+        self.start(request_fakes.TRUNCATED, b"whole")
         self.check_whole(self.serve())
         first, second = (server for server, _, _ in self.client.sent)
         self.assertNotEqual(first, second)
 
     def test_an_answer_that_breaks_later_raises(self):
         self.patch(requests.forwarding, "PREFETCH_BYTES", 1)
-        self.start(request_fakes.CUT)
+        self.start(request_fakes.TRUNCATED)
         result = self.serve()
-        with testtools.ExpectedException(handler.AnswerCut):
+        with testtools.ExpectedException(handler.AnswerAborted):
             list(result.chunks)
 
-    def test_a_request_begun_under_a_former_number_is_asked_for_there(self):
+    def test_a_request_started_before_a_partition_change_is_looked_up_there(self):
         # Guards against a non-idempotent request that is refused, or run again, when
         # it is repeated after a change of the number of partitions.
         self.start(b"whole")
@@ -69,12 +69,12 @@
         self.assertEqual(2, owners[-1])
 
     def test_a_lost_answer_makes_the_outcome_unknown(self):
-        # Guards against "not run" for a request that a server may have begun.
+        # Guards against "not run" for a request that a server may have started.
         for script in (
             [request_fakes.LOST],
             [request_fakes.LOST, request_fakes.REFUSED],
-            [request_fakes.LOST, request_fakes.UNREACHED],
-            [request_fakes.CUT, request_fakes.REFUSED],
+            [request_fakes.LOST, request_fakes.UNREACHABLE],
+            [request_fakes.TRUNCATED, request_fakes.REFUSED],
         ):
             self.start(*script)
             result = self.serve(deadline_s=0.3)
@@ -89,13 +89,13 @@
             self.serve(deadline_s=0.05)
         self.assertLess(len(self.client.sent), 30 * 1.5 + 13)
 
-    def test_unreached_servers_are_certainly_not_run(self):
-        self.start(request_fakes.UNREACHED)
+    def test_a_request_that_reached_no_server_is_not_run(self):
+        self.start(request_fakes.UNREACHABLE)
         result = self.serve(deadline_s=0.3)
         self.assertIsInstance(result, errors.NotRun)
 
     def test_leaving_servers_and_zones_out_get_no_new_request(self):
-        # Guards against new work on a server that is about to end.
+        # Guards against new requests to a server that is about to stop.
         self.start(listed=request_fakes.servers(2, state=vms.State.LEAVING))
         self.assertIsInstance(self.serve(deadline_s=0.1), errors.NotRun)
         self.start()
@@ -113,17 +113,17 @@
         self.check_whole(self.serve())
 
     def test_an_abandoned_answer_frees_its_slot(self):
-        # Guards against callers that hang up and leave servers looking full.
+        # Guards against slots that stay occupied after callers disconnect.
         self.patch(requests.forwarding, "PREFETCH_BYTES", 1)
         self.start(b"whole", count=1)
         for _ in range(20):
             self.serve().chunks.close()
-        router = self.service._lane_of("request-desk").router
+        router = self.service._pool_of("request-desk").router
         self.assertEqual(0, router.load("b1"))
 
     def test_more_than_the_allowed_waiting_requests_are_shed(self):
         self.start(request_fakes.REFUSED)
-        target = self.service._lane_of("request-desk")
+        target = self.service._pool_of("request-desk")
         rule = types.SimpleNamespace(max_waiting=2)
         target.service = types.SimpleNamespace(
             classes={job.JobClass.CHECK: rule}, retries=0, name="request-desk"
@@ -139,7 +139,7 @@
         self.assertEqual((len(shed), "check"), (told["count"], told["job_class"]))
 
     def test_a_request_at_a_paused_owner_goes_to_its_successor(self):
-        # Guards against a warning that waits at a paused owner for its whole deadline.
+        # Guards against a request that waits at a paused owner until its deadline.
         self.start()
         owners = self.core.find("claims")
         owners.owner = "entry-2"
@@ -161,9 +161,9 @@
             strategies.sampled_from(
                 [
                     request_fakes.REFUSED,
-                    request_fakes.UNREACHED,
+                    request_fakes.UNREACHABLE,
                     request_fakes.LOST,
-                    request_fakes.CUT,
+                    request_fakes.TRUNCATED,
                     b"whole",
                 ]
             ),
@@ -171,8 +171,8 @@
             max_size=6,
         )
     )
-    def test_not_run_is_said_only_if_nothing_ran(self, script):
-        # Guards against a refusal that a dispatcher takes as leave to ask again.
+    def test_not_run_is_returned_only_if_nothing_ran(self, script):
+        # Guards against `NotRun` for a request that ran, which the caller would repeat.
         self.start(*script)
         result = self.serve(deadline_s=0.15)
         match result:
--- a/test/test_submission.py
+++ b/test/test_submission.py
@@ -6,14 +6,15 @@
 
 
 class SubmissionTest(testtools.TestCase):
-    def test_example_templates_are_accepted_as_they_are(self):
-        # Guards against templates that pass the text and fail on submission.
+    def test_example_templates_are_accepted_without_changes(self):
+        # Guards against templates that are valid in the configuration but fail on
+        # submission.
         cell = reader.parse(edge_fakes.KERNHALDE)
         core = edge_fakes.build()
         access = api.Access(core, edge_fakes.make_settings())
         for name, template in cell.jobs.items():
             core.find("documents").secrets["k"] = template.team
-            built = submission.Specs(cell, access, "k").build(
+            built = submission.JobSpecBuilder(cell, access, "k").build(
                 submission.Submission(template=name), "jobs.0"
             )
             self.assertEqual(template.demand, built[-1].demand)
--- a/toucanspring/callers/api_services.py
+++ b/toucanspring/callers/api_services.py
@@ -12,15 +12,15 @@
 from toucanspring.owners import runner
 
 MAX_DEADLINE_MS = 3_600_000
-FALSE_WORDS = {"false", "0", "no"}
-TRUE_WORDS = {"true", "1", "yes"}
+FALSE_VALUES = {"false", "0", "no"}
+TRUE_VALUES = {"true", "1", "yes"}
 
 
 def _choose_class(service: text.Service, name: str | None) -> job.JobClass:
     if name is None:
         return service.default_class
     if name not in service.classes:
-        raise api.Failed(
+        raise api.ApiError(
             errors.Invalid(
                 reason=f"service {service.name} has no such class; not run",
                 path="X-Class",
@@ -31,36 +31,40 @@
     return job.JobClass(name)
 
 
-def _is_idempotent(rule: text.ClassRule, word: str | None) -> bool:
-    """Return whether a request may run twice: only if nobody says otherwise.
+def _is_idempotent(rule: text.ClassRule, header: str | None) -> bool:
+    """Return whether a request may run more than once.
 
-    Operators decide for a class; a caller may ask for more care, never for less.
+    The setting of the class decides, and a caller may only make it stricter. Without a
+    setting, the request is idempotent only if the caller says so.
     """
-    if word is not None and word.lower() not in TRUE_WORDS | FALSE_WORDS:
-        raise api.Failed(
+    if header is not None and header.lower() not in TRUE_VALUES | FALSE_VALUES:
+        raise api.ApiError(
             errors.Invalid(
-                reason="not run", path="X-Idempotent", value=word[:80], expected="true"
+                reason="invalid header; not run",
+                path="X-Idempotent",
+                value=header[:80],
+                expected="true",
             )
         )
-    said = None if word is None else word.lower() in TRUE_WORDS
+    requested = None if header is None else header.lower() in TRUE_VALUES
     if rule.idempotent is None:
-        return bool(said)
-    return rule.idempotent and said is not False
+        return bool(requested)
+    return rule.idempotent and requested is not False
 
 
-def _deadline_s(rule: text.ClassRule, word: str | None) -> float:
-    if word is None:
+def _deadline_s(rule: text.ClassRule, header: str | None) -> float:
+    if header is None:
         return rule.timeout_seconds
-    if not word.isdecimal() or not 0 < int(word[:12]) <= MAX_DEADLINE_MS:
-        raise api.Failed(
+    if not header.isdecimal() or not 0 < int(header[:12]) <= MAX_DEADLINE_MS:
+        raise api.ApiError(
             errors.Invalid(
-                reason="not run",
+                reason="invalid header; not run",
                 path="X-Deadline-Ms",
-                value=word[:80],
+                value=header[:80],
                 expected=f"1 to {MAX_DEADLINE_MS}",
             )
         )
-    return min(rule.timeout_seconds, int(word) / 1000)
+    return min(rule.timeout_seconds, int(header) / 1000)
 
 
 class Requests:
@@ -71,11 +75,13 @@
         self._access = access
 
     def on_post(self, request, response, name: str) -> None:
-        """Run a request at a backend server and pass on its whole answer."""
+        """Run a request at a backend server and pass on its answer."""
         cell = self._kernel.find("documents").cell()
         service = cell.services.get(name)
         if service is None:
-            raise api.Failed(errors.NotFound(reason=f"no service {name[:80]}; not run"))
+            raise api.ApiError(
+                errors.NotFound(reason=f"no service {name[:80]}; not run")
+            )
         queue = cell.queues[service.queue]
         team = queue.team
         if not queue.is_open:
@@ -88,7 +94,7 @@
         request_id = _request_id(given, queue)
         body = api.read_body(request, answers.MAX_BODY_BYTES)
         if not queue.is_open:
-            # The body may have taken longer than a withdrawn key may work.
+            # The key may have been withdrawn during a slow upload of the body.
             self._access.require_team(request)
         response.set_header("X-Request-Id", request_id)
         result = self._kernel.find("requests").serve(
@@ -115,9 +121,9 @@
         return f"{prefix}{secrets.token_hex(10)}"
     api.check_id(given, "X-Request-Id")
     if given.startswith(api.OPEN_PREFIX) != queue.is_open:
-        raise api.Failed(
+        raise api.ApiError(
             errors.Invalid(
-                reason="request ID of another access; not run",
+                reason="the request ID does not fit the queue; not run",
                 path="X-Request-Id",
                 value=given,
                 expected=f"the prefix {api.OPEN_PREFIX} on open queues only",
@@ -150,7 +156,7 @@
         api.check_id(request_id)
         reader = self._access.reader(request)
         if reader == "" and not request_id.startswith(api.OPEN_PREFIX):
-            raise api.Failed(errors.Forbidden(reason="a team key is required"), 401)
+            raise api.ApiError(errors.Forbidden(reason="a team key is required"), 401)
         found = api.unwrap(self._kernel.find("requests").lookup(request_id))
         if isinstance(found, runner.Running):
             response.set_header("X-State", "running")
--- a/toucanspring/callers/lane.py
+++ b/toucanspring/callers/backend_pool.py
@@ -1,4 +1,4 @@
-"""Backend servers of one service: who waits for a slot, and who gets the next one."""
+"""Backend servers of one service, and the requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from toucanspring.callers import admission, routing
 from toucanspring.configuration import text
 
-# A server may free a slot at any moment without this process being told, so waiting
-# requests are offered again at this interval at least.
-LONGEST_PAUSE_S = 0.1
-SHORTEST_PAUSE_S = 0.002
-# Classes that leave a slot that becomes free on a full server to checks for a moment.
-BACKGROUND = frozenset({job.JobClass.NORMAL, job.JobClass.DEFERRABLE})
+# A server may free a slot without notifying this process, so waiting requests are
+# dispatched again at least at this interval.
+MAX_DISPATCH_DELAY_S = 0.1
+MIN_DISPATCH_DELAY_S = 0.002
+# Classes that may not use a slot freed on a full server while it is kept for checks.
+BACKGROUND_CLASSES = frozenset({job.JobClass.NORMAL, job.JobClass.DEFERRABLE})
 
 
 class Waiter:
-    """Stand for one request that waits for a slot."""
+    """Hold one request that waits for a slot."""
 
     __slots__ = ("deadline", "excluded", "job_class", "result", "retry")
 
@@ -43,7 +43,7 @@
         self.result = event.AsyncResult()
 
 
-class Lane:
+class BackendPool:
     """Own the router and the queue of one service in this process."""
 
     def __init__(
@@ -54,7 +54,7 @@
         usable_until: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self.service = service
-        # When the servers must be listed again before the next request is sent.
+        # Returns the monotonic time after which the VM list must be read before a send.
         self.usable_until = usable_until
         self.router = routing.Router(rng)
         self._admission = admission.Admission()
@@ -67,7 +67,7 @@
         self._zones_out: frozenset[str] = frozenset()
 
     def close(self) -> None:
-        """Stop offering slots; requests that wait end as not run."""
+        """Stop dispatching; waiting requests fail with `NotRun`."""
         if self._timer is not None:
             self._timer.kill()
             self._timer = None
@@ -75,16 +75,16 @@
             waiter.result.set(errors.NotRun(reason="not run: the process stops"))
 
     def set_servers(self, servers: list[routing.ServerFacts]) -> None:
-        """Replace the backend servers and serve waiting requests."""
+        """Replace the backend servers and dispatch waiting requests."""
         self._servers = {facts.id: facts for facts in servers}
         self.router.set_servers(servers)
-        self.pump()
+        self.dispatch()
 
     def set_zones_out(self, zones: frozenset[str]) -> None:
-        """Use no server in these availability zones."""
+        """Exclude the servers in these availability zones."""
         self._zones_out = zones
         self.router.set_zones_out(zones)
-        self.pump()
+        self.dispatch()
 
     def is_usable(self, server_id: str) -> bool:
         """Return whether a server is listed, not leaving and in a zone in service."""
@@ -112,11 +112,13 @@
         """
         now = self._clock()
         if now >= deadline:
-            return errors.NotRun(reason="not run: the deadline passed before a start")
+            return errors.NotRun(
+                reason="not run: the deadline passed before the request was sent"
+            )
         rule = self.service.classes.get(job_class)
         if rule is not None and self._waiting[job_class] >= rule.max_waiting:
             return errors.Overloaded(
-                reason=f"not run: {rule.max_waiting} {job_class} requests wait already"
+                reason=f"not run: {rule.max_waiting} {job_class} requests already wait"
             )
         key = str(next(self._keys))
         waiter = Waiter(job_class, deadline, excluded, retry)
@@ -126,12 +128,14 @@
             offered = self._admission.offer(key, job_class, deadline, now)
             if isinstance(offered, errors.Failure):
                 return offered
-            self.pump()
+            self.dispatch()
             return waiter.result.get(timeout=deadline - now)
         except gevent.Timeout:
-            if waiter.result.ready():  # a server was given in the same moment
+            if waiter.result.ready():  # a server was assigned at the same time
                 return waiter.result.get()
-            return errors.NotRun(reason="not run: the deadline passed before a start")
+            return errors.NotRun(
+                reason="not run: the deadline passed before the request was sent"
+            )
         finally:
             self._waiting[job_class] -= 1
             del self._waiters[key]
@@ -144,28 +148,28 @@
         job_class: job.JobClass,
         seconds: float,
     ) -> None:
-        """Record how a request ended at a server and serve the next one."""
+        """Record how a request ended at a server and dispatch the next one."""
         self.router.finished(server_id, outcome, seconds, self._clock())
         if outcome is routing.Outcome.OK:
-            self._admission.served(job_class, seconds)
-        self.pump()
+            self._admission.record_service_time(job_class, seconds)
+        self.dispatch()
 
     def release(self, server_id: str) -> None:
-        """Give back a server to which nothing was sent."""
+        """Release a server to which nothing was sent."""
         self.router.unsent(server_id)
-        self.pump()
+        self.dispatch()
 
-    def pump(self) -> None:
-        """Give servers to waiting requests while there are both."""
+    def dispatch(self) -> None:
+        """Assign servers to waiting requests while there are both."""
         while self._waiters:
             now = self._clock()
             if now > self.usable_until():
-                self._arm(LONGEST_PAUSE_S)
+                self._schedule_dispatch(MAX_DISPATCH_DELAY_S)
                 return
-            background = self._admission.head() in BACKGROUND
-            probe = self.router.choose(now, background=background)
-            if isinstance(probe, errors.Failure):
-                self._arm(probe.retry_after_s)
+            background = self._admission.next_class() in BACKGROUND_CLASSES
+            available = self.router.choose(now, background=background)
+            if isinstance(available, errors.Failure):
+                self._schedule_dispatch(available.retry_after_s)
                 return
             item = self._admission.next(now)
             if item is None:
@@ -179,16 +183,16 @@
                 continue
             server = self.router.choose(now, waiter.excluded, background)
             if isinstance(server, errors.Failure):
-                # All others are full; a second try at the same one beats waiting.
-                server = probe
+                # All others are full; an excluded server is better than waiting.
+                server = available
             self.router.sent(server.id, waiter.retry)
             waiter.result.set(server)
 
-    def _arm(self, delay_s: float) -> None:
+    def _schedule_dispatch(self, delay_s: float) -> None:
         if self._timer is None:
-            pause = min(LONGEST_PAUSE_S, max(SHORTEST_PAUSE_S, delay_s))
-            self._timer = gevent.spawn_later(pause, self._run_timer)
+            delay = min(MAX_DISPATCH_DELAY_S, max(MIN_DISPATCH_DELAY_S, delay_s))
+            self._timer = gevent.spawn_later(delay, self._run_timer)
 
     def _run_timer(self) -> None:
         self._timer = None
-        self.pump()
+        self.dispatch()
--- a/toucanspring/callers/gateway.py
+++ b/toucanspring/callers/gateway.py
@@ -27,8 +27,8 @@
 log = logbook.Logger(__name__)
 
 
-class Timing:
-    """Count requests and their seconds by route and status."""
+class RequestMetrics:
+    """Record the number and duration of requests by route and status."""
 
     def __init__(self, core: kernel.Kernel) -> None:
         metrics = core.find("metrics")
@@ -40,7 +40,7 @@
         )
 
     def process_request(self, request: falcon.Request, _response) -> None:
-        """Note when a request began."""
+        """Record when a request started."""
         request.context.started = time.monotonic()
 
     def process_response(
@@ -54,7 +54,7 @@
         self._seconds.add({"route": route}, seconds)
 
 
-class Startup:
+class StartupGuard:
     """Refuse calls until the documents were read once.
 
     Before that, every team, queue and service looks unknown, and a caller would be
@@ -68,7 +68,7 @@
     def is_over(self) -> bool:
         """Return whether the documents were read.
 
-        An old view does not count later: during an outage of the store all processes
+        A stale view does not matter later: during an outage of the store all processes
         have one, and idempotent requests are still served.
         """
         if not self._was_fresh:
@@ -79,21 +79,21 @@
     def process_request(self, request: falcon.Request, _response) -> None:
         """Answer 503 for all but the status routes."""
         if request.path.startswith("/v1/") and not self.is_over():
-            raise api.Failed(
+            raise api.ApiError(
                 errors.Unavailable(reason="documents not read yet; not run")
             )
 
 
 def build_application(core: kernel.Kernel, settings: object, is_draining) -> falcon.App:
-    """Return the WSGI application with all routes of the page."""
-    startup = Startup(core)
+    """Return the WSGI application with all routes of the API."""
+    startup_guard = StartupGuard(core)
     # falcon would read the VM's tables of file types, 0.3 MB; no files are served here.
     mimetypes.knownfiles.clear()
-    application = falcon.App(middleware=[Timing(core), startup])
+    application = falcon.App(middleware=[RequestMetrics(core), startup_guard])
     application.req_options.strip_url_path_trailing_slash = True
-    application.add_error_handler(api.Failed, api.answer_failure)
+    application.add_error_handler(api.ApiError, api.answer_failure)
     application.add_error_handler(falcon.HTTPError, api.answer_http_error)
-    application.add_error_handler(Exception, _answer_fault)
+    application.add_error_handler(Exception, _answer_internal_error)
     access = api.Access(core, settings)
     routes = {
         "/v1/jobs": api_jobs.Jobs(core, access),
@@ -113,20 +113,22 @@
         "/v1/keys/{key_id}": api_operators.Key(core, access),
         "/v1/events": api_events.Events(core, access),
         "/v1/workers": api_status.Workers(core, access),
-        "/v1/members/{name}/gone": api_operators.Departure(core, access),
+        "/v1/members/{name}/gone": api_operators.MemberGone(core, access),
         "/v1/members": api_status.Members(core, access),
         "/v1/reports/{name}": api_status.Reports(core, access),
         "/metrics": api_status.Metrics(core),
         "/healthz": api_status.Health(),
-        "/readyz": api_status.Ready(startup.is_over, is_draining),
+        "/readyz": api_status.Ready(startup_guard.is_over, is_draining),
     }
     for path, resource in routes.items():
         application.add_route(path, resource)
     return application
 
 
-def _answer_fault(_request, response: falcon.Response, error: Exception, _params):
-    """Answer a programming error; whether work ran is then unknown."""
+def _answer_internal_error(
+    _request, response: falcon.Response, error: Exception, _params
+):
+    """Answer an unexpected exception; whether the work ran is then unknown."""
     log.error("request failed: {!r}", error, exc_info=True)
     response.status = falcon.HTTP_500
     response.content_type = api.JSON
@@ -181,7 +183,7 @@
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Close the listener; answers under way end their connections."""
+        """Close the listener; each connection ends with its current answer."""
         if not self._draining:
             self._drain_until = time.monotonic() + self._settings.drain_s
         self._draining = True
@@ -189,15 +191,15 @@
             self._server.stop_accepting_connections()
 
     def in_flight(self) -> int:
-        """Return the number of requests under way, counting those on their way in."""
+        """Return the number of requests in progress, including those in transit."""
         return 0 if self._server is None else self._server.in_flight()
 
     def stop(self) -> None:
-        """Wait for the requests under way, then close all connections."""
+        """Wait for the requests in progress, then close all connections."""
         if self._server is None:
             return
         self.stop_accepting()
-        # The daemon has waited before; both waits together take `drain_s` at most.
+        # The daemon has already waited; both waits together take `drain_s` at most.
         left_s = max(0.0, self._drain_until - time.monotonic())
         interrupted = self._server.drain(left_s)
         if interrupted:
@@ -210,5 +212,5 @@
         name = body.decode(errors="replace")
         if name not in report.NAMES:
             return errors.NotFound(reason=f"no report {name}")
-        # In blocks: the error budgets of many teams exceed one frame.
+        # In chunks: the error budgets of many teams exceed one frame.
         return answers.split(report.encode(report.collect(self._kernel, name)))
--- a/toucanspring/callers/handler.py
+++ b/toucanspring/callers/handler.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections of callers: limits on size and time, and a clean cut.
+"""HTTP/1.1 connections of callers: limits on size and time, and aborted answers.
 
-The base class reads headers and bodies without a limit on time, and discards the
-unread rest of any body; both let one slow or large client hold a connection.
+The base class reads headers and bodies without a time limit, and reads the rest of
+any body to discard it; both let one slow or large client occupy a connection.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADERS = 100
 MAX_BODY_BYTES = 16 << 20
-# More than this of an unread body is not worth reading to keep the connection.
+# A connection with a larger unread rest of a body is closed rather than reused.
 MAX_DISCARDED_BYTES = 64 * 1024
 HEAD_TIMEOUT_S = 10.0
 BODY_TIMEOUT_S = 30.0
-# A client that takes no part of an answer for this long is cut off.
+# A client that reads nothing of its answer for this long is disconnected.
 SEND_TIMEOUT_S = 30.0
-# Time for a client to read a refusal before the connection is closed: closing with
-# unread bytes resets it, and the client may lose the refusal.
+# Time for a client to read an error response before the connection is closed: closing
+# with unread bytes resets it, and the client may lose the response.
 LINGER_S = 1.0
-MAX_JOINED_BYTES = 16 * 1024  # copied to save a packet
+MAX_COALESCED_BYTES = 16 * 1024  # copied to send the head and body in one packet
 
-_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
+_METHOD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}")
 _VERSION = re.compile(r"HTTP/1\.[01]")
 _CONTENT_LENGTH = re.compile(r"[0-9]{1,15}")
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-_REASONS = {
+_REASON_PHRASES = {
     400: "Bad Request",
     408: "Request Timeout",
     411: "Length Required",
@@ -59,8 +59,8 @@
         self.failure = failure
 
 
-class AnswerCut(Exception):
-    """Raised by an application to cut an answer of which a part was sent."""
+class AnswerAborted(Exception):
+    """Raised by an application to abort an answer that was sent in part."""
 
 
 def render(failure: errors.Failure) -> bytes:
@@ -87,7 +87,7 @@
 
 
 class Input(pywsgi.Input):
-    """Read a request body; leave a large unread rest unread and close instead."""
+    """Read a request body; close the connection instead of discarding a large rest."""
 
     __slots__ = ("handler",)
 
@@ -113,8 +113,8 @@
 class Handler(pywsgi.WSGIHandler):
     """Serve the requests of one connection."""
 
-    body_length = 0  # bytes of the present answer that were handed to the socket
-    served = False  # whether a request has arrived on this connection
+    body_length = 0  # bytes of the current answer passed to the socket
+    received_request = False  # on this connection, at any time
 
     def handle(self) -> None:
         """Serve requests until either side ends the connection."""
@@ -134,16 +134,16 @@
                     self._linger()
                     break
         except OSError:
-            pass  # the client is gone
+            pass  # the client closed the connection
         finally:
             self.server.connections.discard(self)
             if not self.busy:
-                _end_encryption(self.socket)
+                _send_close_notify(self.socket)
             self.busy = False
             self._close()
 
     def handle_one_request(self) -> object:
-        """Wait for a request, read its head in limited time, and answer it."""
+        """Wait for a request, read its head within a time limit, and answer it."""
         self.busy = False
         try:
             self.socket.settimeout(self.server.idle_timeout())
@@ -152,20 +152,20 @@
             return None
         if not line or line.strip() == b"":
             return None
-        self.busy = self.served = True
+        self.busy = self.received_request = True
         self.response_length = 0
         self.socket.settimeout(SEND_TIMEOUT_S)
         try:
-            with gevent.Timeout(HEAD_TIMEOUT_S, _too_slow("head", HEAD_TIMEOUT_S)):
+            with gevent.Timeout(HEAD_TIMEOUT_S, _timeout_error("head", HEAD_TIMEOUT_S)):
                 if len(line) >= pywsgi.MAX_REQUEST_LINE:
                     reason = f"the request line exceeds {len(line)} bytes"
                     raise BadRequest(414, errors.Oversized(reason=reason))
                 self._read_head(line.decode("latin-1"))
         except BadRequest as error:
-            return error.status, _refusal(error)
+            return error.status, _error_response(error)
         except (ValueError, client.HTTPException) as error:
             failure = errors.Malformed(reason=str(error) or "unreadable request")
-            return 400, _refusal(BadRequest(400, failure))
+            return 400, _error_response(BadRequest(400, failure))
         self.environ = self.get_environ()
         self.application = self.server.application
         self.handle_one_response()
@@ -176,15 +176,15 @@
             return None
         return True
 
-    def is_awaited(self) -> bool:
-        """Return whether a request is under way, or was sent and not read yet."""
+    def has_pending_request(self) -> bool:
+        """Return whether a request is in progress, or has arrived but is unread."""
         if self.busy:
             return True
         sock = self.__dict__.get("socket")
         if sock is None:
             return False
         try:
-            # Under TLS, bytes are in the decoder or, encrypted, still in the kernel.
+            # With TLS, bytes may be in the TLS buffer or, encrypted, in the kernel.
             if hasattr(sock, "pending") and sock.pending():
                 return True
             return bool(sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -193,43 +193,44 @@
 
     def _read_head(self, line: str) -> None:
         words = line.split()
-        if len(words) != 3 or not _TOKEN.fullmatch(words[0]):
+        if len(words) != 3 or not _METHOD.fullmatch(words[0]):
             raise BadRequest(400, errors.Malformed(reason="not an HTTP/1.1 request"))
         if not _VERSION.fullmatch(words[2]):
             reason = "only HTTP/1.0 and HTTP/1.1 are served"
             raise BadRequest(505, errors.Malformed(reason=reason))
-        plain, self.rfile = self.rfile, HeadReader(self.rfile)
+        unbounded, self.rfile = self.rfile, HeadReader(self.rfile)
         try:
             self.read_request(line)
         finally:
-            self.rfile = plain
+            self.rfile = unbounded
         if (self.content_length or 0) > MAX_BODY_BYTES:
             reason = f"the body exceeds {MAX_BODY_BYTES} bytes"
             raise BadRequest(413, errors.Oversized(reason=reason, limit=MAX_BODY_BYTES))
 
     def MessageClass(self, *arguments):  # noqa: N802 - name of the base class
-        """Parse the headers; refuse two framings or two lengths of one body.
+        """Parse the headers; reject conflicting framings or lengths of the body.
 
-        They let a proxy and this server read different requests from the same bytes.
+        They allow request smuggling: a proxy and this server would read different
+        requests from the same bytes.
         """
         headers = super().MessageClass(*arguments)
         coding = [name.lower() for name in headers.get_all("transfer-encoding", [])]
         lengths = headers.get_all("content-length", [])
         if coding and (lengths or coding != ["chunked"]):
-            raise BadRequest(400, errors.Malformed(reason="unclear body framing"))
+            raise BadRequest(400, errors.Malformed(reason="ambiguous body framing"))
         if len(lengths) > 1 or not all(map(_CONTENT_LENGTH.fullmatch, lengths)):
-            raise BadRequest(400, errors.Malformed(reason="unclear body length"))
+            raise BadRequest(400, errors.Malformed(reason="ambiguous body length"))
         return headers
 
     def get_environ(self) -> dict[str, object]:
         """Return the WSGI environment with an input that bounds what it discards."""
         environ = super().get_environ()
-        plain = self.wsgi_input
+        unbounded = self.wsgi_input
         bounded = Input(
-            plain.rfile,
-            plain.content_length,
-            socket=plain.socket,
-            chunked_input=plain.chunked_input,
+            unbounded.rfile,
+            unbounded.content_length,
+            socket=unbounded.socket,
+            chunked_input=unbounded.chunked_input,
         )
         bounded.handler = self
         self.wsgi_input = bounded
@@ -238,43 +239,43 @@
         return environ
 
     def start_response(self, status, headers, exc_info=None):
-        """Start the answer; while the server stops, say that the connection ends."""
+        """Start the answer; while the server drains, add `Connection: close`."""
         if self.server.draining:
             headers = [item for item in headers if item[0].lower() != "connection"]
             headers.append(("Connection", "close"))
         return super().start_response(status, headers, exc_info)
 
     def process_result(self) -> None:
-        """Send the answer; one of another length than declared is cut."""
+        """Send the answer; abort it if it differs from the declared length."""
         self.body_length = 0
         super().process_result()
         declared = self.provided_content_length
         if declared is not None and int(declared) != self.body_length:
-            raise AnswerCut(f"{self.body_length} bytes instead of {declared}")
+            raise AnswerAborted(f"{self.body_length} bytes instead of {declared}")
 
     def _write_with_headers(self, data: bytes) -> None:
         """Send the head and a small first part in one packet."""
-        if len(data) > MAX_JOINED_BYTES:
+        if len(data) > MAX_COALESCED_BYTES:
             super()._write_with_headers(data)
             return
-        plain, held = self._sendall, bytearray()
-        self._sendall = held.extend
+        send_all, head_buffer = self._sendall, bytearray()
+        self._sendall = head_buffer.extend
         try:
             super()._write_with_headers(data)
         finally:
-            del self._sendall  # the method of the class shows again
-        plain(bytes(held))
+            del self._sendall  # restores the method of the class
+        send_all(bytes(head_buffer))
 
     def _write(self, data: bytes) -> None:
         self.body_length += len(data)
         super()._write(data)
 
     def handle_error(self, kind, value, trace) -> None:
-        """Cut the answer if a part of it was sent, else answer with a failure."""
-        if not isinstance(value, AnswerCut | OSError):
+        """Abort the answer if a part of it was sent, else answer with a failure."""
+        if not isinstance(value, AnswerAborted | OSError):
             log.error("request failed: {}", value, exc_info=(kind, value, trace))
         if self.headers_sent:
-            log.debug("answer cut: {}", value)
+            log.debug("answer aborted: {}", value)
             self._abort()
             return
         self.close_connection = True
@@ -299,9 +300,9 @@
         """Write no access log; the metrics count requests."""
 
     def _abort(self) -> None:
-        """Reset the connection, so that no client takes the part for the whole.
+        """Reset the connection, so that no client takes a partial answer for complete.
 
-        An orderly close ends an answer without a length as if it were complete.
+        After a normal close, an answer without a length looks complete.
         """
         self.aborted = True
         self.close_connection = True
@@ -309,7 +310,7 @@
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
 
     def _linger(self) -> None:
-        _end_encryption(self.socket)
+        _send_close_notify(self.socket)
         with contextlib.suppress(OSError, gevent.Timeout):
             self.socket.shutdown(socket.SHUT_WR)
             with gevent.Timeout(LINGER_S):
@@ -323,33 +324,33 @@
         self.__dict__.pop("wsgi_input", None)
         if sock is not None:
             with contextlib.suppress(OSError):
-                # The reader's file object keeps a reference that close() alone waits
-                # for.
+                # The reader's file object holds a reference, with which close() alone
+                # leaves the connection open.
                 sock._sock.close()
                 sock.close()
 
 
-def _end_encryption(sock: object) -> None:
-    """Tell a TLS client that the bytes so far are complete.
+def _send_close_notify(sock: object) -> None:
+    """Send the TLS close_notify alert, which says that the data is complete.
 
-    Under TLS the end of the connection alone looks like a cut, and a cut like the end.
+    Without it, a client cannot tell the end of the data from a truncated connection.
     """
     encryption = getattr(sock, "_sslobj", None)
     if encryption is not None:
-        # Sends the notice; that of the client is not awaited, as `unwrap` would.
+        # Unlike `unwrap`, this does not wait for the client's close_notify.
         with contextlib.suppress(OSError):
             encryption.shutdown()
 
 
-def _too_slow(part: str, limit_s: float) -> BadRequest:
+def _timeout_error(part: str, limit_s: float) -> BadRequest:
     reason = f"the request {part} took longer than {limit_s:g} s"
     return BadRequest(408, errors.Timeout(reason=reason))
 
 
-def _refusal(error: BadRequest) -> bytes:
+def _error_response(error: BadRequest) -> bytes:
     body = render(error.failure)
     head = (
-        f"HTTP/1.1 {error.status} {_REASONS[error.status]}\r\n"
+        f"HTTP/1.1 {error.status} {_REASON_PHRASES[error.status]}\r\n"
         "Content-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
--- a/toucanspring/callers/inquiry.py
+++ b/toucanspring/callers/outcome_lookup.py
@@ -1,4 +1,4 @@
-"""Questions to backend servers about requests whose answers were lost."""
+"""Lookup of the outcome of requests whose answers were lost, at backend servers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from toucanspring.callers import answers
 from toucanspring.owners import outcomes
 
-# Whole answers are held in memory until they are durable.
+# Complete answers are kept in memory until they are durable.
 MAX_ANSWER_BYTES = 16 << 20
 LOOKUP_TIMEOUT_S = 2.0
-# A request whose connection broke may still wait in a buffer of its server. One that
-# a responsive server has not seen for this long ends as unknown; a trial with servers
-# that hung up kept callers waiting for 25 s without this limit.
+# A request whose connection broke may still wait in a buffer of its server. If a
+# responsive server has not seen it for this long, its outcome is unknown. Without this
+# limit, servers that closed connections kept callers waiting for 25 s.
 UNSEEN_LIMIT_S = 3.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
-class Inquiry:
-    """Ask servers what became of requests."""
+class OutcomeLookup:
+    """Look up the outcome of requests at backend servers."""
 
     def __init__(
         self,
@@ -35,18 +35,18 @@
         self._clock = clock
 
     def look_up(
-        self, request_id: str, start: outcomes.Start, limit_s: float, certain: bool
+        self, request_id: str, start: outcomes.Start, limit_s: float, epoch_raised: bool
     ) -> answers.Stored | errors.Failure:
-        """Ask a server what became of a request.
+        """Return the outcome of a request from the server it was sent to.
 
-        `certain` says that the epoch was raised there, so that an ID it never saw
-        will not run any more.
+        `epoch_raised` says that the epoch was raised there, so that a request that
+        the server has not seen can no longer run.
         """
-        give_up = self._clock() + limit_s
-        pause = FIRST_PAUSE_S
+        deadline = self._clock() + limit_s
+        backoff_s = FIRST_BACKOFF_S
         reason = "no answer"
         unseen_since: float | None = None
-        while self._clock() < give_up:
+        while self._clock() < deadline:
             state = self._client.lookup(start.server, request_id, LOOKUP_TIMEOUT_S)
             match state:
                 case backend_servers.Answer():
@@ -54,7 +54,7 @@
                     if not isinstance(received, errors.Ambiguous):
                         return received
                     reason = received.reason
-                case errors.NotFound() if certain:
+                case errors.NotFound() if epoch_raised:
                     return errors.NotRun(reason="not run: the server never saw it")
                 case errors.NotFound():
                     reason = state.reason
@@ -64,19 +64,21 @@
                         break
                 case errors.Failure():
                     reason = state.reason
-            gevent.sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_S)
+            gevent.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
         return errors.Unknown(reason=f"outcome unknown: {start.server}: {reason}")
 
 
 def receive(
     answer: backend_servers.Answer, start: outcomes.Start
 ) -> answers.Stored | errors.Ambiguous | errors.Unknown:
-    """Receive a whole answer."""
+    """Receive a complete answer."""
     body = answer.read(MAX_ANSWER_BYTES)
     match body:
         case errors.Oversized():
-            return errors.Unknown(reason=f"ran, but its answer: {body.reason}")
+            return errors.Unknown(
+                reason=f"ran, but its answer was not received: {body.reason}"
+            )
         case errors.Failure():
             return body
     return answers.Stored(
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers to services: sent from here, or by the owner of their ID."""
+"""Requests to services, sent by this process or by the owner of the request ID."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from toucanspring import errors, kernel
 from toucanspring.adapters import backend_servers, vms
-from toucanspring.callers import answers, forwarding, lane, listing, routing
+from toucanspring.callers import answers, backend_pool, forwarding, listing, routing
 from toucanspring.cell import claims, rpc
 from toucanspring.configuration import text
 from toucanspring.owners import runner, search
@@ -23,40 +23,40 @@
 Request = answers.Request
 Answer = answers.Answer
 
-RETRY_S = 0.05  # until the owner of a partition is asked again
+RETRY_S = 0.05  # delay before the owner of a partition is called again
 STATUS_TIMEOUT_S = 2.0
-RECOVER_LIMIT_S = 60.0  # until the log of a claimed partition is read
-# The owner refuses just after the deadline; its refusal is awaited this much longer.
+RECOVERY_TIMEOUT_S = 60.0  # limit on reading the log of a claimed partition
+# Extra wait for the refusal that the owner sends just after the deadline.
 OWNER_GRACE_S = 0.5
-# The owner was not reached, or refused before it looked at the ID.
-RETRY_FAILURES = (errors.Unavailable, errors.Refused)
+# The owner was not reached, or refused before it looked up the ID.
+RETRYABLE_FAILURES = (errors.Unavailable, errors.Refused)
 # The request may have run: the owner's answer was lost, or the owner lost its
-# ownership while it dealt with the request.
-LOST_FAILURES = (errors.Ambiguous, errors.Timeout, errors.Closed, errors.Fenced)
+# ownership while it processed the request.
+AMBIGUOUS_FAILURES = (errors.Ambiguous, errors.Timeout, errors.Closed, errors.Fenced)
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True):
-    """Begin the answer to a forwarded request; `length` bytes of body follow."""
+class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
+    """Start the answer to a forwarded request; `length` bytes of body follow."""
 
     status: int
     headers: dict[str, str] = {}
     length: int = 0
 
 
-class State(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer the question for the state of a request ID."""
+class RequestState(msgspec.Struct, frozen=True, kw_only=True):
+    """Answer a status query for a request ID."""
 
     running: bool = False
     stored: answers.Stored | None = None
 
 
 _encoder = msgspec.msgpack.Encoder()
-_head_decoder = msgspec.msgpack.Decoder(Head)
-_state_decoder = msgspec.msgpack.Decoder(State)
+_head_decoder = msgspec.msgpack.Decoder(AnswerHead)
+_state_decoder = msgspec.msgpack.Decoder(RequestState)
 
 
 class Service:
-    """Own the lanes of all services and the requests under way."""
+    """Own the backend pools of all services and the requests in progress."""
 
     def __init__(
         self,
@@ -70,17 +70,17 @@
             settings.process
         )
         self._rng = random.Random()
-        self._lanes: dict[str, lane.Lane] = {}
+        self._pools: dict[str, backend_pool.BackendPool] = {}
         self._cell: text.Cell | None = None
         self._zones_out: frozenset[str] = frozenset()
-        self._listing = listing.Listing(lambda: core.find("store").vms.list())
+        self._listing = listing.VmListCache(lambda: core.find("store").vms.list())
         self._poller: gevent.Greenlet | None = None
         self._serving = 0
         self.burn = burn.Recorder()
-        self._runner = runner.Runner(core, self._lane_of, self._client)
+        self._runner = runner.Runner(core, self._pool_of, self._client)
 
     def start(self) -> None:
-        """Answer the other processes and follow the VM list."""
+        """Register the handlers of peer calls and start polling the VM list."""
         peers = self._kernel.find("peers")
         peers.handle("request", self._serve_forwarded)
         peers.handle("request_status", self._serve_status)
@@ -88,27 +88,30 @@
         self._poller = gevent.spawn(self._poll)
 
     def stop(self) -> None:
-        """Stop following the VM list and close idle connections."""
+        """Stop polling the VM list and close idle connections."""
         if self._poller is not None:
             self._poller.kill()
-        for each in self._lanes.values():
+        for each in self._pools.values():
             each.close()
         self._client.close()
 
     def in_flight(self) -> int:
-        """Return the number of requests that this process still works on."""
+        """Return the number of requests that this process is still handling."""
         return self._serving + self._runner.in_flight()
 
     def serve(self, request: Request) -> Answer | errors.Failure:
-        """Run a request and return its answer; see the page for the guarantees."""
-        target = self._lane_of(request.service)
+        """Run a request and return its answer.
+
+        Idempotent requests are retried at other servers; others run at most once.
+        """
+        target = self._pool_of(request.service)
         if target is None:
             return errors.NotFound(reason=f"no service {request.service}")
         started = time.monotonic()
         self._serving += 1
         try:
             if request.idempotent:
-                result = forwarding.Attempt(target, self._client, request).run()
+                result = forwarding.IdempotentCall(target, self._client, request).run()
             else:
                 result = self._forward(request)
         finally:
@@ -120,7 +123,7 @@
                 event_kinds.RequestsRefused(request.service, request.job_class)
             )
         if isinstance(result, Answer) and isinstance(result.chunks, forwarding.Stream):
-            result.chunks.on_cut = lambda: self.burn.record(
+            result.chunks.on_abort = lambda: self.burn.record(
                 request.service, request.team, False, time.monotonic()
             )
         return result
@@ -128,21 +131,21 @@
     def lookup(
         self, request_id: str
     ) -> answers.Stored | runner.Running | errors.Failure:
-        """Return the outcome of a non-idempotent request, wherever it is owned."""
+        """Return the outcome of a non-idempotent request from the owner of its ID."""
         deadline = time.monotonic() + STATUS_TIMEOUT_S
         while True:
             result = search.find(
                 self._kernel.find("layout"),
                 request_id,
-                lambda number: self._ask(
+                lambda number: self._query_status(
                     number, request_id, deadline - time.monotonic()
                 ),
             )
-            retry = isinstance(result, RETRY_FAILURES + LOST_FAILURES)
+            retry = isinstance(result, RETRYABLE_FAILURES + AMBIGUOUS_FAILURES)
             if not retry or time.monotonic() + RETRY_S >= deadline:
                 break
             gevent.sleep(RETRY_S)
-        if isinstance(result, LOST_FAILURES):
+        if isinstance(result, AMBIGUOUS_FAILURES):
             return errors.Unavailable(reason=result.reason)  # a read has no effect
         if isinstance(result, errors.RecordedNotRun):
             return errors.NotRun(reason=result.reason)
@@ -150,28 +153,28 @@
 
     def waiting(self) -> dict[str, dict[str, int]]:
         """Return the number of waiting requests by service and class."""
-        return {name: each.waiting() for name, each in self._lanes.items()}
+        return {name: each.waiting() for name, each in self._pools.items()}
 
     def _recover(self, event: claims.PartitionAcquired) -> None:
-        """Find out what became of requests that the former owner began."""
+        """Determine the outcome of requests that the former owner started."""
         gevent.spawn(self._recover_partition, event.partition)
 
     def _recover_partition(self, number: int) -> None:
         owned = self._kernel.find("partitions").owned().get(number)
-        if owned is not None and owned.ready.wait(RECOVER_LIMIT_S):
+        if owned is not None and owned.ready.wait(RECOVERY_TIMEOUT_S):
             for request_id, server in owned.requests.interrupted().items():
                 self._runner.recover(request_id, server)
 
-    # Entry side
+    # Calls from the process that received the request
 
     def _forward(self, request: Request) -> Answer | errors.Failure:
-        """Pass a request to the owner of its ID, again after a lost owner.
+        """Forward a request to the owner of its ID; retry if the owner is lost.
 
-        The owner runs an ID once, so asking again is safe at any time.
+        The owner runs an ID at most once, so a retry is always safe.
         """
         deadline = time.monotonic() + request.deadline_s
-        lost: errors.Failure | None = None
-        number: int | None = None  # of a former number, where the request was begun
+        ambiguous: errors.Failure | None = None
+        number: int | None = None  # set if another partition has the request
         while True:
             left_s = deadline - time.monotonic()
             result = self._forward_once(request, number, max(0.001, left_s))
@@ -183,18 +186,18 @@
                     number = result.partition
                 case errors.RecordedNotRun():
                     return errors.NotRun(reason=result.reason)
-                case errors.NotRun() | errors.Overloaded() if lost is not None:
-                    # The refusal is of this attempt; the lost one may yet arrive.
-                    return errors.Unknown(reason=f"outcome unknown: {lost.reason}")
-            if isinstance(result, LOST_FAILURES):
-                lost = result
-            elif not isinstance(result, RETRY_FAILURES):
+                case errors.NotRun() | errors.Overloaded() if ambiguous is not None:
+                    # Only this attempt was refused; an earlier one may still arrive.
+                    return errors.Unknown(reason=f"outcome unknown: {ambiguous.reason}")
+            if isinstance(result, AMBIGUOUS_FAILURES):
+                ambiguous = result
+            elif not isinstance(result, RETRYABLE_FAILURES):
                 return result
             if time.monotonic() + RETRY_S >= deadline:
                 break
             gevent.sleep(RETRY_S)
-        if lost is not None:
-            return errors.Unknown(reason=f"outcome unknown: {lost.reason}")
+        if ambiguous is not None:
+            return errors.Unknown(reason=f"outcome unknown: {ambiguous.reason}")
         # No log was read, so an earlier call with this ID may have run.
         return errors.Unavailable(reason=f"not run by this call: {result.reason}")
 
@@ -212,8 +215,8 @@
             stored = self._runner.run(sent)
             if isinstance(stored, errors.Failure):
                 return stored
-            return _answer(stored.status, stored.headers, stored.body)
-        # A paused owner answers nothing; its successor knows what became of it.
+            return _build_answer(stored.status, stored.headers, stored.body)
+        # A paused owner does not answer; its successor knows the outcome.
         chunks = self._kernel.find("peers").call_stream(
             owner.process,
             "request",
@@ -223,9 +226,9 @@
         )
         if isinstance(chunks, errors.Failure):
             return chunks
-        return _receive(chunks)
+        return _receive_answer(chunks)
 
-    def _ask(
+    def _query_status(
         self, number: int, request_id: str, left_s: float
     ) -> answers.Stored | runner.Running | errors.Failure:
         owner_of = self._kernel.find("claims").owner_of
@@ -249,19 +252,19 @@
             return errors.Malformed(reason=f"state of {request_id}: {error}")
         return runner.Running() if state.running else state.stored
 
-    # Owner side
+    # Calls handled by the owner of the request ID
 
     def _serve_forwarded(
         self, sender: str, body: bytes
     ) -> Iterator[bytes] | errors.Failure:
         request = answers.decode_request(body)
         if isinstance(request, errors.Failure):
-            log.error("from {}: {}", sender, request.reason)
+            log.error("invalid request forwarded by {}: {}", sender, request.reason)
             return request
         stored = self._runner.run(request)
         if isinstance(stored, errors.Failure):
             return stored
-        return _send(stored)
+        return _stream_answer(stored)
 
     def _serve_status(self, _sender: str, body: bytes) -> bytes | errors.Failure:
         number, request_id = msgspec.msgpack.decode(body, type=tuple[int, str])
@@ -270,40 +273,40 @@
             case errors.Failure():
                 return found
             case runner.Running():
-                return _encoder.encode(State(running=True))
-        return _encoder.encode(State(stored=found))
+                return _encoder.encode(RequestState(running=True))
+        return _encoder.encode(RequestState(stored=found))
 
-    # Lanes
+    # Backend pools
 
-    def _lane_of(self, service: str) -> lane.Lane | None:
-        self._follow_documents()
-        return self._lanes.get(service)
+    def _pool_of(self, service: str) -> backend_pool.BackendPool | None:
+        self._apply_documents()
+        return self._pools.get(service)
 
-    def _follow_documents(self) -> None:
-        """Take in another configuration or other zones out of service."""
+    def _apply_documents(self) -> None:
+        """Apply a changed configuration and changes of the zones out of service."""
         documents = self._kernel.find("documents")
         cell = documents.cell()
         if cell is not self._cell:
             self._cell = cell
-            for name in [name for name in self._lanes if name not in cell.services]:
-                self._lanes.pop(name).close()
+            for name in [name for name in self._pools if name not in cell.services]:
+                self._pools.pop(name).close()
             for name, service in cell.services.items():
-                if name in self._lanes:
-                    self._lanes[name].service = service
+                if name in self._pools:
+                    self._pools[name].service = service
                 else:
-                    self._lanes[name] = lane.Lane(
+                    self._pools[name] = backend_pool.BackendPool(
                         service, self._rng, usable_until=self._listing.usable_until
                     )
-                    self._lanes[name].set_zones_out(self._zones_out)
+                    self._pools[name].set_zones_out(self._zones_out)
             self._set_servers()
         zones_out = documents.zones_out()
         if zones_out != self._zones_out:
             self._zones_out = zones_out
-            for each in self._lanes.values():
+            for each in self._pools.values():
                 each.set_zones_out(zones_out)
 
     def _set_servers(self) -> None:
-        for each in self._lanes.values():
+        for each in self._pools.values():
             each.set_servers(
                 [
                     routing.ServerFacts(
@@ -323,22 +326,22 @@
         while True:
             pause_s = listing.POLL_S
             try:
-                before = self._listing.vms
+                previous = self._listing.vms
                 pause_s = self._listing.update()
-                if self._listing.vms != before:
-                    self._forget(before)
+                if self._listing.vms != previous:
+                    self._forget_unlisted(previous)
                     self._set_servers()
-                self._follow_documents()
-                for each in self._lanes.values():
-                    each.pump()
+                self._apply_documents()
+                for each in self._pools.values():
+                    each.dispatch()
             except Exception:
-                log.exception("following the VM list failed")
+                log.exception("polling the VM list failed")
             gevent.sleep(pause_s)
 
-    def _forget(self, before: list[vms.Vm]) -> None:
+    def _forget_unlisted(self, previous: list[vms.Vm]) -> None:
         """Close connections to servers that are no longer listed."""
         listed = {f"{vm.address}:{vm.port}" for vm in self._listing.vms}
-        for server in {f"{vm.address}:{vm.port}" for vm in before} - listed:
+        for server in {f"{vm.address}:{vm.port}" for vm in previous} - listed:
             self._client.forget(server)
 
     def _record(
@@ -353,7 +356,7 @@
             case Answer(status=status):
                 good = status < 500
             case errors.Conflict() | errors.NotFound() | errors.Forbidden():
-                return  # the caller's fault spends no budget
+                return  # a caller's mistake does not use up the error budget
             case _:
                 good = False
         rule = service.classes.get(request.job_class)
@@ -362,18 +365,20 @@
         self.burn.record(service.name, request.team, good, now)
 
 
-def _answer(status: int, headers: dict[str, str], body: bytes) -> Answer:
+def _build_answer(status: int, headers: dict[str, str], body: bytes) -> Answer:
     return Answer(status, headers, answers.split(body), len(body))
 
 
-def _send(stored: answers.Stored) -> Iterator[bytes]:
-    head = Head(status=stored.status, headers=stored.headers, length=len(stored.body))
+def _stream_answer(stored: answers.Stored) -> Iterator[bytes]:
+    head = AnswerHead(
+        status=stored.status, headers=stored.headers, length=len(stored.body)
+    )
     yield _encoder.encode(head)
     yield from answers.split(stored.body)
 
 
-def _receive(chunks: Iterator[bytes]) -> Answer | errors.Failure:
-    """Receive a whole answer; a broken one is asked for again."""
+def _receive_answer(chunks: Iterator[bytes]) -> Answer | errors.Failure:
+    """Receive a complete answer; an incomplete one is `Ambiguous` and retried."""
     received = bytearray()
     try:
         head = _head_decoder.decode(next(chunks))
@@ -382,7 +387,7 @@
     except (StopIteration, msgspec.MsgspecError) as error:
         return errors.Ambiguous(reason=f"the owner's answer has no head: {error}")
     except rpc.StreamBrokenError as error:
-        return errors.Ambiguous(reason=f"the owner's answer broke: {error}")
+        return errors.Ambiguous(reason=f"the owner's answer ended early: {error}")
     if len(received) != head.length:
         return errors.Ambiguous(reason="the owner's answer is incomplete")
-    return _answer(head.status, head.headers, bytes(received))
+    return _build_answer(head.status, head.headers, bytes(received))
