--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 import gevent  # noqa: E402
 
-from soak import callers, cell, faults, promises  # noqa: E402
+from soak import callers, cell, faults, invariants  # noqa: E402
 
 WARM_UP_S = 3.0
 # A worker's lease, a takeover and the work itself, several times over.
@@ -42,7 +42,7 @@
             kept.break_(f"{job_id} is not done {SETTLE_S} s after the last fault")
         counts = {
             each.value: sum(job.acceptance is each for job in kept.jobs.values())
-            for each in promises.Acceptance
+            for each in invariants.Acceptance
         }
         return {
             "seed": seed, "jobs": len(kept.jobs), **counts,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from soak import cell, promises
+from soak import cell, invariants
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange
 from toucanspring.coordinator import job_specs
@@ -72,7 +72,7 @@
         """Hand one job in and follow it to its end."""
         ordered = self._cell.promises.expect(spec)
         self._hand_in(ordered)
-        if ordered.acceptance is promises.Acceptance.REFUSED:
+        if ordered.acceptance is invariants.Acceptance.REFUSED:
             return
         if self._rng.random() < CANCELLED:
             gevent.sleep(self._rng.random())
@@ -85,13 +85,13 @@
                 self._call("POST", ordered)
             self._ask(ordered)
 
-    def _hand_in(self, ordered: promises.Ordered) -> None:
+    def _hand_in(self, ordered: invariants.Ordered) -> None:
         uncertain = False
         for _ in range(TRIES):
             reply = self._call("POST", ordered)
             match reply:
                 case exchange.Reply(status=200):
-                    ordered.acceptance = promises.Acceptance.ACCEPTED
+                    ordered.acceptance = invariants.Acceptance.ACCEPTED
                     return
                 case exchange.Reply(status=503 | 429) | errors.Unavailable():
                     pass  # certainly not accepted
@@ -102,11 +102,11 @@
                     return
             gevent.sleep(RETRY_S)
         if uncertain:
-            ordered.acceptance = promises.Acceptance.UNKNOWN
+            ordered.acceptance = invariants.Acceptance.UNKNOWN
         else:
             self._cell.promises.refused(ordered)
 
-    def _cancel(self, ordered: promises.Ordered) -> None:
+    def _cancel(self, ordered: invariants.Ordered) -> None:
         ordered.cancelling = True
         for _ in range(TRIES):
             reply = self._call("DELETE", ordered)
@@ -117,7 +117,7 @@
                 return
             gevent.sleep(RETRY_S)
 
-    def _ask(self, ordered: promises.Ordered) -> None:
+    def _ask(self, ordered: invariants.Ordered) -> None:
         reply = self._call("GET", ordered)
         match reply:
             case exchange.Reply(status=200):
@@ -125,12 +125,12 @@
             case exchange.Reply(status=404 | 410):
                 self._cell.promises.unknown(ordered)
 
-    def _take(self, ordered: promises.Ordered, reply: exchange.Reply) -> None:
+    def _take(self, ordered: invariants.Ordered, reply: exchange.Reply) -> None:
         shown = msgspec.json.decode(reply.body)["state"]
         self._cell.promises.told(ordered, shown)
 
     def _call(
-        self, method: str, ordered: promises.Ordered
+        self, method: str, ordered: invariants.Ordered
     ) -> exchange.Reply | errors.Failure:
         name = self._rng.choice(self._cell.daemons)
         return self._cell.call(name, method, ordered.spec, TIMEOUT_S)
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from soak import promises, proxy
+from soak import invariants, proxy
 from standins import lease_workers, ports, processes, rowstore
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange
@@ -45,7 +45,7 @@
         self.rng = rng
         self.store = rowstore.MemoryStore()
         self.workers = lease_workers.LeaseWorkers()
-        self.promises = promises.Promises(self.workers)
+        self.promises = invariants.Promises(self.workers)
         self.daemons = [f"entry-{number}" for number in range(1, daemons + 1)]
         self.proxies: dict[str, proxy.Proxy] = {}
         self.version = 0
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -7,7 +7,7 @@
 from gevent import server, socket
 
 from soak import __main__ as soak
-from soak import promises, proxy
+from soak import invariants, proxy
 from standins import lease_workers, ports
 from test import coordinator_case as case
 from toucanspring import resources
@@ -125,7 +125,7 @@
     def setUp(self):
         super().setUp()
         self.workers = lease_workers.LeaseWorkers()
-        self.promises = promises.Promises(self.workers)
+        self.promises = invariants.Promises(self.workers)
         step = job_specs.Step(count=1, demand=resources.Resources(100, 100, 0))
         self.spec = job_specs.Job(
             id=JOB, queue="jobs", organisation="team", payload="p", steps=(step,)
@@ -138,7 +138,7 @@
         self.assertIn("nobody", self.promises.start_of(TASK, "other", "a"))
 
     def test_a_start_after_a_refusal_and_a_refusal_after_a_start(self):
-        self.ordered.acceptance = promises.Acceptance.REFUSED
+        self.ordered.acceptance = invariants.Acceptance.REFUSED
         self.assertIn("refused", self.promises.start_of(TASK, "p", "a"))
         self.promises.refused(self.ordered)
         self.assertIn("had started", self.promises.broken[0])
@@ -169,7 +169,7 @@
     def test_an_accepted_job_that_is_unknown_or_never_done(self):
         self.promises.unknown(self.ordered)
         self.assertEqual([], self.promises.broken)
-        self.ordered.acceptance = promises.Acceptance.ACCEPTED
+        self.ordered.acceptance = invariants.Acceptance.ACCEPTED
         self.promises.unknown(self.ordered)
         self.assertIn("unknown now", self.promises.broken[0])
         self.assertEqual([JOB], self.promises.unfinished())
