--- a/bench/zone.py
+++ b/bench/zone.py
@@ -11,7 +11,7 @@
 import defopt
 
 from bench import cell, change
-from standins import facts, judge
+from standins import checker, facts
 
 TASK_MS = 200.0
 STEADY_S = 5.0
@@ -80,7 +80,7 @@
         event["task"] for event in ends if event["state"] == "done"
     )
     outage = facts.ZoneOutage(zone, out_at, in_at)
-    violations = judge.check(records, facts.Known(zone_outages=(outage,)))
+    violations = checker.check(records, facts.Known(zone_outages=(outage,)))
     window = work_done(ends, out_at, ended, run_ms)
     allowed = CORES * (ended - out_at) - CORES / 3 * (in_at - out_at)
     without = work_done(ends, began, steady, run_ms) / (CORES * (steady - began))
@@ -94,7 +94,7 @@
         "refill_ms": round(refill_ms(events, began, steady), 1),
         "late_starts": sum(
             event["availability_zone"] == zone
-            and out_at + judge.IN_FORCE_S < event["at"] < in_at
+            and out_at + checker.IN_FORCE_S < event["at"] < in_at
             for event in starts
         ),
         "lost": outcomes["none"],
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -12,7 +12,7 @@
 import yaml
 
 from demo import account, callers, entry
-from standins import cluster, facts, judge, processes
+from standins import checker, cluster, facts, processes
 from toucanspring import errors
 from toucanspring.configuration import reader
 
@@ -98,7 +98,7 @@
 def _withdraw_key(run: Run) -> None:
     key = run.keys["analytics"]
     run.front.operate("DELETE", f"/v1/keys/{key['id']}")
-    gevent.sleep(judge.IN_FORCE_S)
+    gevent.sleep(checker.IN_FORCE_S)
     accepted = 0
     for number in range(18):
         item = {"id": f"late-{number}", "template": "sales-cubes"}
@@ -136,7 +136,7 @@
     run.say(f"taking availability zone {zone} out of service")
     run.front.operate("POST", f"/v1/zones/{zone}/out")
     out_at = time.monotonic()
-    gevent.sleep(judge.IN_FORCE_S + 3)
+    gevent.sleep(checker.IN_FORCE_S + 3)
     run.front.operate("POST", f"/v1/zones/{zone}/in")
     run.outages.append(facts.ZoneOutage(zone, out_at, time.monotonic()))
     run.say(f"availability zone {zone} is back in service")
@@ -199,5 +199,5 @@
     with start(deployment, say) as run:
         deployment.run(run)
         known = facts.Known(zone_outages=tuple(run.outages), gang_sizes=run.gangs)
-        run.counts.violations = judge.check(run.cluster.records(), known)
+        run.counts.violations = checker.check(run.cluster.records(), known)
         return run.counts
--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -12,7 +12,7 @@
 import yaml
 
 from scenarios import client, history, loads
-from standins import cluster, facts, judge, ports, processes, violations
+from standins import checker, cluster, facts, ports, processes, violations
 from toucanspring import errors
 from toucanspring.adapters import tables
 from toucanspring.cell import ownership_rows
@@ -338,7 +338,7 @@
 
     def judge(self) -> list[violations.Violation]:
         """Check all records."""
-        return judge.check(self.cluster.records(), self.known())
+        return checker.check(self.cluster.records(), self.known())
 
 
 def prepare(name: str) -> str:
--- a/scenarios/disturbances.py
+++ b/scenarios/disturbances.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from scenarios import cell, expectations, language
-from standins import judge
+from standins import checker
 from toucanspring.adapters import vms
 from toucanspring.reporting import event_rows
 
@@ -141,7 +141,7 @@
     def expect_no_start_on(self, host: language.Host) -> None:
         """Check that a VM got no work later than 3 s after its entry was changed."""
         target = self._host(host)
-        since = self._listed_at[target.id] + judge.IN_FORCE_S
+        since = self._listed_at[target.id] + checker.IN_FORCE_S
         if host.role == "worker":
             self._cell.history.refresh()
             late = [
--- a/scenarios/expectations.py
+++ b/scenarios/expectations.py
@@ -8,7 +8,7 @@
 import gevent
 
 from scenarios import cell, language
-from standins import judge
+from standins import checker
 
 POLL_S = 0.1
 MAX_SHOWN = 5
@@ -97,7 +97,7 @@
             good = found and set(found.values()) == {version}
             return "" if good else f"configurations in force: {found}"
 
-        self._until(within_s or judge.IN_FORCE_S, look)
+        self._until(within_s or checker.IN_FORCE_S, look)
 
     def _present(self, team: str) -> dict[str, int]:
         """Present the key of a team at each daemon, with a job ID unknown to all."""
@@ -112,7 +112,7 @@
     def expect_key_refused(self, team: str) -> None:
         """Check that no daemon accepts a key 3 s after its withdrawal."""
         key = self._cell.keys[team]
-        in_force = self._cell.withdrawn.get(key.id, 0.0) + judge.IN_FORCE_S
+        in_force = self._cell.withdrawn.get(key.id, 0.0) + checker.IN_FORCE_S
         gevent.sleep(max(0.0, in_force - time.monotonic()))
         found = self._present(team)
         # 503: a daemon whose view may be out of date accepts no key at all.
@@ -126,7 +126,7 @@
             found = self._present(team)
             return "" if set(found.values()) == {404} else f"status: {found}"
 
-        self._until(judge.IN_FORCE_S, look)
+        self._until(checker.IN_FORCE_S, look)
 
     def expect_owned(self, within_s: float) -> None:
         """Check that each partition has an owner that runs."""
@@ -162,7 +162,7 @@
 
     def expect_no_start(self, zone: str) -> None:
         """Check that nothing started in a zone later than 3 s after it was out."""
-        since = self._cell.out[zone] + judge.IN_FORCE_S
+        since = self._cell.out[zone] + checker.IN_FORCE_S
         self._cell.history.refresh()
         late = [
             attempt.start
--- a/test/test_backend_servers.py
+++ b/test/test_backend_servers.py
@@ -6,7 +6,7 @@
 import testtools
 
 from standins import backend_servers as standin
-from standins import events, judge, ports
+from standins import checker, events, ports
 from toucanspring import errors
 from toucanspring.adapters import backend_servers
 
@@ -51,7 +51,7 @@
         ]
 
     def violations(self):
-        return judge.check({"servers": msgspec.json.decode(self.record.dump())})
+        return checker.check({"servers": msgspec.json.decode(self.record.dump())})
 
     def test_each_caller_gets_the_answer_to_its_own_request(self):
         # Guards against answers swapped between calls on shared connections.
--- a/test/test_judge.py
+++ b/test/test_checker.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from standins import facts, judge, violations
+from standins import checker, facts, violations
 from toucanspring import resources
 
 CORE = (1000, 100, 0)
@@ -62,7 +62,7 @@
 
     def check(self, **known):
         record = {"events": self.events, "dropped": self.dropped}
-        return judge.check({"all": record}, facts.Known(**known))
+        return checker.check({"all": record}, facts.Known(**known))
 
 
 class JudgeTest(testtools.TestCase):
@@ -119,7 +119,7 @@
         use(30, "w2", True)
         self.records.add(35, "died", worker="w2", incarnation=1)
         use(40, "w3", True)
-        use(40 + judge.OVERUSE_S + 1, "w3", False)
+        use(40 + checker.OVERUSE_S + 1, "w3", False)
         found = self.expect(violations.Overused)
         self.assertEqual(("w3", 40.0), (found.place, found.at))
 
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -9,7 +9,7 @@
 import testtools
 
 from scenarios import actions, cell, client, language, loads
-from standins import events, executions, facts, judge, violations
+from standins import checker, events, executions, facts, violations
 from toucanspring import resources
 
 
@@ -57,7 +57,7 @@
         load, state = self.send(client.Reply(200, b"cut"))
         self.assertEqual("done", state)
         known = facts.Known(answers=tuple(load.answers))
-        (violation,) = judge.check({}, known)
+        (violation,) = checker.check({}, known)
         self.assertIsInstance(violation, violations.WrongAnswer)
 
     def test_a_refusal_after_a_lost_answer_is_no_proof_that_it_did_not_run(self):
@@ -91,7 +91,7 @@
         known = facts.Known(
             key_uses=tuple(load.key_uses), withdrawn_keys={"k1": time.monotonic() - 4}
         )
-        (violation,) = judge.check({}, known)
+        (violation,) = checker.check({}, known)
         self.assertIsInstance(violation, violations.KeyAccepted)
 
 
--- a/test/test_worker_faults.py
+++ b/test/test_worker_faults.py
@@ -6,7 +6,7 @@
 import msgspec
 import testtools
 
-from standins import events, judge, ports, task_runs, violations
+from standins import checker, events, ports, task_runs, violations
 from standins import worker as standin
 from toucanspring import errors, resources, wire
 from toucanspring.adapters import vms, workers
@@ -163,7 +163,7 @@
             worker.apply(standin.WorkerFaults(blocked_addresses=[]))
         running.get(timeout=16)
         record = msgspec.json.decode(self.record.dump())
-        return owner, judge.check({"workers": record})
+        return owner, checker.check({"workers": record})
 
     def test_an_owner_that_waits_for_leases_breaks_nothing(self):
         owner, found = self.run_owner(patient=True)
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -6,7 +6,7 @@
 import testtools
 from gevent import server
 
-from standins import events, judge, ports, service, task_runs, worker_reports
+from standins import checker, events, ports, service, task_runs, worker_reports
 from standins import worker as standin
 from toucanspring import errors, resources, wire
 from toucanspring.adapters import vms, workers
@@ -99,7 +99,7 @@
         self.worker.apply(standin.WorkerFaults(**faults))
 
     def violations(self):
-        return judge.check({"workers": msgspec.json.decode(self.record.dump())})
+        return checker.check({"workers": msgspec.json.decode(self.record.dump())})
 
     def test_tasks_run_are_reported_at_once_and_kept_until_acknowledged(self):
         owner = self.own()
