--- a/bench/cell.py
+++ b/bench/cell.py
@@ -27,7 +27,7 @@
 MAX_TASKS_A_CALL = 10_000
 
 
-def environment_command(facts: cluster.DaemonFacts) -> list[str]:
+def environment_command(facts: cluster.DaemonOptions) -> list[str]:
     """Return a command with settings in the environment, which spares memory."""
     given = [
         f"{settings.PREFIX}{field.name.upper()}={getattr(facts, field.name)}"
@@ -147,7 +147,7 @@
         return {name: resident_mb(self.pid(name)) for name in self.names}
 
     def _traffic(self, name: str) -> float:
-        port = self.cluster.daemon_facts[name].http_port
+        port = self.cluster.daemon_options[name].http_port
         _, body = cluster.call(port, "GET", "/metrics")
         return sum(float(value) for value in TRAFFIC.findall(body))
 
--- a/bench/change.py
+++ b/bench/change.py
@@ -84,7 +84,7 @@
 
 def ask(running: cell.Cell, name: str, method: str, path: str, key: str, body=None):
     """Call one daemon."""
-    port = running.cluster.daemon_facts[name].http_port
+    port = running.cluster.daemon_options[name].http_port
     headers = {"Authorization": f"Bearer {key}"}
     return cluster.call(port, method, path, body, headers)
 
--- a/bench/events.py
+++ b/bench/events.py
@@ -102,7 +102,7 @@
 
 def lose_all(running: cell.Cell, result: dict[str, object]) -> None:
     """Let all workers fail at once and wait until the record names them."""
-    names = [vm.id for vm in running.cluster.listed() if vm.role == "worker"]
+    names = [vm.id for vm in running.cluster.list_vms() if vm.role == "worker"]
     failed_at = time.monotonic()
     running.cluster.set_faults("workers", workers=names, die=True)
     client = running.tables()
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -317,7 +317,7 @@
         kind = type(violation)
         if kind is violations.LostWork:
             continue  # counted by job above
-        if kind in violations.DOUBLED:
+        if kind in violations.DUPLICATE_RUNS:
             result["doubled"] += 1
         elif kind in COUNTED:
             result[COUNTED[kind]] += 1
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -47,7 +47,7 @@
 def keep_running(say) -> int:
     """Run the first deployment and print how to reach it."""
     with deployment.start(deployment.DEPLOYMENTS[0], say) as running:
-        facts = running.cluster.daemon_facts.values()
+        facts = running.cluster.daemon_options.values()
         endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in facts)
         print("In another terminal:")
         print(f"    export TOUCANSPRING_ENDPOINTS={endpoints}")
--- a/demo/account.py
+++ b/demo/account.py
@@ -23,7 +23,9 @@
     @property
     def doubled(self) -> int:
         """Return how often work ran more than once."""
-        return sum(isinstance(item, violations.DOUBLED) for item in self.violations)
+        return sum(
+            isinstance(item, violations.DUPLICATE_RUNS) for item in self.violations
+        )
 
     @property
     def good(self) -> bool:
--- a/demo/entry.py
+++ b/demo/entry.py
@@ -40,7 +40,7 @@
             if not ready:
                 time.sleep(RETRY_S)
                 continue
-            facts = self._cluster.daemon_facts[self._rng.choice(ready)]
+            facts = self._cluster.daemon_options[self._rng.choice(ready)]
             try:
                 answer = cluster.call(
                     facts.http_port, method, path, body, sent, timeout_s=40.0
--- a/scenarios/client.py
+++ b/scenarios/client.py
@@ -50,7 +50,7 @@
         limit = time.monotonic() - HEALTH_CHECK_S
         return [
             name
-            for name in self._cluster.daemon_facts
+            for name in self._cluster.daemon_options
             if name in self._cluster.processes
             and name not in self.starting
             and self.paused.get(name, limit + 1) > limit
@@ -80,7 +80,7 @@
             if not name:
                 gevent.sleep(RETRY_S)
                 continue
-            port = self._cluster.daemon_facts[name].http_port
+            port = self._cluster.daemon_options[name].http_port
             try:
                 answer = cluster.call(port, method, path, body, sent, timeout_s)
             except ConnectionRefusedError:
--- a/scenarios/disturbances.py
+++ b/scenarios/disturbances.py
@@ -84,7 +84,7 @@
 
     def _vms(self) -> list[vms.Vm]:
         if not self._listed:
-            self._listed = self._cell.cluster.listed()
+            self._listed = self._cell.cluster.list_vms()
         return self._listed
 
     def _set_workers(self, place: language.Place, **faults: object) -> None:
@@ -129,7 +129,7 @@
     def list_as(self, host: language.Host, listed_as: str) -> None:
         """Change the entry of a VM in the VM list."""
         target = self._host(host)
-        known = self._cell.cluster.listed() if not self._shown else self._shown
+        known = self._cell.cluster.list_vms() if not self._shown else self._shown
         known = [vm for vm in known if vm.id != target.id]
         if listed_as != "gone":
             state = vms.State.LEAVING if listed_as == "leaving" else vms.State.LIVE
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -20,10 +20,12 @@
 # A worker's lease, a takeover and the work itself, several times over.
 SETTLE_S = 40.0
 POLL_S = 0.2
-KNOWN = pathlib.Path(__file__).parent / "seeds.txt"  # each with a line on its cause
+SEEDS_FILE = (
+    pathlib.Path(__file__).parent / "seeds.txt"
+)  # each with a line on its cause
 
 
-def play(
+def run_seed(
     seed: int, seconds: float, daemons: int, workers: int, folder: pathlib.Path
 ) -> dict:
     """Play one seed and return what was seen."""
@@ -31,36 +33,38 @@
     with cell.Cell(random.Random(seed + 1), folder, daemons, workers) as running:
         gevent.sleep(WARM_UP_S)
         with callers.Callers(running, random.Random(seed + 2)) as clients:
-            with faults.Faults(running, rng) as injected:
+            with faults.FaultInjector(running, rng) as injector:
                 gevent.sleep(seconds)
-                injected.stop()
+                injector.stop()
             clients.stop()
             settle(running)
-        kept = running.promises
-        unfinished = kept.unfinished()
+        checker = running.checker
+        unfinished = checker.unfinished()
         for job_id in unfinished[:5]:
-            kept.break_(f"{job_id} is not done {SETTLE_S} s after the last fault")
+            checker.add_violation(
+                f"{job_id} is not done {SETTLE_S} s after the last fault"
+            )
         counts = {
-            each.value: sum(job.acceptance is each for job in kept.jobs.values())
+            each.value: sum(job.acceptance is each for job in checker.jobs.values())
             for each in invariants.Acceptance
         }
         return {
-            "seed": seed, "jobs": len(kept.jobs), **counts,
-            "starts": running.workers.starts, "faults": injected.played,
-            "unfinished": len(unfinished), "broken": kept.broken[:20],
+            "seed": seed, "jobs": len(checker.jobs), **counts,
+            "starts": running.workers.starts, "faults": injector.injected,
+            "unfinished": len(unfinished), "broken": checker.violations[:20],
         }  # fmt: skip
 
 
 def settle(running: cell.Cell) -> None:
     """Wait until all accepted jobs are done, or the time for that is over."""
     deadline = time.monotonic() + SETTLE_S
-    while running.promises.unfinished() and time.monotonic() < deadline:
+    while running.checker.unfinished() and time.monotonic() < deadline:
         gevent.sleep(POLL_S)
 
 
-def read_known() -> list[int]:
+def read_known_seeds() -> list[int]:
     """Return the seeds that ever broke a promise."""
-    lines = KNOWN.read_text().splitlines()
+    lines = SEEDS_FILE.read_text().splitlines()
     return [int(line.split(maxsplit=1)[0]) for line in lines]
 
 
@@ -76,17 +80,19 @@
     parser.add_argument(
         "--known", action="store_true", help="the seeds that ever failed, instead"
     )
-    chosen = parser.parse_args()
-    seeds = range(chosen.seed, chosen.seed + chosen.count)
+    options = parser.parse_args()
+    seeds = range(options.seed, options.seed + options.count)
     broken = 0
-    for seed in read_known() if chosen.known else seeds:
+    for seed in read_known_seeds() if options.known else seeds:
         with tempfile.TemporaryDirectory() as temporary:
-            folder = chosen.keep / f"{seed}" if chosen.keep else temporary
+            folder = options.keep / f"{seed}" if options.keep else temporary
             folder = pathlib.Path(folder)
             folder.mkdir(parents=True, exist_ok=True)
-            seen = play(seed, chosen.seconds, chosen.daemons, chosen.workers, folder)
-        print(json.dumps(seen), flush=True)
-        broken += bool(seen["broken"])
+            result = run_seed(
+                seed, options.seconds, options.daemons, options.workers, folder
+            )
+        print(json.dumps(result), flush=True)
+        broken += bool(result["broken"])
     return 1 if broken else 0
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -13,13 +13,13 @@
 from toucanspring.adapters import exchange
 from toucanspring.coordinator import job_specs
 
-TRIES = 5
+MAX_ATTEMPTS = 5
 RETRY_S = 0.3
 TIMEOUT_S = 3.0
 POLL_S = 0.25
 JOBS_PER_S = 6.0
-CANCELLED = 0.08  # part of the jobs
-REPEATED = 0.1  # part of the jobs that are handed in again after the answer
+CANCELLED_FRACTION = 0.08  # part of the jobs
+REPEATED_FRACTION = 0.1  # part of the jobs that are handed in again after the answer
 GIVE_UP_S = 90.0  # after which a caller stops asking
 
 
@@ -30,10 +30,10 @@
         self._cell = running
         self._rng = rng
         self._group: set[gevent.Greenlet] = set()
-        self._source: gevent.Greenlet | None = None
+        self._submitter: gevent.Greenlet | None = None
 
     def __enter__(self) -> Callers:
-        self._source = gevent.spawn(self._run)
+        self._submitter = gevent.spawn(self._run)
         return self
 
     def __exit__(self, *_exc: object) -> None:
@@ -42,17 +42,17 @@
 
     def stop(self) -> None:
         """Hand no more jobs in."""
-        if self._source is not None:
-            self._source.kill()
+        if self._submitter is not None:
+            self._submitter.kill()
 
     def _run(self) -> None:
         while True:
             gevent.sleep(self._rng.expovariate(JOBS_PER_S))
-            greenlet = gevent.spawn(self._live, self._draw())
+            greenlet = gevent.spawn(self._run_job, self._generate_job())
             self._group.add(greenlet)
             greenlet.rawlink(self._group.discard)
 
-    def _draw(self) -> job_specs.Job:
+    def _generate_job(self) -> job_specs.Job:
         steps = tuple(
             job_specs.Step(
                 count=self._rng.randrange(1, 5),
@@ -68,69 +68,73 @@
             steps=steps,
         )  # fmt: skip
 
-    def _live(self, spec: job_specs.Job) -> None:
+    def _run_job(self, spec: job_specs.Job) -> None:
         """Hand one job in and follow it to its end."""
-        ordered = self._cell.promises.expect(spec)
-        self._hand_in(ordered)
-        if ordered.acceptance is invariants.Acceptance.REFUSED:
+        submitted = self._cell.checker.add_job(spec)
+        self._submit(submitted)
+        if submitted.acceptance is invariants.Acceptance.REFUSED:
             return
-        if self._rng.random() < CANCELLED:
+        if self._rng.random() < CANCELLED_FRACTION:
             gevent.sleep(self._rng.random())
-            self._cancel(ordered)
+            self._cancel(submitted)
         with gevent.Timeout(GIVE_UP_S, False):
-            while ordered.told not in ("completed", "cancelled", "failed"):
-                self._ask(ordered)
+            while submitted.reported_state not in ("completed", "cancelled", "failed"):
+                self._ask(submitted)
                 gevent.sleep(POLL_S)
-            if self._rng.random() < REPEATED:
-                self._call("POST", ordered)
-            self._ask(ordered)
-
-    def _hand_in(self, ordered: invariants.Ordered) -> None:
-        uncertain = False
-        for _ in range(TRIES):
-            reply = self._call("POST", ordered)
+            if self._rng.random() < REPEATED_FRACTION:
+                self._call("POST", submitted)
+            self._ask(submitted)
+
+    def _submit(self, submitted: invariants.SubmittedJob) -> None:
+        ambiguous = False
+        for _ in range(MAX_ATTEMPTS):
+            reply = self._call("POST", submitted)
             match reply:
                 case exchange.Reply(status=200):
-                    ordered.acceptance = invariants.Acceptance.ACCEPTED
+                    submitted.acceptance = invariants.Acceptance.ACCEPTED
                     return
                 case exchange.Reply(status=503 | 429) | errors.Unavailable():
                     pass  # certainly not accepted
                 case exchange.Reply(status=504) | errors.Failure():
-                    uncertain = True
+                    ambiguous = True
                 case exchange.Reply(status=status):
-                    self._cell.promises.break_(f"a correct job was answered {status}")
+                    self._cell.checker.add_violation(
+                        f"a correct job was answered {status}"
+                    )
                     return
             gevent.sleep(RETRY_S)
-        if uncertain:
-            ordered.acceptance = invariants.Acceptance.UNKNOWN
+        if ambiguous:
+            submitted.acceptance = invariants.Acceptance.UNKNOWN
         else:
-            self._cell.promises.refused(ordered)
+            self._cell.checker.record_refusal(submitted)
 
-    def _cancel(self, ordered: invariants.Ordered) -> None:
-        ordered.cancelling = True
-        for _ in range(TRIES):
-            reply = self._call("DELETE", ordered)
+    def _cancel(self, submitted: invariants.SubmittedJob) -> None:
+        submitted.cancelling = True
+        for _ in range(MAX_ATTEMPTS):
+            reply = self._call("DELETE", submitted)
             if isinstance(reply, exchange.Reply) and reply.status == 200:
-                self._take(ordered, reply)
-                if ordered.told == "cancelled":
-                    ordered.cancelled_at = time.monotonic()
+                self._record_state(submitted, reply)
+                if submitted.reported_state == "cancelled":
+                    submitted.cancelled_at = time.monotonic()
                 return
             gevent.sleep(RETRY_S)
 
-    def _ask(self, ordered: invariants.Ordered) -> None:
-        reply = self._call("GET", ordered)
+    def _ask(self, submitted: invariants.SubmittedJob) -> None:
+        reply = self._call("GET", submitted)
         match reply:
             case exchange.Reply(status=200):
-                self._take(ordered, reply)
+                self._record_state(submitted, reply)
             case exchange.Reply(status=404 | 410):
-                self._cell.promises.unknown(ordered)
+                self._cell.checker.record_unknown(submitted)
 
-    def _take(self, ordered: invariants.Ordered, reply: exchange.Reply) -> None:
-        shown = msgspec.json.decode(reply.body)["state"]
-        self._cell.promises.told(ordered, shown)
+    def _record_state(
+        self, submitted: invariants.SubmittedJob, reply: exchange.Reply
+    ) -> None:
+        job_state = msgspec.json.decode(reply.body)["state"]
+        self._cell.checker.record_state(submitted, job_state)
 
     def _call(
-        self, method: str, ordered: invariants.Ordered
+        self, method: str, submitted: invariants.SubmittedJob
     ) -> exchange.Reply | errors.Failure:
         name = self._rng.choice(self._cell.daemons)
-        return self._cell.call(name, method, ordered.spec, TIMEOUT_S)
+        return self._cell.call(name, method, submitted.spec, TIMEOUT_S)
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -28,12 +28,12 @@
 ADDRESS = "127.0.0.1"
 ZONES = ("a", "b", "c")
 POOL, PREFIX, KEY = "pool", "/jobs/", "key"
-PORTS_OF_PROCESS = 4
+PORTS_PER_PROCESS = 4
 HEARTBEAT_S = 1.5
 RESTART_S = 0.5  # the platform starts an ended process again after this time
 # No process is back within this time; the coordinator relies on 0.2 s.
 WORKER_RESTART_S = 0.3
-RUN_S = (0.05, 1.2)
+RUN_TIME_RANGE_S = (0.05, 1.2)
 
 
 class Cell:
@@ -45,17 +45,17 @@
         self.rng = rng
         self.store = rowstore.MemoryStore()
         self.workers = lease_workers.LeaseWorkers()
-        self.promises = invariants.Promises(self.workers)
+        self.checker = invariants.InvariantChecker(self.workers)
         self.daemons = [f"entry-{number}" for number in range(1, daemons + 1)]
         self.proxies: dict[str, proxy.Proxy] = {}
         self.version = 0
-        self.down: set[str] = set()  # processes that the soak ended
+        self.terminated: set[str] = set()  # processes that the soak ended
         self._folder = folder
         self._running: dict[str, processes.ManagedProcess] = {}
         self._settings: dict[str, pathlib.Path] = {}
         self._stack = contextlib.ExitStack()
         self._greenlets: list[gevent.Greenlet] = []
-        count = 2 + 2 * workers + (PORTS_OF_PROCESS + 2) * daemons
+        count = 2 + 2 * workers + (PORTS_PER_PROCESS + 2) * daemons
         self._ports = iter(range(first := ports.find_ports(count), first + count))
         self._add_platform()
         for number in range(workers):
@@ -67,7 +67,10 @@
         self.configure()
         for name in self.daemons:
             self.start(name)
-        self._greenlets = [gevent.spawn(self._beat), gevent.spawn(self._watch)]
+        self._greenlets = [
+            gevent.spawn(self._send_heartbeats),
+            gevent.spawn(self._restart_ended),
+        ]
         return self
 
     def __exit__(self, *_exc: object) -> None:
@@ -101,8 +104,8 @@
         self.workers.add(entry)
 
         def check(order: object) -> str:
-            self.workers.run_s = self.rng.uniform(*RUN_S)
-            return self.promises.start_of(order.task, order.spec, zone)
+            self.workers.run_s = self.rng.uniform(*RUN_TIME_RANGE_S)
+            return self.checker.check_start(order.task, order.spec, zone)
 
         app = emulator.ExecutorResource(self.workers, name, check).application()
         self._stack.enter_context(emulator.Listener(own, app))
@@ -110,7 +113,7 @@
 
     def _add_process(self, name: str, zone: str) -> None:
         first = next(self._ports)
-        for _ in range(PORTS_OF_PROCESS - 1):
+        for _ in range(PORTS_PER_PROCESS - 1):
             next(self._ports)
         store = self._add_proxy(f"store of {name}", self._store_at)
         self._add_proxy(f"callers of {name}", (ADDRESS, first))
@@ -143,29 +146,29 @@
         row = types.RowId("op", "", f"evacuate/{zone}")
         if out:
             self.store.put(row, b"{}")
-            self.promises.out_since[zone] = time.monotonic()
+            self.checker.zones_out_since[zone] = time.monotonic()
             return
         self.store.remove(row)
-        self.promises.out_since.pop(zone, None)
+        self.checker.zones_out_since.pop(zone, None)
 
-    def renew_worker(self, name: str) -> None:
+    def restart_worker(self, name: str) -> None:
         """Let a worker crash and begin another life, which knows nothing."""
         self.proxies[name].set_mode(proxy.Reset())
         gevent.sleep(WORKER_RESTART_S)
-        old = self.workers.lives[name].entry
+        old = self.workers.incarnations[name].entry
         self.workers.add(dataclasses.replace(old, incarnation=_now_ms()))
         self.proxies[name].set_mode(proxy.Pass())
         self._register(name)
 
     def _register(self, name: str) -> None:
-        entry = self.workers.lives[name].entry
+        entry = self.workers.incarnations[name].entry
         row = types.RowId("servers", "", name)
         self.store.put(row, emulator.encode_executor(entry, draining=False))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
             gevent.sleep(HEARTBEAT_S)
-            for name in self.workers.lives:
+            for name in self.workers.incarnations:
                 if self.store.reachable and name not in self.workers.silent:
                     self._register(name)
 
@@ -173,7 +176,7 @@
 
     def start(self, name: str) -> None:
         """Start a process."""
-        self.down.discard(name)
+        self.terminated.discard(name)
         self._running[name] = processes.ManagedProcess(
             name,
             [sys.executable, str(PLATFORM)],
@@ -198,18 +201,18 @@
     def signal(self, name: str, number: int) -> None:
         """Send a signal to a process."""
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.down.add(name)
+            self.terminated.add(name)
         self._running[name].signal(number)
 
-    def _watch(self) -> None:
+    def _restart_ended(self) -> None:
         """Start processes again that have ended, as the platform does."""
         while True:
             gevent.sleep(RESTART_S)
             for name, each in list(self._running.items()):
                 if each.status() is None:
                     continue
-                if name not in self.down:
-                    self.promises.break_(f"{name} ended with {each.status()}")
+                if name not in self.terminated:
+                    self.checker.add_violation(f"{name} ended with {each.status()}")
                 self.start(name)
 
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -13,7 +13,7 @@
 
 MEAN_PAUSE_S = 1.2  # between the beginnings of two faults, which may overlap
 SHORTEST_S, LONGEST_S = 0.2, 4.0
-LATE_S = 1.0  # calls that are held back are carried out after this time
+DELAY_S = 1.0  # calls that are held back are carried out after this time
 
 
 @dataclasses.dataclass(frozen=True)
@@ -106,10 +106,10 @@
 )  # fmt: skip
 
 
-def draw(rng: random.Random, running: cell.Cell) -> Fault:
+def choose_fault(rng: random.Random, running: cell.Cell) -> Fault:
     """Return a fault."""
     daemon = rng.choice(running.daemons)
-    worker = rng.choice(sorted(running.workers.lives))
+    worker = rng.choice(sorted(running.workers.incarnations))
     link = rng.choice(sorted(running.proxies))
     parts = [rows.COORDINATOR_PART, *map(str, range(rows.JOB_PARTS))]
     mode = rng.choice(
@@ -121,11 +121,11 @@
             proxy.Cut(to_target=False),
         )
     )
-    everyone = tuple(running.daemons)
+    all_daemons = tuple(running.daemons)
     kinds: tuple[tuple[float, Fault], ...] = (
         (3, End((daemon,), signal.SIGKILL)),
         (2, End((daemon,), signal.SIGTERM)),
-        (1, End(everyone, signal.SIGKILL)),
+        (1, End(all_daemons, signal.SIGKILL)),
         (3, Pause(daemon)),
         (6, Disturb(link, mode)),
         (1, Silence(link)),
@@ -143,38 +143,38 @@
     return rng.choices(choices, weights)[0]
 
 
-class Faults:
+class FaultInjector:
     """Own the faults of one run."""
 
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
-        self.played: list[str] = []
+        self.injected: list[str] = []
         self._cell = running
         self._rng = rng
-        self._source: gevent.Greenlet | None = None
-        self._open: list[gevent.Greenlet] = []
+        self._injector: gevent.Greenlet | None = None
+        self._active: list[gevent.Greenlet] = []
 
-    def __enter__(self) -> Faults:
-        self._source = gevent.spawn(self._run)
+    def __enter__(self) -> FaultInjector:
+        self._injector = gevent.spawn(self._run)
         return self
 
     def __exit__(self, *_exc: object) -> None:
-        self._source.kill()
-        gevent.killall(self._open)
+        self._injector.kill()
+        gevent.killall(self._active)
 
     def stop(self) -> None:
         """Begin no more faults and wait for those under way to end."""
-        self._source.kill()
-        gevent.joinall(self._open)
+        self._injector.kill()
+        gevent.joinall(self._active)
 
     def _run(self) -> None:
         while True:
             gevent.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
-            fault = draw(self._rng, self._cell)
-            for_s = self._rng.uniform(SHORTEST_S, LONGEST_S)
-            self.played.append(f"{fault} for {for_s:.2f} s")
-            self._open.append(gevent.spawn(self._play, fault, for_s))
+            fault = choose_fault(self._rng, self._cell)
+            duration_s = self._rng.uniform(SHORTEST_S, LONGEST_S)
+            self.injected.append(f"{fault} for {duration_s:.2f} s")
+            self._active.append(gevent.spawn(self._inject, fault, duration_s))
 
-    def _play(self, fault: Fault, for_s: float) -> None:
+    def _inject(self, fault: Fault, duration_s: float) -> None:
         running = self._cell
         match fault:
             case End(names=names, number=number):
@@ -182,58 +182,58 @@
                     running.signal(name, number)
             case Pause(name=name):
                 running.signal(name, signal.SIGSTOP)
-                gevent.sleep(for_s)
+                gevent.sleep(duration_s)
                 running.signal(name, signal.SIGCONT)
             case Disturb(name=name, mode=mode):
                 running.proxies[name].set_mode(mode)
-                gevent.sleep(for_s)
+                gevent.sleep(duration_s)
                 running.proxies[name].set_mode(proxy.Pass())
             case Silence(name=name):
                 running.proxies[name].silence()
             case WorkerCrash(name=name):
-                running.renew_worker(name)
+                running.restart_worker(name)
             case Reconfigure():
                 running.configure()
             case ZoneOut(name=name):
                 running.set_zone(name, True)
-                gevent.sleep(for_s * 3)
+                gevent.sleep(duration_s * 3)
                 running.set_zone(name, False)
             case WorkerSilent(name=name):
                 running.workers.silent.add(name)
-                gevent.sleep(for_s * 2)
+                gevent.sleep(duration_s * 2)
                 running.workers.silent.discard(name)
             case OrdersLost(count=count, late=late):
                 self._lose_orders(count, late)
             case _:
-                self._play_store(fault, for_s)
+                self._inject_store_fault(fault, duration_s)
 
     def _lose_orders(self, count: int, late: bool) -> None:
         workers = self._cell.workers
         if not late:
-            workers.lose = count
+            workers.lose_answers = count
             return
-        workers.hold_back = count
-        gevent.sleep(LATE_S)
-        workers.hold_back = 0
-        workers.carry_out_late()
+        workers.delay_starts = count
+        gevent.sleep(DELAY_S)
+        workers.delay_starts = 0
+        workers.apply_delayed()
 
-    def _play_store(self, fault: Fault, for_s: float) -> None:
+    def _inject_store_fault(self, fault: Fault, duration_s: float) -> None:
         store = self._cell.store
         match fault:
             case StoreDown(parts=()):
                 store.reachable = False
-                gevent.sleep(for_s)
+                gevent.sleep(duration_s)
                 store.reachable = True
             case StoreDown(parts=parts):
                 store.parts_down = set(parts)
-                gevent.sleep(for_s)
+                gevent.sleep(duration_s)
                 store.parts_down = set()
             case StoreLoses(count=count, late=False):
                 store.lose_answers = count
             case StoreLoses(count=count):
-                store.delay = count
-                gevent.sleep(LATE_S)
-                store.delay = 0
-                store.carry_out_late()
+                store.delay_transactions = count
+                gevent.sleep(DELAY_S)
+                store.delay_transactions = 0
+                store.apply_delayed()
             case DropHistory():
                 store.drop_history()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -110,7 +110,7 @@
     ) -> None:
         try:
             while block := source.recv(BLOCK_BYTES):
-                while self._holds(pair, to_target):
+                while self._is_held(pair, to_target):
                     gevent.sleep(POLL_S)
                 if isinstance(self._mode, Delay):
                     gevent.sleep(self._mode.seconds)
@@ -119,7 +119,7 @@
         except OSError:
             return  # the connection was reset; the other end sees it too
 
-    def _holds(self, pair: tuple, to_target: bool) -> bool:
+    def _is_held(self, pair: tuple, to_target: bool) -> bool:
         if pair not in self._pairs:
             return True  # silenced
         match self._mode:
--- a/standins/backend_servers.py
+++ b/standins/backend_servers.py
@@ -166,7 +166,7 @@
         return service.Response(status, headers={"X-Not-Run": cause})
 
     def _execute(
-        self, request_id: str, request: service.Request, keyed: bool
+        self, request_id: str, request: service.Request, non_idempotent: bool
     ) -> service.Response:
         work = _parse(request.body)
         self._busy += 1
@@ -176,7 +176,7 @@
             "run",
             executor=self.name,
             request=request_id,
-            idempotent=not keyed,
+            idempotent=not non_idempotent,
             client=request.client,
             busy=self._busy,
             slots=self._slots,
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -285,12 +285,12 @@
         if event["kind"] == "run":
             runs[event["request"]].append(event)
     for request, ran in runs.items():
-        keyed = [event for event in ran if not event["idempotent"]]
-        if len(keyed) > 1:
+        non_idempotent = [event for event in ran if not event["idempotent"]]
+        if len(non_idempotent) > 1:
             yield violations.RequestRanAgain(
-                at=keyed[1]["at"],
+                at=non_idempotent[1]["at"],
                 request=request,
-                executors=tuple(event["executor"] for event in keyed),
+                executors=tuple(event["executor"] for event in non_idempotent),
             )
         if request in not_run:
             yield violations.RanAfterNotRun(at=ran[0]["at"], work=request)
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class DaemonFacts:
+class DaemonOptions:
     """What a `toucanspringd` command line is built from; addresses are URLs."""
 
     process: str
@@ -40,14 +40,14 @@
     extra: tuple[str, ...] = ()
 
 
-def daemon_command(facts: DaemonFacts) -> list[str]:
+def daemon_command(options: DaemonOptions) -> list[str]:
     """Return the command line of `toucanspringd`."""
     command = [sys.executable, "-m", "toucanspring.daemon"]
-    for field in dataclasses.fields(facts):
+    for field in dataclasses.fields(options):
         if field.name != "extra":
             name = field.name.replace("_", "-")
-            command += [f"--{name}", str(getattr(facts, field.name))]
-    return [*command, *facts.extra]
+            command += [f"--{name}", str(getattr(options, field.name))]
+    return [*command, *options.extra]
 
 
 def call(
@@ -82,7 +82,7 @@
         worker_options: Sequence[str] = (),
         backend_options: Sequence[str] = (),
         worker_processes: int = 1,
-        build_command: Callable[[DaemonFacts], list[str]] = daemon_command,
+        build_command: Callable[[DaemonOptions], list[str]] = daemon_command,
     ) -> None:
         self.zones = tuple(zones)
         self.partitions = partitions
@@ -92,7 +92,7 @@
         self.processes: dict[str, processes.ManagedProcess] = {}
         self.control_ports: dict[str, int] = {}
         self.service_ports: dict[str, int] = {}
-        self.daemon_facts: dict[str, DaemonFacts] = {}
+        self.daemon_options: dict[str, DaemonOptions] = {}
         self.ready_daemons: set[str] = set()  # those a balancer would send callers to
         self._workers = workers
         self._worker_processes = worker_processes
@@ -132,7 +132,7 @@
                 self._backend_servers,
                 self._backend_options,
             )
-        self.publish(self.listed())
+        self.publish(self.list_vms())
 
     def stop(self) -> None:
         """Stop the daemons, then the stand-ins."""
@@ -143,7 +143,7 @@
 
     # Stand-ins
 
-    def listed(self) -> list[vms.Vm]:
+    def list_vms(self) -> list[vms.Vm]:
         """Return the VM entries of all workers and backend servers."""
         found: list[vms.Vm] = []
         for name, port in self.control_ports.items():
@@ -181,7 +181,7 @@
         for attempt in range(START_ATTEMPTS):
             port = self._reserve(2)
             options = ["--port", str(port), "--control-port", str(port + 1)]
-            if self._try(name, name, options, attempt):
+            if self._try_start(name, name, options, attempt):
                 self.service_ports[name] = port
                 self.control_ports[name] = port + 1
                 return
@@ -193,20 +193,20 @@
             port = self._reserve(count + 1)
             options = ["--port", str(port), "--first-port", str(port + 1)]
             options += ["--count", str(count), "--zones", *self.zones, *extra]
-            if self._try(name, module, options, attempt):
+            if self._try_start(name, module, options, attempt):
                 self.control_ports[name] = port
                 return
 
-    def _try(
+    def _try_start(
         self, name: str, module: str, options: Sequence[str], attempt: int
     ) -> bool:
         """Start a stand-in; another process may take its port in between."""
         command = [sys.executable, "-m", f"standins.{module}", *options]
         process = processes.ManagedProcess(name, command, self.directory)
         try:
-            processes.wait_until(process, lambda: " ready on " in process.text())
+            processes.wait_until(process, lambda: " ready on " in process.read_output())
         except processes.StartFailed:
-            if attempt == START_ATTEMPTS - 1 or "in use" not in process.text():
+            if attempt == START_ATTEMPTS - 1 or "in use" not in process.read_output():
                 raise
             process.output.unlink()
             return False
@@ -221,13 +221,13 @@
         availability_zone: str | None = None,
         extra: Sequence[str] = (),
         wait: bool = True,
-    ) -> DaemonFacts:
+    ) -> DaemonOptions:
         """Start a `toucanspringd`; a known name restarts on its former ports."""
-        facts = self.daemon_facts.get(name)
-        if facts is None:
+        options = self.daemon_options.get(name)
+        if options is None:
             port = self._reserve(2)
-            zone = self.zones[len(self.daemon_facts) % len(self.zones)]
-            facts = DaemonFacts(
+            zone = self.zones[len(self.daemon_options) % len(self.zones)]
+            options = DaemonOptions(
                 process=name,
                 address=ports.ADDRESS,
                 http_port=port,
@@ -243,20 +243,20 @@
                 ).hexdigest(),
                 extra=tuple(extra),
             )
-            self.daemon_facts[name] = facts
+            self.daemon_options[name] = options
         process = processes.ManagedProcess(
-            name, self._build_command(facts), self.directory
+            name, self._build_command(options), self.directory
         )
         self.processes[name] = process
         if wait:
             self.wait_ready(name)
-        return facts
+        return options
 
     def wait_ready(
         self, name: str, timeout_s: float = processes.START_TIMEOUT_S
     ) -> None:
         """Wait until a daemon answers `/readyz` with 200."""
-        port = self.daemon_facts[name].http_port
+        port = self.daemon_options[name].http_port
 
         def is_ready() -> bool:
             try:
--- a/standins/events.py
+++ b/standins/events.py
@@ -70,10 +70,10 @@
         self._added += 1
         self._events.append({"at": time.monotonic(), "kind": kind, **fields})
 
-    def append(self, occurred: msgspec.Struct) -> None:
+    def append(self, event: msgspec.Struct) -> None:
         """Append an event that has its own fields `at` and `kind`."""
         self._added += 1
-        self._events.append(occurred)
+        self._events.append(event)
 
     def dump(self, after: int = 0) -> bytes:
         """Return JSON with the events from number `after` on and the next number.
--- a/standins/injection.py
+++ b/standins/injection.py
@@ -59,7 +59,7 @@
     ) -> None:
         self.faults = ServiceFaults()
         self.record = record
-        self._next_turns: dict[str, float] = {}
+        self._next_call_at: dict[str, float] = {}
         self._handler = handler
         self._rng = rng
         self._service = service.HttpServer(address, port, self._serve)
@@ -107,16 +107,16 @@
         answer = control(request, self.record, self._set_faults)
         if answer is not None:
             return answer
-        self._wait_for_turn(request.path)
+        self._limit_rate(request.path)
         return apply_faults(self.faults, request, self._handler, self._rng)
 
-    def _wait_for_turn(self, path: str) -> None:
+    def _limit_rate(self, path: str) -> None:
         for prefix, rate in self.faults.calls_per_second.items():
             if path.startswith(prefix):
                 now = time.monotonic()
-                turn = max(now, self._next_turns.get(prefix, 0.0))
-                self._next_turns[prefix] = turn + 1 / rate
-                gevent.sleep(turn - now)
+                call_at = max(now, self._next_call_at.get(prefix, 0.0))
+                self._next_call_at[prefix] = call_at + 1 / rate
+                gevent.sleep(call_at - now)
 
 
 def merge_faults(current: Faults, changes: dict[str, object]) -> Faults:
@@ -132,7 +132,7 @@
 ) -> service.Response | None:
     """Run a handler under faults; `None` closes the connection."""
     if faults.down or request.client in faults.blocked:
-        return service.HANG_UP
+        return service.CLOSE_CONNECTION
     if faults.delay_ms:
         gevent.sleep(faults.delay_ms / 1000)
     if faults.error_fraction and rng() < faults.error_fraction:
@@ -142,11 +142,11 @@
         gevent.sleep(faults.answer_delay_ms / 1000)
     if faults.lose_answers > 0:
         faults.lose_answers -= 1
-        return service.HANG_UP
+        return service.CLOSE_CONNECTION
     for prefix, left in faults.lose_writes.items():
         if left > 0 and any(key.startswith(prefix) for key in response.written):
             faults.lose_writes[prefix] = left - 1
-            return service.HANG_UP
+            return service.CLOSE_CONNECTION
     return response
 
 
--- a/standins/lease_workers.py
+++ b/standins/lease_workers.py
@@ -24,19 +24,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Life:
+class Incarnation:
     """Hold one life of a worker."""
 
     entry: ports.WorkerEntry
-    born: int
+    number: int
     started_at: float = dataclasses.field(default_factory=time.monotonic)
     epoch: int = 0
     lease_until_ms: int = 0
     runs: dict[str, Run] = dataclasses.field(default_factory=dict)
     ended: list[ports.EndedTask] = dataclasses.field(default_factory=list)
-    highest: dict[str, int] = dataclasses.field(default_factory=dict)
-    numbers: int = 0
-    lapsed_end: int = 0  # the last end before the lease was over
+    highest_run: dict[str, int] = dataclasses.field(default_factory=dict)
+    end_count: int = 0
+    expired_end: int = 0  # the last end before the lease was over
 
     def clock_ms(self) -> int:
         """Return the worker's own clock."""
@@ -53,21 +53,21 @@
 
     def __init__(self, run_s: float = 0.02) -> None:
         self.run_s = run_s
-        self.lives: dict[str, Life] = {}
+        self.incarnations: dict[str, Incarnation] = {}
         self.jobs: dict[str, job_specs.Job] = {}
         self.silent: set[str] = set()
-        self.lose = 0
-        self.hold_back = 0
+        self.lose_answers = 0
+        self.delay_starts = 0
         self.violations: list[str] = []
         self.done: dict[str, int] = {}  # task -> runs that ended well
-        self.noted: set[str] = set()
+        self.acknowledged: set[str] = set()
         self.starts = 0
         self.failing: set[str] = set()
-        self._late: list[tuple[ports.WorkerEntry, ports.Start]] = []
+        self._delayed: list[tuple[ports.WorkerEntry, ports.Start]] = []
 
     def add(self, entry: ports.WorkerEntry) -> None:
         """Begin a life of a worker; an earlier one of the same ID ends."""
-        self.lives[entry.id] = Life(entry, entry.incarnation)
+        self.incarnations[entry.id] = Incarnation(entry, entry.incarnation)
 
     def start(
         self, worker: ports.WorkerEntry, order: ports.Start
@@ -76,64 +76,66 @@
         gevent.sleep(0)
         if worker.id in self.silent:
             return errors.Ambiguous(reason="no answer")
-        if self.hold_back:
-            self.hold_back -= 1
-            self._late.append((worker, order))
+        if self.delay_starts:
+            self.delay_starts -= 1
+            self._delayed.append((worker, order))
             return errors.Ambiguous(reason="no answer")
         answer = self._start(worker, order)
-        if self.lose:
-            self.lose -= 1
+        if self.lose_answers:
+            self.lose_answers -= 1
             return errors.Ambiguous(reason="no answer")
         return answer
 
-    def carry_out_late(self) -> None:
+    def apply_delayed(self) -> None:
         """Carry out the starts that were held back."""
-        late, self._late = self._late, []
-        for worker, order in late:
+        delayed, self._delayed = self._delayed, []
+        for worker, order in delayed:
             self._start(worker, order)
 
     def _start(
         self, worker: ports.WorkerEntry, order: ports.Start
     ) -> ports.OrderDone | ports.OrderRefused:
-        life = self._life(worker.id)
-        if order.epoch < life.epoch:
+        incarnation = self._current_incarnation(worker.id)
+        if order.epoch < incarnation.epoch:
             return ports.OrderRefused(reason=ports.FENCED)
-        life.epoch = order.epoch
-        if order.lease_until_ms <= life.clock_ms():
+        incarnation.epoch = order.epoch
+        if order.lease_until_ms <= incarnation.clock_ms():
             return ports.OrderRefused(reason=ports.TOO_LATE)
-        self._renew(life, order.lease_until_ms)
-        running = life.runs.get(order.task)
+        self._renew(incarnation, order.lease_until_ms)
+        running = incarnation.runs.get(order.task)
         if running is not None and running.number == order.run:
-            return ports.OrderDone(life.clock_ms())
-        if order.run <= life.highest.get(order.task, 0):
+            return ports.OrderDone(incarnation.clock_ms())
+        if order.run <= incarnation.highest_run.get(order.task, 0):
             return ports.OrderRefused(reason=ports.OLD_RUN)
         name = state.parse_task_id(order.task)
         job = self.jobs[name.job]
         step = job.steps[name.step]
-        self._check(life, order, step)
-        life.highest[order.task] = order.run
+        self._check(incarnation, order, step)
+        incarnation.highest_run[order.task] = order.run
         self.starts += 1
-        life.runs[order.task] = Run(
+        incarnation.runs[order.task] = Run(
             order.task, order.run, step.occupied(), time.monotonic() + self.run_s
         )
-        return ports.OrderDone(life.clock_ms())
+        return ports.OrderDone(incarnation.clock_ms())
 
-    def _check(self, life: Life, order: ports.Start, step: job_specs.Step) -> None:
+    def _check(
+        self, incarnation: Incarnation, order: ports.Start, step: job_specs.Step
+    ) -> None:
         used = step.occupied()
-        for run in life.runs.values():
+        for run in incarnation.runs.values():
             used = used + run.demand
-        if not used.fits(life.entry.capacity):
-            self.violations.append(f"{life.entry.id} is over its capacity")
-        if order.task in self.noted:
+        if not used.fits(incarnation.entry.capacity):
+            self.violations.append(f"{incarnation.entry.id} is over its capacity")
+        if order.task in self.acknowledged:
             self.violations.append(f"{order.task} started after its noted end")
-        for other in self.lives.values():
+        for other in self.incarnations.values():
             self._advance(other)
             if order.task in other.runs:
                 self.violations.append(f"{order.task} runs twice")
         name = state.parse_task_id(order.task)
-        for before in step.after:
-            for index in range(self.jobs[name.job].steps[before].count):
-                task = f"{name.job}.{name.occurrence}.{before}.{index}"
+        for predecessor in step.after:
+            for index in range(self.jobs[name.job].steps[predecessor].count):
+                task = f"{name.job}.{name.occurrence}.{predecessor}.{index}"
                 if task not in self.done:
                     self.violations.append(f"{order.task} started before {task}")
 
@@ -144,15 +146,15 @@
         gevent.sleep(0)
         if worker.id in self.silent:
             return errors.Ambiguous(reason="no answer")
-        life = self._life(worker.id)
-        if epoch < life.epoch:
+        incarnation = self._current_incarnation(worker.id)
+        if epoch < incarnation.epoch:
             return ports.OrderRefused(reason=ports.FENCED)
-        life.epoch = epoch
-        life.highest[task] = max(run, life.highest.get(task, 0))
-        running = life.runs.get(task)
+        incarnation.epoch = epoch
+        incarnation.highest_run[task] = max(run, incarnation.highest_run.get(task, 0))
+        running = incarnation.runs.get(task)
         if running is not None and running.number == run:
-            self._end(life, running, "stopped")
-        return ports.OrderDone(life.clock_ms())
+            self._end(incarnation, running, "stopped")
+        return ports.OrderDone(incarnation.clock_ms())
 
     def poll(
         self,
@@ -165,32 +167,34 @@
         """Renew the lease, forget ends up to `acked_end` and return the others."""
         gevent.sleep(0)
         deadline = time.monotonic() + wait_ms / 1000
-        asked = self.lives[worker.id]
+        polled = self.incarnations[worker.id]
         while True:
-            life = self._life(worker.id)
-            if worker.id in self.silent or life is not asked:
+            incarnation = self._current_incarnation(worker.id)
+            if worker.id in self.silent or incarnation is not polled:
                 return errors.Ambiguous(reason="no answer")
-            if epoch < life.epoch:
+            if epoch < incarnation.epoch:
                 return ports.OrderRefused(reason=ports.FENCED)
-            life.epoch = epoch
-            self._renew(life, lease_until_ms or 0)
-            for end in life.ended:
+            incarnation.epoch = epoch
+            self._renew(incarnation, lease_until_ms or 0)
+            for end in incarnation.ended:
                 # An end that nobody had read when the lease was over does not count.
-                counts = life.lapsed_end < end.number <= acked_end
+                counts = incarnation.expired_end < end.number <= acked_end
                 if counts and end.outcome == "done":
-                    self.noted.add(end.task)
-            life.ended = [end for end in life.ended if end.number > acked_end]
-            if life.ended or time.monotonic() >= deadline:
+                    self.acknowledged.add(end.task)
+            incarnation.ended = [
+                end for end in incarnation.ended if end.number > acked_end
+            ]
+            if incarnation.ended or time.monotonic() >= deadline:
                 break
             gevent.sleep(0.002)
         return ports.PollReply(
-            life.clock_ms(),
-            life.born,
+            incarnation.clock_ms(),
+            incarnation.number,
             tuple(
                 ports.RunningTask(run.task, run.number, "", 50)
-                for run in life.runs.values()
+                for run in incarnation.runs.values()
             ),
-            tuple(life.ended),
+            tuple(incarnation.ended),
         )
 
     def forget(self, worker_id: str) -> None:
@@ -198,34 +202,41 @@
 
     def advance(self) -> None:
         """End the runs whose time is over."""
-        for life in self.lives.values():
-            self._advance(life)
+        for incarnation in self.incarnations.values():
+            self._advance(incarnation)
 
-    def _life(self, worker_id: str) -> Life:
-        life = self.lives[worker_id]
-        self._advance(life)
-        return life
+    def _current_incarnation(self, worker_id: str) -> Incarnation:
+        incarnation = self.incarnations[worker_id]
+        self._advance(incarnation)
+        return incarnation
 
-    def _advance(self, life: Life) -> None:
+    def _advance(self, incarnation: Incarnation) -> None:
         now = time.monotonic()
-        lapsed = life.lease_until_ms and life.clock_ms() >= life.lease_until_ms
-        for run in list(life.runs.values()):
-            if lapsed:
-                self._end(life, run, "lapsed")
+        expired = (
+            incarnation.lease_until_ms
+            and incarnation.clock_ms() >= incarnation.lease_until_ms
+        )
+        for run in list(incarnation.runs.values()):
+            if expired:
+                self._end(incarnation, run, "lapsed")
             elif run.ends_at <= now:
-                how = "failed" if life.entry.id in self.failing else "done"
-                self._end(life, run, how)
-        if lapsed:
-            life.lapsed_end = life.numbers
-
-    def _end(self, life: Life, run: Run, how: str) -> None:
-        del life.runs[run.task]
-        life.numbers += 1
-        life.ended.append(ports.EndedTask(life.numbers, run.task, run.number, how, ""))
-        if how == "done":
+                outcome = "failed" if incarnation.entry.id in self.failing else "done"
+                self._end(incarnation, run, outcome)
+        if expired:
+            incarnation.expired_end = incarnation.end_count
+
+    def _end(self, incarnation: Incarnation, run: Run, outcome: str) -> None:
+        del incarnation.runs[run.task]
+        incarnation.end_count += 1
+        incarnation.ended.append(
+            ports.EndedTask(incarnation.end_count, run.task, run.number, outcome, "")
+        )
+        if outcome == "done":
             self.done[run.task] = self.done.get(run.task, 0) + 1
 
     @staticmethod
-    def _renew(life: Life, until_ms: int) -> None:
-        longest = life.clock_ms() + MAX_LEASE_MS
-        life.lease_until_ms = max(life.lease_until_ms, min(until_ms, longest))
+    def _renew(incarnation: Incarnation, until_ms: int) -> None:
+        longest = incarnation.clock_ms() + MAX_LEASE_MS
+        incarnation.lease_until_ms = max(
+            incarnation.lease_until_ms, min(until_ms, longest)
+        )
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -73,7 +73,7 @@
             self.kill()
             return self._child.returncode
 
-    def text(self) -> str:
+    def read_output(self) -> str:
         """Return the output so far."""
         return self.output.read_text(errors="replace")
 
@@ -88,11 +88,12 @@
     while not is_ready():
         if process.status() is not None:
             raise StartFailed(
-                f"{process.name} ended with {process.status()}:\n{process.text()}"
+                f"{process.name} ended with {process.status()}:\n"
+                f"{process.read_output()}"
             )
         if time.monotonic() > deadline:
             process.stop()
             raise StartFailed(
-                f"{process.name} not ready in {timeout_s} s:\n{process.text()}"
+                f"{process.name} not ready in {timeout_s} s:\n{process.read_output()}"
             )
         time.sleep(POLL_S)
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -29,34 +29,34 @@
         self.reachable = True
         self.parts_down: set[str] = set()
         self.lose_answers = 0
-        self.delay = 0
+        self.delay_transactions = 0
         self.transactions = 0
-        self._late: list[tuple] = []
+        self._delayed: list[tuple] = []
         self._history: collections.deque[ports.Row] = collections.deque()
         self._changed = event.Event()
         self._clock = clock
 
-    def moment(self) -> ports.StoreTimestamp:
+    def timestamp(self) -> ports.StoreTimestamp:
         """Return the newest version and the store's clock."""
         return ports.StoreTimestamp(self.version, round(self._clock() * 1000))
 
-    def put(self, place: ports.RowId, value: bytes) -> None:
+    def put(self, row_id: ports.RowId, value: bytes) -> None:
         """Write a row as an operator does."""
-        self._apply({place: value}, ())
+        self._apply({row_id: value}, ())
 
-    def remove(self, place: ports.RowId) -> None:
+    def remove(self, row_id: ports.RowId) -> None:
         """Remove a row as an operator does."""
-        self._apply({}, (place,))
+        self._apply({}, (row_id,))
 
     def drop_history(self) -> None:
         """Forget what has changed so far."""
         self._history.clear()
         self.version += 1
 
-    def carry_out_late(self) -> list[ports.Committed | ports.Rejected]:
+    def apply_delayed(self) -> list[ports.Committed | ports.Rejected]:
         """Carry out the transactions that were held back."""
-        late, self._late = self._late, []
-        return [self._transact(*each) for each in late]
+        delayed, self._delayed = self._delayed, []
+        return [self._transact(*each) for each in delayed]
 
     def transact(
         self,
@@ -67,14 +67,14 @@
         """Apply all changes if every checked row has its version, else none."""
         gevent.sleep(0)
         self.transactions += 1
-        touched = {place.part for place in (*checks, *puts, *removals)}
+        touched = {row_id.part for row_id in (*checks, *puts, *removals)}
         if not self.reachable or touched & self.parts_down:
             return errors.Unavailable(reason="the store refuses")
         if len(touched) > 1:
             raise ValueError("a transaction covers one part")
-        if self.delay:
-            self.delay -= 1
-            self._late.append((dict(checks), dict(puts), removals))
+        if self.delay_transactions:
+            self.delay_transactions -= 1
+            self._delayed.append((dict(checks), dict(puts), removals))
             return errors.Ambiguous(reason="no answer")
         answer = self._transact(checks, puts, removals)
         if self.lose_answers:
@@ -99,14 +99,14 @@
             ),
             key=lambda row: row.id.key,
         )
-        return ports.Page(tuple(found), False, self.moment())
+        return ports.Page(tuple(found), False, self.timestamp())
 
     def parts(self, table: str) -> list[str] | errors.Failure:
         """Return the parts of a table that hold rows."""
         gevent.sleep(0)
         if not self.reachable:
             return errors.Unavailable(reason="the store refuses")
-        return sorted({place.part for place in self.rows if place.table == table})
+        return sorted({row_id.part for row_id in self.rows if row_id.table == table})
 
     def follow(
         self, table: str, after: int, wait_s: float
@@ -125,15 +125,15 @@
                 for change in self._history
                 if change.version > after and change.id.table == table
             ]
-            left_s = deadline - time.monotonic()
-            if found or left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if found or remaining_s <= 0:
                 rows = tuple(
                     change if change.value else ports.Row(change.id, b"", 0)
                     for change in found
                 )
-                return ports.Changes(rows, self.moment())
+                return ports.Changes(rows, self.timestamp())
             self._changed.clear()
-            self._changed.wait(left_s)
+            self._changed.wait(remaining_s)
 
     def _transact(
         self,
@@ -142,23 +142,24 @@
         removals: tuple[ports.RowId, ...],
     ) -> ports.Committed | ports.Rejected:
         current = {
-            place: self.rows.get(place, ports.Row(place, b"", 0)) for place in checks
+            row_id: self.rows.get(row_id, ports.Row(row_id, b"", 0))
+            for row_id in checks
         }
-        if any(current[place].version != checks[place] for place in checks):
+        if any(current[row_id].version != checks[row_id] for row_id in checks):
             return ports.Rejected(tuple(current.values()))
         self._apply(puts, removals)
-        return ports.Committed(self.moment())
+        return ports.Committed(self.timestamp())
 
     def _apply(
         self, puts: dict[ports.RowId, bytes], removals: tuple[ports.RowId, ...]
     ) -> None:
         self.version += 1
-        for place, value in puts.items():
-            self.rows[place] = ports.Row(place, value, self.version)
-            self._history.append(self.rows[place])
-        for place in removals:
-            if self.rows.pop(place, None) is not None:
-                self._history.append(ports.Row(place, b"", self.version))
+        for row_id, value in puts.items():
+            self.rows[row_id] = ports.Row(row_id, value, self.version)
+            self._history.append(self.rows[row_id])
+        for row_id in removals:
+            if self.rows.pop(row_id, None) is not None:
+                self._history.append(ports.Row(row_id, b"", self.version))
         while len(self._history) > HISTORY_ROWS:
             self._history.popleft()
         self._changed.set()
--- a/standins/service.py
+++ b/standins/service.py
@@ -66,7 +66,9 @@
     )
 
 
-HANG_UP = None  # returned by a handler to close the connection without an answer
+CLOSE_CONNECTION = (
+    None  # returned by a handler to close the connection without an answer
+)
 Handler = Callable[[Request], Response | None]
 
 
@@ -122,7 +124,7 @@
         server, self._server = self._server, None
         server.stop(timeout=0)
         for sock in list(self._sockets):
-            hang_up(sock)
+            shut_down(sock)
 
     def serve_socket(self, serve: Callable, sock: socket.socket, *rest: object) -> None:
         """Serve one connection unless there are too many."""
@@ -145,8 +147,8 @@
             response = self._handler(request)
         except Exception as error:
             response = Response(500, f"{type(error).__name__}: {error}".encode())
-        if response is HANG_UP:
-            hang_up(environ["standins.socket"])
+        if response is CLOSE_CONNECTION:
+            shut_down(environ["standins.socket"])
             start_response(STATUS_LINES[500], [("Content-Length", "0")])
             return [b""]
         headers = list(response.headers.items())
@@ -177,7 +179,7 @@
         self._owner.serve_socket(super().handle, sock, address)
 
 
-def hang_up(sock: socket.socket) -> None:
+def shut_down(sock: socket.socket) -> None:
     """End a connection in both directions."""
     try:
         sock.shutdown(socket.SHUT_RDWR)
@@ -191,7 +193,7 @@
 
 def _cut(sock: socket.socket, response: Response) -> Iterator[bytes]:
     yield response.body[: response.cut_at]
-    hang_up(sock)
+    shut_down(sock)
     yield response.body[response.cut_at :]
 
 
--- a/standins/task_runs.py
+++ b/standins/task_runs.py
@@ -68,7 +68,7 @@
             gevent.sleep(min(CLOCK_STEP_S, max(MIN_CLOCK_STEP_S, pause_s)))
 
 
-class Running:
+class RunningAttempt:
     """Track one running attempt; its work advances at `rate` per unit of time."""
 
     __slots__ = (
@@ -76,7 +76,7 @@
         "plan",
         "partition",
         "started_at",
-        "left_ms",
+        "remaining_ms",
         "done_ms",
         "rate",
         "changed_at",
@@ -92,7 +92,7 @@
         self.partition = partition
         self.started_at = now
         self.done_ms = 0.0
-        self.left_ms = plan.run_ms
+        self.remaining_ms = plan.run_ms
         self.rate = 1.0
         self.changed_at = now
         self.generation = 0
@@ -102,8 +102,8 @@
         """Count the work done since the last change."""
         worked_ms = (now - self.changed_at) * 1000 * self.rate
         self.done_ms += worked_ms
-        if self.left_ms is not None:
-            self.left_ms = max(0.0, self.left_ms - worked_ms)
+        if self.remaining_ms is not None:
+            self.remaining_ms = max(0.0, self.remaining_ms - worked_ms)
         self.changed_at = now
 
     def usage(self) -> resources.Resources:
@@ -115,9 +115,9 @@
 
     def end_time(self) -> float | None:
         """Return when the work is complete at the present rate, if ever."""
-        if self.left_ms is None or self.rate <= 0:
+        if self.remaining_ms is None or self.rate <= 0:
             return None
-        return self.changed_at + self.left_ms / 1000 / self.rate
+        return self.changed_at + self.remaining_ms / 1000 / self.rate
 
 
 _plan_decoder = msgspec.json.Decoder(Plan)
@@ -131,7 +131,7 @@
         self._clock = clock
         self._record = record
         self._incarnation = 0
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, RunningAttempt] = {}
         self._finished: dict[str, tuple[int, wire.FinishedTask]] = {}
         self._unreported: list[tuple[int, wire.FinishedTask]] = []
         self._used = resources.ZERO
@@ -151,12 +151,12 @@
         now: float,
         tick_age_ms: int,
     ) -> None:
-        running = Running(task, self._plan(task), partition, now)
+        running = RunningAttempt(task, self._plan(task), partition, now)
         if task.progress:
             done_ms = msgspec.json.decode(task.progress, type=Progress).done_ms
             running.done_ms = done_ms
-            if running.left_ms is not None:
-                running.left_ms = max(0.0, running.left_ms - done_ms)
+            if running.remaining_ms is not None:
+                running.remaining_ms = max(0.0, running.remaining_ms - done_ms)
         self._running[task.task_id] = running
         self._used += task.demand
         self._change_use(resources.ZERO, running.usage(), now)
@@ -220,7 +220,7 @@
         )
 
     def _end_checkpoint(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> None:
         if self._is_current(incarnation, task_id, running, generation):
             self._checkpoint_now(task_id, running, time.monotonic())
@@ -228,7 +228,7 @@
     def _checkpoint_now(
         self,
         task_id: str,
-        running: Running,
+        running: RunningAttempt,
         now: float,
         ran_until: float | None = None,
     ) -> None:
@@ -245,7 +245,7 @@
             self._change_use(before, running.usage(), now)
             self._schedule_end(message.task_id, running)
 
-    def _schedule_end(self, task_id: str, running: Running) -> None:
+    def _schedule_end(self, task_id: str, running: RunningAttempt) -> None:
         running.generation += 1
         if running.stopping:
             self._clock.at(
@@ -269,7 +269,7 @@
             )
 
     def _is_current(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> bool:
         return (
             incarnation == self._incarnation
@@ -279,7 +279,7 @@
         )
 
     def _end(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> None:
         if not self._is_current(incarnation, task_id, running, generation):
             return
@@ -299,7 +299,7 @@
     def _finish(
         self,
         task_id: str,
-        running: Running,
+        running: RunningAttempt,
         state: str,
         reason: str,
         answer: bytes,
--- a/standins/violations.py
+++ b/standins/violations.py
@@ -149,4 +149,4 @@
 
 
 # Work that ran more than once.
-DOUBLED = (TwoPlaces, StartedAgain, RequestRanAgain)
+DUPLICATE_RUNS = (TwoPlaces, StartedAgain, RequestRanAgain)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -49,7 +49,7 @@
         rng: random.Random,
     ) -> None:
         super().__init__(listed, clock, record)
-        self.gate = event.Event()
+        self.blocks_changed = event.Event()
         self._rng = rng
         self._server: server.StreamServer | None = None
         self._epochs: dict[int, int] = {}
@@ -80,7 +80,7 @@
         self._server.start()
         first = time.monotonic() + self._rng.random() * worker_reports.REPORT_INTERVAL_S
         self._report_series += 1
-        self._clock.at(first, self._report_regularly, self._report_series)
+        self._clock.at(first, self._report_periodically, self._report_series)
 
     def die(self) -> None:
         """Lose all tasks, finished results, epochs and connections."""
@@ -108,7 +108,7 @@
         """Close all streams; tasks go on."""
         for link in list(self.links):
             link.stream.close()
-        self._open_gate()
+        self._wake_links()
 
     def pause(self) -> None:
         """Freeze the worker and its tasks."""
@@ -126,19 +126,19 @@
         self._record.add(
             "resumed", worker=self.listed.id, incarnation=self._incarnation
         )
-        lapsed = now >= self._lease_until + LEASE_GRACE_S
+        expired = now >= self._lease_until + LEASE_GRACE_S
         for task_id, running in list(self._running.items()):
             running.advance(paused_at)
             running.changed_at = now
-            if lapsed:
+            if expired:
                 self._checkpoint_now(task_id, running, now, ran_until=paused_at)
             else:
                 self._schedule_end(task_id, running)
-        if not lapsed and not self._lease_timer:
+        if not expired and not self._lease_timer:
             self._check_lease(incarnation)
         self._report_series += 1
-        self._report_regularly(self._report_series)
-        self._open_gate()
+        self._report_periodically(self._report_series)
+        self._wake_links()
 
     def apply(self, faults: WorkerFaults) -> None:
         """Apply one call of the control interface."""
@@ -160,9 +160,9 @@
             self._clock.at(now + faults.pause_ms / 1000, self.resume, self._incarnation)
         if faults.die and faults.return_after_ms is not None:
             self._clock.at(now + faults.return_after_ms / 1000, self.revive)
-        self._open_gate()
+        self._wake_links()
 
-    def holds_back(self, link: worker_link.Link) -> bool:
+    def is_blocked(self, link: worker_link.Link) -> bool:
         """Return whether traffic on a link waits at present."""
         return (
             self._paused_at is not None
@@ -171,9 +171,9 @@
             or link.peer.rpartition(":")[0] in self._blocked_addresses
         )
 
-    def _open_gate(self) -> None:
-        self.gate.set()
-        self.gate.clear()
+    def _wake_links(self) -> None:
+        self.blocks_changed.set()
+        self.blocks_changed.clear()
 
     def _accept(self, sock: object, address: tuple[str, int]) -> None:
         connected = stream.Stream(sock, wire.decode_worker)
--- a/standins/worker_link.py
+++ b/standins/worker_link.py
@@ -16,13 +16,13 @@
 class Host(Protocol):
     """Handle the messages of connections, and hold them back on request."""
 
-    gate: event.Event
+    blocks_changed: event.Event
     links: set[Link]
 
     def handle(self, link: Link, message: object) -> bool:
         """Handle one message; return whether the connection may go on."""
 
-    def holds_back(self, link: Link) -> bool:
+    def is_blocked(self, link: Link) -> bool:
         """Return whether the traffic of a connection is held back."""
 
 
@@ -49,7 +49,7 @@
                     return
                 if isinstance(message, wire.Attach):
                     self.owner = message.owner
-                self._wait_until_open()
+                self._wait_while_blocked()
                 if self.stream.closed or not self.worker.handle(self, message):
                     return
         finally:
@@ -75,12 +75,12 @@
             self._filled.wait()
             self._filled.clear()
             while self._outbox:
-                self._wait_until_open()
+                self._wait_while_blocked()
                 message = self._outbox.popleft()
                 if message is None or self.stream.send(message) is not None:
                     self.stream.close()
                     return
 
-    def _wait_until_open(self) -> None:
-        while self.worker.holds_back(self) and not self.stream.closed:
-            self.worker.gate.wait(timeout=1.0)
+    def _wait_while_blocked(self) -> None:
+        while self.worker.is_blocked(self) and not self.stream.closed:
+            self.worker.blocks_changed.wait(timeout=1.0)
--- a/standins/worker_reports.py
+++ b/standins/worker_reports.py
@@ -9,7 +9,7 @@
 from toucanspring.adapters import vms
 
 REPORT_INTERVAL_S = 4.0
-QUIET_TURN_PART = 0.75  # of the interval; without tasks, 7 s between reports
+SKIPPED_INTERVAL_FRACTION = 0.75  # of the interval; without tasks, 7 s between reports
 USAGE_REFRESH_S = 60.0  # unchanged usage is repeated this rarely
 USAGE_LAG_S = 1.0
 
@@ -24,7 +24,7 @@
         self.links: set[worker_link.Link] = set()
         self._partition = -1
         self._report_series = 0
-        self._is_quiet = False  # the last turn of this series sent nothing
+        self._skipped_last = False  # the last turn of this series sent nothing
         self._reported_usage: dict[tuple[str, int], resources.Resources] = {}
         self._usage_refreshed_at = 0.0
 
@@ -62,7 +62,7 @@
                 )
         self._unreported = []
         self._reported_usage = {}  # a new owner knows none
-        self._is_quiet = False
+        self._skipped_last = False
         link.post(
             wire.Attached(
                 self.listed.id,
@@ -78,7 +78,7 @@
         for report in self._split(later, {}, now):
             link.post(report)
 
-    def _report_regularly(self, series: int) -> None:
+    def _report_periodically(self, series: int) -> None:
         if series != self._report_series or self._paused_at is not None:
             return  # `resume` and `revive` begin a new series
         now = time.monotonic()
@@ -99,11 +99,15 @@
         }
         # Only one turn is left out, so that the lease is renewed in time. With tasks
         # none is: they should outlive a broken link for as long as possible.
-        self._is_quiet = not (self._running or self._unreported or self._is_quiet)
-        pause_s = REPORT_INTERVAL_S * (QUIET_TURN_PART if self._is_quiet else 1.0)
-        if not self._is_quiet:
+        self._skipped_last = not (
+            self._running or self._unreported or self._skipped_last
+        )
+        pause_s = REPORT_INTERVAL_S * (
+            SKIPPED_INTERVAL_FRACTION if self._skipped_last else 1.0
+        )
+        if not self._skipped_last:
             self._report(changed)
-        self._clock.at(now + pause_s, self._report_regularly, series)
+        self._clock.at(now + pause_s, self._report_periodically, series)
 
     def _report(self, usage: dict[str, resources.Resources]) -> None:
         unreported, self._unreported = self._unreported, []
--- a/test/test_cluster.py
+++ b/test/test_cluster.py
@@ -93,12 +93,12 @@
         self.assertEqual(reserved.first, ports.find_ports(3))
 
     def test_a_daemon_restarts_on_its_ports_and_is_killed_by_pid(self):
-        def command(facts):
+        def command(options):
             code = (
                 "import http.server as h, sys\n"
                 "class H(h.BaseHTTPRequestHandler):\n"
                 "  def do_GET(self): self.send_response(200); self.end_headers()\n"
-                f"h.HTTPServer(('127.0.0.1', {facts.http_port}), H).serve_forever()"
+                f"h.HTTPServer(('127.0.0.1', {options.http_port}), H).serve_forever()"
             )
             return [sys.executable, "-c", code]
 
--- a/test/test_coordinator_leadership.py
+++ b/test/test_coordinator_leadership.py
@@ -57,7 +57,7 @@
         acquired = leader_lease.acquire(self.store, process, "10.0.0.1", process)
         self.assertIsInstance(acquired, leader_lease.Acquired)
         store_clock = leader_lease.StoreClock()
-        store_clock.update(self.store.moment().store_ms, leadership.time.monotonic())
+        store_clock.update(self.store.timestamp().store_ms, leadership.time.monotonic())
         leader = leadership.Leadership(
             self.store,
             self.workers,
@@ -122,7 +122,7 @@
 
     def test_a_start_whose_reply_is_lost_is_retried_and_runs_once(self):
         self.coordinate()
-        self.workers.lose = 2
+        self.workers.lose_answers = 2
         self.accept(case.step(4))
         self.wait_for(self.is_complete)
         self.assertEqual(4, self.workers.starts)
@@ -130,10 +130,10 @@
 
     def test_a_delayed_start_runs_nothing_twice(self):
         self.coordinate()
-        self.workers.hold_back = 3  # all attempts of one order
+        self.workers.delay_starts = 3  # all attempts of one order
         self.accept(case.step(1))
         self.wait_for(self.is_complete)
-        self.workers.carry_out_late()
+        self.workers.apply_delayed()
         self.assertEqual({f"{JOB}.0.0.0": 1}, self.workers.done)
         self.assert_no_violations()
 
@@ -143,7 +143,9 @@
         self.accept(case.step(2))
         self.wait_for(lambda: self.workers.starts == 2)
         self.assertEqual(state.JobState.CANCELLED, leader.cancel(JOB))
-        self.wait_for(lambda: not any(x.runs for x in self.workers.lives.values()))
+        self.wait_for(
+            lambda: not any(x.runs for x in self.workers.incarnations.values())
+        )
         self.assertEqual(state.JobState.CANCELLED, leader.status(JOB))
 
     def test_nothing_starts_while_the_view_is_too_old(self):
@@ -166,7 +168,7 @@
         self.wait_for(lambda: self.workers.starts == 8)
         self.store.reachable = False
         gevent.sleep(0.8)
-        self.assertEqual(set(), self.workers.noted)
+        self.assertEqual(set(), self.workers.acknowledged)
         self.store.reachable = True
         self.wait_for(self.is_complete)
         self.assertEqual(8, self.workers.starts)
@@ -197,16 +199,16 @@
         self.assert_no_violations()
 
     def test_a_recorded_start_that_was_never_sent_is_repeated(self):
-        self.workers.hold_back = 100
+        self.workers.delay_starts = 100
         self.coordinate()
         self.accept(case.step(1))
         self.wait_for(lambda: self.progress() is not None)
         self.kill()
-        self.workers.hold_back = 0
+        self.workers.delay_starts = 0
         self.coordinate()
         self.wait_for(self.is_complete)
         # The start order of the former coordinator arrives only now.
-        self.workers.carry_out_late()
+        self.workers.apply_delayed()
         self.assertEqual({f"{JOB}.0.0.0": 1}, self.workers.done)
         self.assert_no_violations()
 
@@ -216,7 +218,7 @@
         self.accept(case.step(1))
         self.wait_for(lambda: self.workers.starts == 1)
         self.kill()
-        [busy] = [name for name, each in self.workers.lives.items() if each.runs]
+        [busy] = [name for name, each in self.workers.incarnations.items() if each.runs]
         self.workers.silent.add(busy)
         leader = self.coordinate()
         gevent.sleep(0.5)
@@ -232,7 +234,7 @@
         leader = self.coordinate()
         self.accept(case.step(1))
         self.wait_for(lambda: self.workers.starts == 1)
-        [busy] = [name for name, each in self.workers.lives.items() if each.runs]
+        [busy] = [name for name, each in self.workers.incarnations.items() if each.runs]
         worker = leader.cell.workers[busy]
         self.workers.silent.add(busy)
         self.wait_for(lambda: not worker.responsive)
@@ -318,7 +320,7 @@
     def test_a_poll_after_a_start_without_reply_acknowledges_no_ends(self):
         leader = self.coordinate()
         self.accept(case.step(1))
-        self.workers.lose = 1
+        self.workers.lose_answers = 1
         self.wait_for(
             lambda: any(w.may_have_restarted for w in leader.cell.workers.values())
         )
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -69,13 +69,13 @@
 
     def test_a_write_that_may_still_take_effect_is_ambiguous(self):
         """The store delays the write, then refuses all calls."""
-        self.store.delay = rows.PARTS_PER_JOB
+        self.store.delay_transactions = rows.PARTS_PER_JOB
         accepting = gevent.spawn(self.writer.accept, case.job(), 0.15)
         gevent.sleep(0.01)
         self.store.reachable = False
         self.assertIsInstance(accepting.get(), errors.Ambiguous)
         self.store.reachable = True
-        self.store.carry_out_late()
+        self.store.apply_delayed()
         self.assertEqual(["0" * 16], self.stored())
 
     def test_a_single_part_that_is_down_refuses_nothing(self):
@@ -186,7 +186,7 @@
 
     def make_writer(self, acquired):
         store_clock = leader_lease.StoreClock()
-        store_clock.update(self.store.moment().store_ms, self.clock.now)
+        store_clock.update(self.store.timestamp().store_ms, self.clock.now)
         return fenced_writer.FencedWriter(self.store, acquired, store_clock, self.clock)
 
 
@@ -264,10 +264,10 @@
 
     def test_a_delayed_commit_does_not_overwrite_a_later_one(self):
         writer = self.make_writer(self.acquire())
-        self.store.delay = 1
+        self.store.delay_transactions = 1
         self.assertIsNone(writer.commit({self.PLACE: b"1"}))
         self.assertIsNone(writer.commit({self.PLACE: b"2"}))
-        [late] = self.store.carry_out_late()
+        [late] = self.store.apply_delayed()
         self.assertIsInstance(late, ports.Rejected)
         self.assertEqual(b"2", self.value())
 
@@ -284,14 +284,14 @@
 
     def test_a_former_coordinator_is_fenced_after_a_lost_reply(self):
         paused = self.make_writer(self.acquire())
-        self.store.delay = 1
+        self.store.delay_transactions = 1
         writing = gevent.spawn(paused.commit, {self.PLACE: b"old"})
         gevent.sleep(0)
         gevent.sleep(0)
         self.clock.now += 10
         self.acquire("two")
         self.assertIsInstance(writing.get(), errors.Fenced)
-        self.store.carry_out_late()
+        self.store.apply_delayed()
         self.assertNotIn(self.PLACE, self.store.rows)
 
     def test_many_rows_are_split_into_several_transactions(self):
--- a/test/test_daemon.py
+++ b/test/test_daemon.py
@@ -89,7 +89,7 @@
             for index in range(3):
                 cell.start_daemon(f"p{index}", wait=False)
             self.assertTrue(self.wait(lambda: self.owned(cell) == [1, 1, 1]))
-            for name in cell.daemon_facts:
+            for name in cell.daemon_options:
                 # Guards against secrets in the list of processes.
                 pid = cell.processes[name].pid
                 shown = pathlib.Path(f"/proc/{pid}/cmdline").read_bytes()
@@ -159,7 +159,7 @@
     def owned(self, cell):
         """Return how many partitions each running daemon owns."""
         found = []
-        for name, facts in cell.daemon_facts.items():
+        for name, facts in cell.daemon_options.items():
             if name in cell.processes:
                 try:
                     _, text = cluster.call(facts.http_port, "GET", "/metrics")
--- a/test/test_scenario_faults.py
+++ b/test/test_scenario_faults.py
@@ -20,8 +20,8 @@
         given = injection.Faults(lose_writes={"log/": 2})
         self.assertIsNotNone(self.call(given, "members/entry-1"))
         self.assertIsNotNone(self.call(given))
-        self.assertIs(service.HANG_UP, self.call(given, "head", "log/0/1"))
-        self.assertIs(service.HANG_UP, self.call(given, "log/1/1"))
+        self.assertIs(service.CLOSE_CONNECTION, self.call(given, "head", "log/0/1"))
+        self.assertIs(service.CLOSE_CONNECTION, self.call(given, "log/1/1"))
         self.assertIsNotNone(self.call(given, "log/1/1"))
 
 
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -82,7 +82,7 @@
         self.assertEqual(b"x", self.ask(self.connect()))
 
 
-class NotedEndTest(testtools.TestCase):
+class AcknowledgedEndTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.workers = lease_workers.LeaseWorkers(run_s=0.0)
@@ -102,53 +102,53 @@
     def test_an_end_that_is_acknowledged_is_noted(self):
         number = self.run_once()
         self.workers.poll(self.entry, 1, number, None, 0)
-        self.assertEqual({TASK}, self.workers.noted)
+        self.assertEqual({TASK}, self.workers.acknowledged)
 
     def test_an_end_before_the_lease_was_over_is_not_noted_later(self):
         # Found by the soak, seed 303: a worker that was silent beyond its lease.
         number = self.run_once()
-        self.workers.lives["w1"].lease_until_ms = 1
+        self.workers.incarnations["w1"].lease_until_ms = 1
         self.workers.poll(self.entry, 1, number, None, 0)
-        self.assertEqual(set(), self.workers.noted)
+        self.assertEqual(set(), self.workers.acknowledged)
 
 
 class SeedsTest(testtools.TestCase):
     def test_each_known_seed_has_a_cause(self):
-        lines = soak.KNOWN.read_text().splitlines()
-        self.assertEqual(len(lines), len(soak.read_known()))
+        lines = soak.SEEDS_FILE.read_text().splitlines()
+        self.assertEqual(len(lines), len(soak.read_known_seeds()))
         self.assertTrue(all(len(line.split()) > 3 for line in lines))
 
 
-class PromisesTest(testtools.TestCase):
+class InvariantCheckerTest(testtools.TestCase):
     """Each check shows what it guards against."""
 
     def setUp(self):
         super().setUp()
         self.workers = lease_workers.LeaseWorkers()
-        self.promises = invariants.Promises(self.workers)
+        self.checker = invariants.InvariantChecker(self.workers)
         step = job_specs.Step(count=1, demand=resources.Resources(100, 100, 0))
         self.spec = job_specs.Job(
             id=JOB, queue="jobs", organisation="team", payload="p", steps=(step,)
         )
-        self.ordered = self.promises.expect(self.spec)
+        self.submitted = self.checker.add_job(self.spec)
 
     def test_a_start_that_nobody_asked_for(self):
-        self.assertEqual("", self.promises.start_of(TASK, "p", "a"))
-        self.assertIn("nobody", self.promises.start_of("f" * 16 + ".0.0.0", "p", "a"))
-        self.assertIn("nobody", self.promises.start_of(TASK, "other", "a"))
+        self.assertEqual("", self.checker.check_start(TASK, "p", "a"))
+        self.assertIn("nobody", self.checker.check_start("f" * 16 + ".0.0.0", "p", "a"))
+        self.assertIn("nobody", self.checker.check_start(TASK, "other", "a"))
 
     def test_a_start_after_a_refusal_and_a_refusal_after_a_start(self):
-        self.ordered.acceptance = invariants.Acceptance.REFUSED
-        self.assertIn("refused", self.promises.start_of(TASK, "p", "a"))
-        self.promises.refused(self.ordered)
-        self.assertIn("had started", self.promises.broken[0])
+        self.submitted.acceptance = invariants.Acceptance.REFUSED
+        self.assertIn("refused", self.checker.check_start(TASK, "p", "a"))
+        self.checker.record_refusal(self.submitted)
+        self.assertIn("had started", self.checker.violations[0])
 
     def test_a_start_long_after_a_cancellation_or_in_a_zone_that_is_out(self):
         long_ago = time.monotonic() - 60
-        self.promises.out_since["a"] = long_ago
-        self.assertIn("zone", self.promises.start_of(TASK, "p", "a"))
-        self.ordered.cancelled_at = long_ago
-        self.assertIn("cancelled", self.promises.start_of(TASK, "p", "b"))
+        self.checker.zones_out_since["a"] = long_ago
+        self.assertIn("zone", self.checker.check_start(TASK, "p", "a"))
+        self.submitted.cancelled_at = long_ago
+        self.assertIn("cancelled", self.checker.check_start(TASK, "p", "b"))
 
     def test_outcomes_without_cause(self):
         for shown, text in (
@@ -156,20 +156,20 @@
             ("failed", "without cause"),
             ("cancelled", "nobody"),
         ):
-            self.promises.told(self.promises.expect(self.spec), shown)
-            self.assertIn(text, self.promises.broken[-1])
+            self.checker.record_state(self.checker.add_job(self.spec), shown)
+            self.assertIn(text, self.checker.violations[-1])
 
     def test_an_outcome_that_changes(self):
         self.workers.done[TASK] = 1
-        self.promises.told(self.ordered, "completed")
-        self.assertEqual([], self.promises.broken)
-        self.promises.told(self.ordered, "active")
-        self.assertIn("then active", self.promises.broken[0])
+        self.checker.record_state(self.submitted, "completed")
+        self.assertEqual([], self.checker.violations)
+        self.checker.record_state(self.submitted, "active")
+        self.assertIn("then active", self.checker.violations[0])
 
     def test_an_accepted_job_that_is_unknown_or_never_done(self):
-        self.promises.unknown(self.ordered)
-        self.assertEqual([], self.promises.broken)
-        self.ordered.acceptance = invariants.Acceptance.ACCEPTED
-        self.promises.unknown(self.ordered)
-        self.assertIn("unknown now", self.promises.broken[0])
-        self.assertEqual([JOB], self.promises.unfinished())
+        self.checker.record_unknown(self.submitted)
+        self.assertEqual([], self.checker.violations)
+        self.submitted.acceptance = invariants.Acceptance.ACCEPTED
+        self.checker.record_unknown(self.submitted)
+        self.assertIn("unknown now", self.checker.violations[0])
+        self.assertEqual([JOB], self.checker.unfinished())
--- a/test/test_worker_faults.py
+++ b/test/test_worker_faults.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Slot:
+class OwnedWorker:
     """What an owner knows of one worker."""
 
     port: int
@@ -31,48 +31,50 @@
 class Owner:
     """Runs tasks on workers by the rules of the design, or restarts them too early."""
 
-    def __init__(self, ports, patient):
-        self.slots = [Slot(port) for port in ports]
+    def __init__(self, ports, waits_for_leases):
+        self.owned_workers = [OwnedWorker(port) for port in ports]
         self.waiting = [(f"j{index}/0", 0) for index in range(TASKS)]
         self.done = set()
         self.epoch = 0
-        self.patient = patient
+        self.waits_for_leases = waits_for_leases
 
     def run(self, until):
-        gevent.joinall([gevent.spawn(self.own, slot, until) for slot in self.slots])
+        gevent.joinall(
+            [gevent.spawn(self.own, owned, until) for owned in self.owned_workers]
+        )
 
-    def own(self, slot, until):
+    def own(self, owned, until):
         while time.monotonic() < until and len(self.done) < TASKS:
-            self.step(slot)
+            self.step(owned)
             gevent.sleep(0.01)
-        if slot.link is not None:
-            slot.link.close()
+        if owned.link is not None:
+            owned.link.close()
 
-    def step(self, slot):
+    def step(self, owned):
         now = time.monotonic()
-        if slot.link is None or slot.link.closed:
-            wait_s = LEASE_S + GRACE_S * 1.05 if self.patient else 0.0
-            if now > slot.renewed_at + wait_s:
-                self.requeue(slot, set())
-            self.attach(slot)
+        if owned.link is None or owned.link.closed:
+            wait_s = LEASE_S + GRACE_S * 1.05 if self.waits_for_leases else 0.0
+            if now > owned.renewed_at + wait_s:
+                self.requeue(owned, set())
+            self.attach(owned)
             return
-        if now > slot.renewed_at + LEASE_S / 4:
-            slot.renewed_at = now
-            slot.link.renew(slot.link.epoch, int(LEASE_S * 1000), slot.link.tick)
+        if now > owned.renewed_at + LEASE_S / 4:
+            owned.renewed_at = now
+            owned.link.renew(owned.link.epoch, int(LEASE_S * 1000), owned.link.tick)
         batch = []
-        while self.waiting and len(slot.tasks) < 4:
+        while self.waiting and len(owned.tasks) < 4:
             name, attempt = self.waiting.pop()
-            slot.tasks[name] = attempt
+            owned.tasks[name] = attempt
             payload = b'{"run_ms": 400, "checkpoint_ms": 20}'
             batch.append(wire.TaskStart(name, attempt, DEMAND, "t", True, payload))
         if batch:
-            slot.link.start(slot.link.epoch, batch)
+            owned.link.start(owned.link.epoch, batch)
 
-    def attach(self, slot):
+    def attach(self, owned):
         link = workers.connect(
             "127.0.0.1",
-            slot.port,
-            lambda message: self.take(slot, message),
+            owned.port,
+            lambda message: self.handle(owned, message),
             lambda _failure, _unanswered: None,
             report_timeout_s=0.3,
         )
@@ -84,33 +86,35 @@
         if isinstance(attached, errors.Failure):
             link.close()
             return
-        slot.link = link
+        owned.link = link
         known = {task.task_id for task in (*attached.running, *attached.finished)}
-        self.requeue(slot, known)
-        self.finish(slot, attached.finished)
+        self.requeue(owned, known)
+        self.finish(owned, attached.finished)
 
-    def requeue(self, slot, known):
-        for name in [name for name in slot.tasks if name not in known]:
-            self.waiting.append((name, slot.tasks.pop(name) + 1))
+    def requeue(self, owned, known):
+        for name in [name for name in owned.tasks if name not in known]:
+            self.waiting.append((name, owned.tasks.pop(name) + 1))
 
-    def take(self, slot, message):
+    def handle(self, owned, message):
         if isinstance(message, wire.Started):
             refused = {name for name, _ in message.refused}
-            self.requeue(slot, slot.tasks.keys() - refused)
+            self.requeue(owned, owned.tasks.keys() - refused)
         elif isinstance(message, wire.Report):
-            self.finish(slot, message.finished)
+            self.finish(owned, message.finished)
 
-    def finish(self, slot, finished):
+    def finish(self, owned, finished):
         for task in finished:
-            if slot.tasks.get(task.task_id) != task.attempt:
+            if owned.tasks.get(task.task_id) != task.attempt:
                 continue  # it was started elsewhere after the lease had expired
-            del slot.tasks[task.task_id]
+            del owned.tasks[task.task_id]
             if task.state == "done":
                 self.done.add(task.task_id)
             else:
                 self.waiting.append((task.task_id, task.attempt + 1))
-        if finished and slot.link is not None:
-            slot.link.acknowledge(slot.link.epoch, [task.task_id for task in finished])
+        if finished and owned.link is not None:
+            owned.link.acknowledge(
+                owned.link.epoch, [task.task_id for task in finished]
+            )
 
 
 class WorkerFaultsTest(testtools.TestCase):
@@ -142,8 +146,8 @@
             self.addCleanup(worker.die)
             self.workers.append(worker)
 
-    def run_owner(self, patient):
-        owner = Owner(self.ports, patient)
+    def run_owner(self, waits_for_leases):
+        owner = Owner(self.ports, waits_for_leases)
         began = time.monotonic()
         running = gevent.spawn(owner.run, began + 15)
         while time.monotonic() < began + 4:
@@ -166,11 +170,11 @@
         return owner, checker.check({"workers": record})
 
     def test_an_owner_that_waits_for_leases_breaks_nothing(self):
-        owner, found = self.run_owner(patient=True)
+        owner, found = self.run_owner(waits_for_leases=True)
         self.assertEqual([], found)
         self.assertEqual(TASKS, len(owner.done))
 
     def test_an_owner_that_does_not_wait_is_found_out(self):
-        _, found = self.run_owner(patient=False)
+        _, found = self.run_owner(waits_for_leases=False)
         kinds = {type(violation) for violation in found}
         self.assertEqual({violations.TwoPlaces}, kinds)
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -155,13 +155,13 @@
         clock.at = lambda due, *_: pauses.append(round(due - time.monotonic()))
         self.patch(worker, "_clock", clock)
         for _ in range(4):
-            worker._report_regularly(worker._report_series)
+            worker._report_periodically(worker._report_series)
         self.assertEqual(([{}, {}], [3, 4, 3, 4]), (sent, pauses))
         owner = self.own()
         owner.link.start(1, [task("j/0", run_ms=None)])
         wait(lambda: owner.accepted)
         for _ in range(3):
-            worker._report_regularly(worker._report_series)
+            worker._report_periodically(worker._report_series)
         self.assertEqual([4, 4, 4], pauses[-3:])
 
     def test_a_late_report_is_asked_for_before_the_link_breaks(self):
