--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults on real processes, with promises checked while they run."""
+"""Random faults in real processes, with invariants checked while they run."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play random faults on real processes: `python -m soak --seed N`."""
+"""Inject random faults into real processes: `python -m soak --seed N`."""
 
 import gevent.monkey
 
@@ -17,18 +17,17 @@
 from soak import callers, cell, faults, invariants  # noqa: E402
 
 WARM_UP_S = 3.0
-# A worker's lease, a takeover and the work itself, several times over.
+# Several times as long as a worker's lease, a takeover and the work itself.
 SETTLE_S = 40.0
 POLL_S = 0.2
-SEEDS_FILE = (
-    pathlib.Path(__file__).parent / "seeds.txt"
-)  # each with a line on its cause
+# Each line has a seed and the cause of its violation.
+SEEDS_FILE = pathlib.Path(__file__).parent / "seeds.txt"
 
 
 def run_seed(
     seed: int, seconds: float, daemons: int, workers: int, folder: pathlib.Path
 ) -> dict:
-    """Play one seed and return what was seen."""
+    """Run one seed and return the results."""
     rng = random.Random(seed)
     with cell.Cell(random.Random(seed + 1), folder, daemons, workers) as running:
         gevent.sleep(WARM_UP_S)
@@ -56,33 +55,33 @@
 
 
 def settle(running: cell.Cell) -> None:
-    """Wait until all accepted jobs are done, or the time for that is over."""
+    """Wait until all accepted jobs are done, at most `SETTLE_S`."""
     deadline = time.monotonic() + SETTLE_S
     while running.checker.unfinished() and time.monotonic() < deadline:
         gevent.sleep(POLL_S)
 
 
 def read_known_seeds() -> list[int]:
-    """Return the seeds that ever broke a promise."""
+    """Return the seeds that have ever violated an invariant."""
     lines = SEEDS_FILE.read_text().splitlines()
     return [int(line.split(maxsplit=1)[0]) for line in lines]
 
 
 def main() -> int:
-    """Play the seeds; return 1 if a promise was broken."""
+    """Run the seeds; return 1 if an invariant was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--count", type=int, default=1, help="seeds in a row")
-    parser.add_argument("--seconds", type=float, default=20.0, help="time of faults")
+    parser.add_argument("--count", type=int, default=1, help="consecutive seeds")
+    parser.add_argument("--seconds", type=float, default=20.0, help="fault duration")
     parser.add_argument("--daemons", type=int, default=4)
     parser.add_argument("--workers", type=int, default=6)
     parser.add_argument("--keep", type=pathlib.Path, help="folder for the logs")
     parser.add_argument(
-        "--known", action="store_true", help="the seeds that ever failed, instead"
+        "--known", action="store_true", help="run the seeds that have ever failed"
     )
     options = parser.parse_args()
     seeds = range(options.seed, options.seed + options.count)
-    broken = 0
+    failed_seeds = 0
     for seed in read_known_seeds() if options.known else seeds:
         with tempfile.TemporaryDirectory() as temporary:
             folder = options.keep / f"{seed}" if options.keep else temporary
@@ -92,8 +91,8 @@
                 seed, options.seconds, options.daemons, options.workers, folder
             )
         print(json.dumps(result), flush=True)
-        broken += bool(result["broken"])
-    return 1 if broken else 0
+        failed_seeds += bool(result["broken"])
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that hand jobs in, ask for them and cancel some, over HTTP."""
+"""Callers that submit jobs, query them and cancel some, over HTTP."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 TIMEOUT_S = 3.0
 POLL_S = 0.25
 JOBS_PER_S = 6.0
-CANCELLED_FRACTION = 0.08  # part of the jobs
-REPEATED_FRACTION = 0.1  # part of the jobs that are handed in again after the answer
-GIVE_UP_S = 90.0  # after which a caller stops asking
+CANCELLED_FRACTION = 0.08  # of the jobs
+REPEATED_FRACTION = 0.1  # of the jobs are submitted again after their end
+GIVE_UP_S = 90.0  # after which a caller stops querying its job
 
 
 class Callers:
-    """Own the callers of one run."""
+    """The callers of one run, as a context manager."""
 
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
         self._cell = running
@@ -41,7 +41,7 @@
         gevent.killall(list(self._group))
 
     def stop(self) -> None:
-        """Hand no more jobs in."""
+        """Submit no more jobs."""
         if self._submitter is not None:
             self._submitter.kill()
 
@@ -69,7 +69,7 @@
         )  # fmt: skip
 
     def _run_job(self, spec: job_specs.Job) -> None:
-        """Hand one job in and follow it to its end."""
+        """Submit one job and query it until its end."""
         submitted = self._cell.checker.add_job(spec)
         self._submit(submitted)
         if submitted.acceptance is invariants.Acceptance.REFUSED:
@@ -79,11 +79,11 @@
             self._cancel(submitted)
         with gevent.Timeout(GIVE_UP_S, False):
             while submitted.reported_state not in ("completed", "cancelled", "failed"):
-                self._ask(submitted)
+                self._query(submitted)
                 gevent.sleep(POLL_S)
             if self._rng.random() < REPEATED_FRACTION:
                 self._call("POST", submitted)
-            self._ask(submitted)
+            self._query(submitted)
 
     def _submit(self, submitted: invariants.SubmittedJob) -> None:
         ambiguous = False
@@ -99,7 +99,7 @@
                     ambiguous = True
                 case exchange.Reply(status=status):
                     self._cell.checker.add_violation(
-                        f"a correct job was answered {status}"
+                        f"a valid job was answered with {status}"
                     )
                     return
             gevent.sleep(RETRY_S)
@@ -119,7 +119,7 @@
                 return
             gevent.sleep(RETRY_S)
 
-    def _ask(self, submitted: invariants.SubmittedJob) -> None:
+    def _query(self, submitted: invariants.SubmittedJob) -> None:
         reply = self._call("GET", submitted)
         match reply:
             case exchange.Reply(status=200):
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -30,14 +30,14 @@
 POOL, PREFIX, KEY = "pool", "/jobs/", "key"
 PORTS_PER_PROCESS = 4
 HEARTBEAT_S = 1.5
-RESTART_S = 0.5  # the platform starts an ended process again after this time
-# No process is back within this time; the coordinator relies on 0.2 s.
+RESTART_S = 0.5  # after which the platform restarts a process that has ended
+# No process restarts faster than this; the coordinator relies on 0.2 s.
 WORKER_RESTART_S = 0.3
 RUN_TIME_RANGE_S = (0.05, 1.2)
 
 
 class Cell:
-    """Own the processes, the workers, the store and the proxies."""
+    """The processes, the workers, the store and the proxies, as a context manager."""
 
     def __init__(
         self, rng: random.Random, folder: pathlib.Path, daemons: int, workers: int
@@ -49,7 +49,7 @@
         self.daemons = [f"entry-{number}" for number in range(1, daemons + 1)]
         self.proxies: dict[str, proxy.Proxy] = {}
         self.version = 0
-        self.terminated: set[str] = set()  # processes that the soak ended
+        self.terminated: set[str] = set()  # processes that the soak has ended
         self._folder = folder
         self._running: dict[str, processes.ManagedProcess] = {}
         self._settings: dict[str, pathlib.Path] = {}
@@ -142,7 +142,7 @@
         self.store.put(row, emulator.encode_configuration(known))
 
     def set_zone(self, zone: str, out: bool) -> None:
-        """Take a zone out of service, or back."""
+        """Take a zone out of service, or return it."""
         row = types.RowId("op", "", f"evacuate/{zone}")
         if out:
             self.store.put(row, b"{}")
@@ -152,7 +152,7 @@
         self.checker.zones_out_since.pop(zone, None)
 
     def restart_worker(self, name: str) -> None:
-        """Let a worker crash and begin another life, which knows nothing."""
+        """Crash a worker and restart it as a new incarnation without any state."""
         self.proxies[name].set_mode(proxy.Reset())
         gevent.sleep(WORKER_RESTART_S)
         old = self.workers.incarnations[name].entry
@@ -188,8 +188,8 @@
         self, name: str, method: str, job: job_specs.Job, timeout_s: float
     ) -> exchange.Reply | errors.Failure:
         """Send a caller's request about a job to a process, on its own connection."""
-        place = exchange.parse_address(self.proxies[f"callers of {name}"].address)
-        endpoint = exchange.Endpoint(*place, 1)
+        address = exchange.parse_address(self.proxies[f"callers of {name}"].address)
+        endpoint = exchange.Endpoint(*address, 1)
         body = emulator.encode_job(job) if method == "POST" else b""
         headers = emulator.caller_headers(KEY, timeout_s)
         path = emulator.call_path(PREFIX, job.id)
@@ -205,7 +205,7 @@
         self._running[name].signal(number)
 
     def _restart_ended(self) -> None:
-        """Start processes again that have ended, as the platform does."""
+        """Restart processes that have ended, as the platform does."""
         while True:
             gevent.sleep(RESTART_S)
             for name, each in list(self._running.items()):
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -11,9 +11,9 @@
 from soak import cell, proxy
 from toucanspring.coordinator import rows
 
-MEAN_PAUSE_S = 1.2  # between the beginnings of two faults, which may overlap
+MEAN_PAUSE_S = 1.2  # between the starts of two faults, which may overlap
 SHORTEST_S, LONGEST_S = 0.2, 4.0
-DELAY_S = 1.0  # calls that are held back are carried out after this time
+DELAY_S = 1.0  # delayed calls are executed after this time
 
 
 @dataclasses.dataclass(frozen=True)
@@ -26,14 +26,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pause:
-    """Pause a process and let it go on."""
+    """Pause a process and resume it."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Disturb:
-    """Treat the connections of a proxy in another way for a while."""
+    """Set the mode of a proxy for a while."""
 
     name: str
     mode: proxy.Mode
@@ -41,21 +41,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Silence:
-    """Let the open connections of a proxy go silent for good."""
+    """Stop all traffic on the open connections of a proxy permanently."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreDown:
-    """Refuse calls of the store, all or those of some parts."""
+    """Refuse calls to the store, all or those for some parts."""
 
     parts: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreLoses:
-    """Carry transactions out without an answer, at once or late."""
+    """Apply transactions without a reply, at once or delayed."""
 
     count: int
     late: bool
@@ -63,26 +63,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class DropHistory:
-    """Let the store forget what has changed."""
+    """Drop the store's history of changes."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WorkerSilent:
-    """Let a worker answer nothing while it runs on."""
+    """Stop the replies of a worker, which keeps running."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True)
 class WorkerCrash:
-    """Let a worker begin another life."""
+    """Crash and restart a worker."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True)
 class OrdersLost:
-    """Carry starts out without an answer, at once or late."""
+    """Execute start orders without a reply, at once or delayed."""
 
     count: int
     late: bool
@@ -107,7 +107,7 @@
 
 
 def choose_fault(rng: random.Random, running: cell.Cell) -> Fault:
-    """Return a fault."""
+    """Choose a random fault by weight."""
     daemon = rng.choice(running.daemons)
     worker = rng.choice(sorted(running.workers.incarnations))
     link = rng.choice(sorted(running.proxies))
@@ -144,7 +144,7 @@
 
 
 class FaultInjector:
-    """Own the faults of one run."""
+    """Injects the faults of one run, as a context manager."""
 
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
         self.injected: list[str] = []
@@ -162,7 +162,7 @@
         gevent.killall(self._active)
 
     def stop(self) -> None:
-        """Begin no more faults and wait for those under way to end."""
+        """Start no more faults and wait until the current ones end."""
         self._injector.kill()
         gevent.joinall(self._active)
 
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -1,4 +1,4 @@
-"""What callers and workers see, and the promises that this must keep."""
+"""Invariants of what callers and workers observe."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from standins import lease_workers
 from toucanspring.coordinator import job_specs, state
 
-CANCEL_S = 3.0  # after the answer to a cancellation nothing of the job starts
-ZONE_S = 5.0  # after a zone is taken out nothing starts there
-# Orders that were held back may be carried out this much later.
+CANCEL_S = 3.0  # after the answer to a cancellation, no task of the job starts
+ZONE_S = 5.0  # after a zone is taken out of service, no task starts there
+# Delayed orders may be executed this much later.
 MAX_ORDER_DELAY_S = 4.0
 
 
 class Acceptance(enum.Enum):
-    """Say what a caller knows of a job that it has handed in."""
+    """Result of submitting a job, as its caller knows it."""
 
     SENDING = "sending"
     ACCEPTED = "accepted"
-    REFUSED = "refused"  # every try was told "not run"
-    UNKNOWN = "unknown"  # some try had no answer
+    REFUSED = "refused"  # every attempt was answered "not run"
+    UNKNOWN = "unknown"  # some attempt had no answer
 
 
 @dataclasses.dataclass
 class SubmittedJob:
-    """Hold a job as its caller sees it; times are monotonic seconds."""
+    """A job as its caller sees it; times are monotonic seconds."""
 
     spec: job_specs.Job
     acceptance: Acceptance = Acceptance.SENDING
@@ -36,7 +36,7 @@
 
 
 class InvariantChecker:
-    """Collect what is broken."""
+    """Checks the observations of one run and collects violations."""
 
     def __init__(self, workers: lease_workers.LeaseWorkers) -> None:
         self.jobs: dict[str, SubmittedJob] = {}
@@ -46,25 +46,25 @@
 
     @property
     def violations(self) -> list[str]:
-        """Return the broken promises so far."""
+        """Return the violations so far."""
         return self._workers.violations
 
     def add_violation(self, text: str) -> None:
-        """Take note of a broken promise."""
+        """Record a violation."""
         self._workers.violations.append(text)
 
     def add_job(self, spec: job_specs.Job) -> SubmittedJob:
-        """Take in a job that is about to be handed in."""
+        """Add a job that is about to be submitted."""
         self._workers.jobs[spec.id] = spec
         submitted = self.jobs[spec.id] = SubmittedJob(spec)
         return submitted
 
     def check_start(self, task: str, payload: str, zone: str) -> str:
-        """Return what is wrong with the start of a task; empty if nothing."""
+        """Return the violation that the start of a task causes, or an empty string."""
         name = state.parse_task_id(task)
         submitted = self.jobs.get(name.job) if name is not None else None
         if submitted is None or submitted.spec.payload != payload:
-            return f"{task} was started, but nobody asked for that"
+            return f"{task} was started, but no such job was submitted"
         self._started.add(name.job)
         now = time.monotonic()
         if submitted.acceptance is Acceptance.REFUSED:
@@ -76,13 +76,13 @@
         return ""
 
     def record_refusal(self, submitted: SubmittedJob) -> None:
-        """Take note that a job was refused for good."""
+        """Record that all attempts to submit a job were refused."""
         submitted.acceptance = Acceptance.REFUSED
         if submitted.spec.id in self._started:
             self.add_violation(f"{submitted.spec.id} was refused, but had started")
 
     def record_state(self, submitted: SubmittedJob, job_state: str) -> None:
-        """Take note of a state that a caller was told."""
+        """Record the state of a job that a caller received."""
         job_id = submitted.spec.id
         if (
             submitted.reported_state in ("completed", "cancelled")
@@ -104,15 +104,15 @@
             case "failed":
                 self.add_violation(f"{job_id} failed without cause")
             case "cancelled" if not submitted.cancelling:
-                self.add_violation(f"{job_id} is cancelled, but nobody wanted that")
+                self.add_violation(f"{job_id} was cancelled without a request")
 
     def record_unknown(self, submitted: SubmittedJob) -> None:
-        """Take note that a job is said to be unknown."""
+        """Record that a caller was told that a job is unknown."""
         if submitted.acceptance is Acceptance.ACCEPTED:
             self.add_violation(f"{submitted.spec.id} was accepted and is unknown now")
 
     def unfinished(self) -> list[str]:
-        """Return the accepted jobs that nobody cancelled and that are not done."""
+        """Return the accepted jobs that are neither cancelled nor completed."""
         return [
             job_id
             for job_id, submitted in self.jobs.items()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that delays, resets, cuts one way or silences its connections."""
+"""Loopback proxy that delays, resets or blocks the traffic of its connections."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pass:
-    """Hand all bytes on."""
+    """Forward all bytes."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Delay:
-    """Hand bytes on after a time in seconds."""
+    """Forward bytes after a delay in seconds."""
 
     seconds: float
 
@@ -45,7 +45,7 @@
 
 
 class Proxy:
-    """Own a listening port in front of another."""
+    """Listens on a port and forwards connections to a target address."""
 
     def __init__(self, port: int, target: tuple[str, int]) -> None:
         self.address = f"127.0.0.1:{port}"
@@ -63,13 +63,13 @@
         self._reset_all()
 
     def set_mode(self, mode: Mode) -> None:
-        """Treat connections in another way from now on."""
+        """Set the mode for open and new connections."""
         self._mode = mode
         if isinstance(mode, Reset):
             self._reset_all()
 
     def silence(self) -> None:
-        """Let the open connections go silent for good, while new ones work."""
+        """Stop forwarding on open connections permanently, but not on new ones."""
         self._pairs = set()
 
     def _reset_all(self) -> None:
--- a/standins/backend_servers.py
+++ b/standins/backend_servers.py
@@ -27,7 +27,7 @@
 
 
 class Work(msgspec.Struct):
-    """Body of a request, in JSON; a body of another form runs with the defaults.
+    """Body of a request, in JSON; an invalid body runs with the defaults.
 
     The answer is `answer`, or `answer_bytes` bytes that depend on the request ID.
     """
@@ -44,9 +44,9 @@
 class ExecutorFaults(injection.Faults):
     """Faults of an executor; the body also takes `executors`, their names.
 
-    Without names, or with an empty list, all executors are concerned.
-    `cut_answers` ends that many answers in the middle, `no_slot` refuses all work,
-    and `large_bytes` replaces the length of generated answers.
+    Without names, or with an empty list, the faults apply to all executors.
+    `cut_answers` closes the connection in the middle of that many answers, `no_slot`
+    refuses all work, and `large_bytes` replaces the length of generated answers.
     """
 
     cut_answers: int = 0
@@ -55,7 +55,7 @@
 
 
 class Outcome(msgspec.Struct):
-    """Keep what a request led to."""
+    """State and answer of a request; `done` is set once it has an answer."""
 
     done: event.Event
     response: service.Response | None = None
@@ -146,7 +146,7 @@
             self._epochs[int(partition)] = int(number)
             known = self._outcomes.get(request_id)
             if known is not None:
-                # A repeated non-idempotent request gets the first one's outcome.
+                # A repeated non-idempotent request gets the answer of the first one.
                 known.done.wait()
                 return known.response
         if self.faults.no_slot or self._busy >= self._slots:
@@ -230,7 +230,7 @@
 
 
 class Executors:
-    """Host the executors and their common control interface."""
+    """The executors of a process and their common control interface."""
 
     def __init__(
         self, executors: list[Executor], listed: list[vms.Vm], record: events.Record
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -11,16 +11,16 @@
 from standins import executions, facts, violations
 from toucanspring import resources
 
-# The design allows 3 s until a taken out zone, a withdrawn key, a leaving backend
-# server or a lowered ceiling is in force everywhere.
+# The design allows 3 s until all processes respect a zone taken out of service, a
+# withdrawn key, a leaving backend server or a lowered ceiling.
 IN_FORCE_S = 3.0
-# A task stopped for a lowered ceiling has the checkpoint grace to end.
+# Time that a task stopped for a lowered ceiling has to write its checkpoint.
 STOP_GRACE_S = 2.0
-# A lost gang member is noticed after the worker lease (20 s), its grace (2 s) and the
-# drift allowance (1.1 s); then the other members are stopped (2 s).
+# The loss of a gang member is detected after the worker lease (20 s), its grace (2 s)
+# and the allowance for clock drift (1.1 s); then the other members are stopped (2 s).
 GANG_SETTLE_S = 26.0
-# Workers report every 4 s what was used up to 1 s before, the owner may just have
-# died (3.2 s until the next one attaches), and a checkpoint takes 2 s.
+# Workers report usage every 4 s, and their data is up to 1 s old; the owner may just
+# have died (3.2 s until the next one attaches), and a checkpoint takes 2 s.
 OVERUSE_S = 12.0
 NOTHING_KNOWN = facts.Known()
 
@@ -51,7 +51,7 @@
 
 
 class History:
-    """Hold the events of all records in the order of time, and the attempts."""
+    """The events of all records in order of time, and the attempts of tasks."""
 
     def __init__(self, records: dict[str, dict]) -> None:
         self.incomplete = [
@@ -97,7 +97,7 @@
 
 
 def check_use(history: History) -> Iterator[violations.Overused]:
-    """Invariant 1 for what tasks really use, whatever their declared sizes."""
+    """Invariant 1 for the actual usage of tasks, whatever their declared demand."""
     over: dict[str, tuple[float, dict]] = {}
     last = history.events[-1]["at"] if history.events else 0.0
     ended = []
@@ -170,8 +170,8 @@
 ) -> Iterator[violations.OverCeiling]:
     """Invariant 4: no team runs more than its ceiling; one violation for each.
 
-    A lowered ceiling counts once it is in force and the tasks above it had the time
-    to stop, so it is also checked at that moment.
+    A lowered ceiling applies once it is in force and the tasks above it have had time
+    to stop, so it is also checked at that time.
     """
     by_team: dict[str, list[facts.Ceiling]] = collections.defaultdict(list)
     for ceiling in sorted(ceilings, key=lambda ceiling: ceiling.from_at):
@@ -197,7 +197,7 @@
 
 
 def _allowed(steps: list[facts.Ceiling], at: float) -> resources.Resources | None:
-    """Return the largest ceiling that may still have been in force, if any is set."""
+    """Return the largest ceiling that may still be in force; `None` if none is set."""
     oldest = at - IN_FORCE_S - STOP_GRACE_S
     counted = [step.amount for step in steps if oldest < step.from_at <= at]
     settled = [step.amount for step in steps if step.from_at <= oldest]
@@ -212,7 +212,7 @@
 
 
 def check_epochs(history: History) -> Iterator[violations.StaleEpoch]:
-    """Check that a superseded owner starts nothing where its successor is known."""
+    """Check that a worker starts no tasks of an owner once it knows a higher epoch."""
     highest: dict[tuple[str, int], int] = {}
     for event in history.events:
         if event["kind"] not in ("attach", "start"):
@@ -341,7 +341,7 @@
 ) -> Iterator[
     violations.RanAfterNotRun | violations.FalseOutcome | violations.LostWork
 ]:
-    """Invariant 7 for tasks, and that each outcome is what happened."""
+    """Invariant 7 for tasks, and that each reported outcome matches the records."""
     by_task = executions.group_by(history.attempts, "task")
     for task, state in known.task_outcomes.items():
         attempts = by_task.get(task, [])
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""Starts and stops stand-ins and daemons for tests, the demonstration and benches."""
+"""Starts and stops stand-ins and daemons for tests, the demo and benchmarks."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DaemonOptions:
-    """What a `toucanspringd` command line is built from; addresses are URLs."""
+    """Options of a `toucanspringd` command line; the service addresses are URLs."""
 
     process: str
     address: str
@@ -58,7 +58,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> tuple[int, bytes]:
-    """Make one HTTP call on the loopback address; bytes are sent as they are."""
+    """Make one HTTP call on the loopback address; a body of bytes is sent unchanged."""
     connection = http.client.HTTPConnection(ports.ADDRESS, port, timeout=timeout_s)
     with contextlib.closing(connection):
         content = body if isinstance(body, bytes | None) else msgspec.json.encode(body)
@@ -93,7 +93,7 @@
         self.control_ports: dict[str, int] = {}
         self.service_ports: dict[str, int] = {}
         self.daemon_options: dict[str, DaemonOptions] = {}
-        self.ready_daemons: set[str] = set()  # those a balancer would send callers to
+        self.ready_daemons: set[str] = set()  # a load balancer would use these
         self._workers = workers
         self._worker_processes = worker_processes
         self._backend_servers = backend_servers
@@ -200,7 +200,7 @@
     def _try_start(
         self, name: str, module: str, options: Sequence[str], attempt: int
     ) -> bool:
-        """Start a stand-in; another process may take its port in between."""
+        """Start a stand-in; return `False` if another process has taken its ports."""
         command = [sys.executable, "-m", f"standins.{module}", *options]
         process = processes.ManagedProcess(name, command, self.directory)
         try:
@@ -268,12 +268,12 @@
         self.ready_daemons.add(name)
 
     def kill_daemon(self, name: str) -> None:
-        """End a daemon at once, as a crash of its VM would."""
+        """Kill a daemon, as a crash of its VM would."""
         self.ready_daemons.discard(name)
         self.processes.pop(name).kill()
 
     def stop_daemon(self, name: str, timeout_s: float = 60.0) -> int:
-        """End a daemon gracefully and return its exit status."""
+        """Stop a daemon gracefully and return its exit status."""
         self.ready_daemons.discard(name)
         return self.processes.pop(name).stop(timeout_s)
 
--- a/standins/events.py
+++ b/standins/events.py
@@ -1,4 +1,4 @@
-"""Record of a stand-in, and the events that occur thousands of times a second."""
+"""Record of a stand-in, and types for events that occur thousands of times a second."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 class Use(
     msgspec.Struct, frozen=True, gc=False, tag_field="kind", tag="use", kw_only=True
 ):
-    """The real use of a worker's tasks went above its capacity, or below again."""
+    """The usage of a worker's tasks exceeded its capacity, or no longer does."""
 
     at: float
     worker: str
@@ -59,7 +59,7 @@
 
 
 class Record:
-    """Keep events with monotonic times, which all processes of a host share."""
+    """Events with monotonic times, which the processes of a host have in common."""
 
     def __init__(self, limit: int = MAX_RECORDED_EVENTS) -> None:
         self._events: collections.deque[object] = collections.deque(maxlen=limit)
@@ -78,7 +78,7 @@
     def dump(self, after: int = 0) -> bytes:
         """Return JSON with the events from number `after` on and the next number.
 
-        `dropped` counts events that no longer fitted; then the record is incomplete.
+        `dropped` counts events removed beyond the limit; the record is then incomplete.
         """
         dropped = self._added - len(self._events)
         skip = max(0, after - dropped)
@@ -93,6 +93,6 @@
         )
 
     def clear(self) -> None:
-        """Forget all events."""
+        """Remove all events."""
         self._events.clear()
         self._added = 0
--- a/standins/executions.py
+++ b/standins/executions.py
@@ -23,12 +23,12 @@
 
     @property
     def ended(self) -> bool:
-        """Return whether an end was recorded."""
+        """Return whether the end was recorded."""
         return self.state != ""
 
 
 class Attempts:
-    """Pair starts with ends, from events in the order of time."""
+    """Pairs starts with ends, from events in order of time."""
 
     def __init__(self) -> None:
         self.started: list[Attempt] = []
@@ -38,7 +38,7 @@
         self._paused_at: dict[str, float] = {}
 
     def add(self, event: dict) -> None:
-        """Take in one event; those of other kinds are passed over."""
+        """Process one event; events of other kinds are ignored."""
         match event["kind"]:
             case "start":
                 self._add_start(event)
@@ -53,7 +53,7 @@
                 self._end_all(worker, self._paused_at.pop(worker, event["at"]))
 
     def end_paused(self) -> None:
-        """End the tasks of workers that never resumed: none ran after its pause."""
+        """End the tasks of workers that never resumed: none ran after the pause."""
         for worker, at in self._paused_at.items():
             self._end_all(worker, at)
 
@@ -83,7 +83,7 @@
 
 
 class Change(NamedTuple):
-    """A start (`sign` 1) or an end (-1) of an attempt, or a time to look at (0)."""
+    """A start (`sign` 1) or an end (-1) of an attempt, or a time to check (0)."""
 
     at: float
     sign: int
@@ -91,7 +91,7 @@
 
 
 def list_changes(attempts: Iterable[Attempt]) -> list[Change]:
-    """Return starts and ends by time; at equal times ends come first."""
+    """Return starts and ends in order of time; at equal times ends come first."""
     changes = []
     for attempt in attempts:
         if attempt.until > attempt.start.at:
@@ -103,7 +103,7 @@
 
 
 def group_by(attempts: Iterable[Attempt], name: str) -> dict[str, list[Attempt]]:
-    """Return attempts by a field of their start."""
+    """Group attempts by a field of their start."""
     groups: dict[str, list[Attempt]] = collections.defaultdict(list)
     for attempt in attempts:
         groups[getattr(attempt.start, name)].append(attempt)
--- a/standins/facts.py
+++ b/standins/facts.py
@@ -1,4 +1,4 @@
-"""What operators and callers of a run know, for the judge."""
+"""Facts that operators and callers know about a run, for the checker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneOutage:
-    """State when operators took a zone out, and when it came back."""
+    """Time for which operators took a zone out of service."""
 
     availability_zone: str
     out_at: float
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ceiling:
-    """State a team's ceiling from a time on."""
+    """Ceiling of a team from a time on."""
 
     team: str
     amount: resources.Resources
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """State what a caller received as a complete answer, and what was right."""
+    """Answer that a caller received as complete, and the correct one."""
 
     request: str
     body: bytes
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyUse:
-    """State that work was accepted with a key."""
+    """Time at which work was accepted with a key."""
 
     key: str
     accepted_at: float
@@ -45,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Known:
-    """What operators and callers know in addition to the records.
+    """Facts in addition to the records.
 
-    `task_outcomes` maps task IDs to the final state that callers were given,
-    `requests_not_run` holds the request IDs that were refused as not run.
+    `task_outcomes` maps task IDs to the final state that callers received,
+    `requests_not_run` holds the IDs of requests that were refused as not run.
     """
 
     zone_outages: tuple[ZoneOutage, ...] = ()
--- a/standins/host.py
+++ b/standins/host.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in service with its faults until the process is signalled."""
+"""Runs one stand-in service with its faults until the process gets a signal."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         [events.Record], Callable[[service.Request], service.Response]
     ],
 ) -> None:
-    """Serve on `port`; the control interface is there and on `control_port`."""
+    """Serve on `port`, and the control interface on both ports."""
     record = events.Record()
     served = injection.FaultyService(
         address,
--- a/standins/injection.py
+++ b/standins/injection.py
@@ -16,9 +16,10 @@
 
     `down` refuses connections, `delay_ms` waits before the operation takes effect and
     `answer_delay_ms` after it, `error_fraction` answers 503 without an effect,
-    `lose_answers` drops that many answers after the effect, `blocked` hangs up on the
-    clients with these `X-Client` names before the effect. `lose_writes` maps the prefix
-    of a row key to the number of answers to drop after writes of such rows.
+    `lose_answers` drops that many answers after the effect, `blocked` closes the
+    connections of clients with these `X-Client` names before the effect. `lose_writes`
+    maps the prefix of a row key to the number of answers to drop after writes of such
+    rows.
     """
 
     down: bool = False
@@ -34,7 +35,7 @@
     """Faults of the tables, the objects and the VM list.
 
     `calls_per_second` limits the calls whose path begins with each key, such as
-    `{"/v1/transactions": 400}`; calls beyond it wait their turn.
+    `{"/v1/transactions": 400}`; calls above the limit are delayed.
     """
 
     calls_per_second: dict[str, float] = {}
@@ -45,7 +46,7 @@
 
     The control interface stays reachable on the control port while the service is
     `down`. Without a control port it shares the service's port, and `down` then
-    hangs up on each call instead of refusing the connection.
+    closes the connection of each call instead of refusing it.
     """
 
     def __init__(
@@ -70,13 +71,13 @@
         )
 
     def open(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._service.open()
         if self._control is not None:
             self._control.open()
 
     def close(self) -> None:
-        """Stop to listen and close all connections."""
+        """Stop listening and close all connections."""
         self._service.close()
         if self._control is not None:
             self._control.close()
--- a/standins/lease_workers.py
+++ b/standins/lease_workers.py
@@ -1,4 +1,4 @@
-"""Workers under leases in memory, which note each promise that an order breaks."""
+"""In-memory workers with leases, which record each order that breaks an invariant."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Hold one run on a worker; times are monotonic seconds."""
+    """One run on a worker; times are monotonic seconds."""
 
     task: str
     number: int
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Incarnation:
-    """Hold one life of a worker."""
+    """State of a worker since its latest start; a restart begins a new incarnation."""
 
     entry: ports.WorkerEntry
     number: int
@@ -36,19 +36,19 @@
     ended: list[ports.EndedTask] = dataclasses.field(default_factory=list)
     highest_run: dict[str, int] = dataclasses.field(default_factory=dict)
     end_count: int = 0
-    expired_end: int = 0  # the last end before the lease was over
+    expired_end: int = 0  # number of the last end before the lease expired
 
     def clock_ms(self) -> int:
-        """Return the worker's own clock."""
+        """Return the time of the worker's clock."""
         return round((time.monotonic() - self.started_at) * 1000) + 1
 
 
 class LeaseWorkers:
     """Run tasks for fixed times; implements `coordinator.ports.Workers`.
 
-    `violations` lists broken promises. Workers in `silent` answer nothing; `lose` is
-    how many of the next starts are carried out without an answer, `hold_back` how many
-    are only carried out by `carry_out_late`.
+    `violations` lists broken invariants. Workers in `silent` send no replies;
+    `lose_answers` is how many of the next starts are executed without a reply,
+    `delay_starts` how many are delayed until `apply_delayed` is called.
     """
 
     def __init__(self, run_s: float = 0.02) -> None:
@@ -59,20 +59,20 @@
         self.lose_answers = 0
         self.delay_starts = 0
         self.violations: list[str] = []
-        self.done: dict[str, int] = {}  # task -> runs that ended well
-        self.acknowledged: set[str] = set()
+        self.done: dict[str, int] = {}  # successful runs by task
+        self.acknowledged: set[str] = set()  # tasks whose success was acknowledged
         self.starts = 0
         self.failing: set[str] = set()
         self._delayed: list[tuple[ports.WorkerEntry, ports.Start]] = []
 
     def add(self, entry: ports.WorkerEntry) -> None:
-        """Begin a life of a worker; an earlier one of the same ID ends."""
+        """Add a worker, or restart the one of the same ID as a new incarnation."""
         self.incarnations[entry.id] = Incarnation(entry, entry.incarnation)
 
     def start(
         self, worker: ports.WorkerEntry, order: ports.Start
     ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
-        """Start a run; a repeat of the same run changes nothing."""
+        """Start a run; idempotent for the same run."""
         gevent.sleep(0)
         if worker.id in self.silent:
             return errors.Ambiguous(reason="no answer")
@@ -87,7 +87,7 @@
         return answer
 
     def apply_delayed(self) -> None:
-        """Carry out the starts that were held back."""
+        """Execute the delayed starts."""
         delayed, self._delayed = self._delayed, []
         for worker, order in delayed:
             self._start(worker, order)
@@ -125,9 +125,9 @@
         for run in incarnation.runs.values():
             used = used + run.demand
         if not used.fits(incarnation.entry.capacity):
-            self.violations.append(f"{incarnation.entry.id} is over its capacity")
+            self.violations.append(f"{incarnation.entry.id} exceeds its capacity")
         if order.task in self.acknowledged:
-            self.violations.append(f"{order.task} started after its noted end")
+            self.violations.append(f"{order.task} started after its acknowledged end")
         for other in self.incarnations.values():
             self._advance(other)
             if order.task in other.runs:
@@ -142,7 +142,7 @@
     def stop(
         self, worker: ports.WorkerEntry, task: str, run: int, epoch: int
     ) -> ports.OrderDone | ports.OrderRefused | errors.Failure:
-        """Stop a run, or forbid it if it has not started."""
+        """Stop a run, or refuse to start it if it has not started."""
         gevent.sleep(0)
         if worker.id in self.silent:
             return errors.Ambiguous(reason="no answer")
@@ -164,7 +164,7 @@
         lease_until_ms: int | None,
         wait_ms: int,
     ) -> ports.PollReply | ports.OrderRefused | errors.Failure:
-        """Renew the lease, forget ends up to `acked_end` and return the others."""
+        """Renew the lease, remove ends up to `acked_end` and return the others."""
         gevent.sleep(0)
         deadline = time.monotonic() + wait_ms / 1000
         polled = self.incarnations[worker.id]
@@ -177,7 +177,7 @@
             incarnation.epoch = epoch
             self._renew(incarnation, lease_until_ms or 0)
             for end in incarnation.ended:
-                # An end that nobody had read when the lease was over does not count.
+                # An end that had not been read when the lease expired does not count.
                 counts = incarnation.expired_end < end.number <= acked_end
                 if counts and end.outcome == "done":
                     self.acknowledged.add(end.task)
@@ -201,7 +201,7 @@
         """Do nothing; there are no connections."""
 
     def advance(self) -> None:
-        """End the runs whose time is over."""
+        """End the runs that are complete or whose lease has expired."""
         for incarnation in self.incarnations.values():
             self._advance(incarnation)
 
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -8,7 +8,7 @@
 from standins import processes
 
 ADDRESS = "127.0.0.1"
-# Below the range from which the system takes ports of outgoing connections.
+# Below the ephemeral ports, which the system uses for outgoing connections.
 FIRST_PORT = 12_000
 LAST_PORT = 32_000
 RESERVE_ATTEMPTS = 1000
@@ -21,7 +21,7 @@
 
 
 class PortReservation:
-    """Keep consecutive ports from other clusters on this host until closed.
+    """Reserves consecutive ports against other clusters on this host until closed.
 
     The sockets bind exclusively and allow reuse only afterwards, so that a child that
     sets SO_REUSEADDR can listen while another reservation fails. Without it a cluster
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of tests, the demonstration and benches."""
+"""Child processes of tests, the demonstration and benchmarks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StartFailed(Exception):
-    """Raised when a process ended or did not get ready; holds its output."""
+    """Raised when a process exits or does not become ready; includes its output."""
 
 
 class ManagedProcess:
@@ -59,13 +59,13 @@
             self._child.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         self.signal(signal.SIGKILL)
         self._child.wait()
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """End the process with SIGTERM, or after the time limit with SIGKILL."""
-        self.signal(signal.SIGCONT)  # a stopped process would not see SIGTERM
+        """Stop the process with SIGTERM, or after the time limit with SIGKILL."""
+        self.signal(signal.SIGCONT)  # a stopped process would not handle SIGTERM
         self.signal(signal.SIGTERM)
         try:
             return self._child.wait(timeout=timeout_s)
@@ -83,7 +83,7 @@
     is_ready: Callable[[], bool],
     timeout_s: float = START_TIMEOUT_S,
 ) -> None:
-    """Wait until a process is ready; raises `StartFailed` if it ends before."""
+    """Wait until a process is ready; raise `StartFailed` if it exits before."""
     deadline = time.monotonic() + timeout_s
     while not is_ready():
         if process.status() is not None:
--- a/standins/replies.py
+++ b/standins/replies.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold an answer; `status` 0 means that none arrived after the call was sent."""
+    """An answer; `status` 0 means that the call was sent but no answer arrived."""
 
     status: int
     body: bytes = b""
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -1,4 +1,4 @@
-"""Table store of the coordinator in memory, with outages, lost and late answers."""
+"""In-memory table store of the coordinator, with outages, lost and delayed replies."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class MemoryStore:
-    """Keep rows in versions; implements `coordinator.ports.Store`.
+    """Versioned rows in memory; implements `coordinator.ports.Store`.
 
     `reachable` false refuses all calls, `parts_down` those for some parts.
-    `lose_answers` is how many of the next transactions take effect without an answer,
-    `delay` holds the next ones back until `carry_out_late` is called.
+    `lose_answers` is how many of the next transactions take effect without a reply,
+    `delay_transactions` how many are delayed until `apply_delayed` is called.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -41,20 +41,20 @@
         return ports.StoreTimestamp(self.version, round(self._clock() * 1000))
 
     def put(self, row_id: ports.RowId, value: bytes) -> None:
-        """Write a row as an operator does."""
+        """Write a row without any check, as an operator does."""
         self._apply({row_id: value}, ())
 
     def remove(self, row_id: ports.RowId) -> None:
-        """Remove a row as an operator does."""
+        """Remove a row without any check, as an operator does."""
         self._apply({}, (row_id,))
 
     def drop_history(self) -> None:
-        """Forget what has changed so far."""
+        """Drop the history of changes, so that `follow` cannot continue."""
         self._history.clear()
         self.version += 1
 
     def apply_delayed(self) -> list[ports.Committed | ports.Rejected]:
-        """Carry out the transactions that were held back."""
+        """Apply the delayed transactions."""
         delayed, self._delayed = self._delayed, []
         return [self._transact(*each) for each in delayed]
 
@@ -64,14 +64,14 @@
         puts: dict[ports.RowId, bytes],
         removals: tuple[ports.RowId, ...] = (),
     ) -> ports.Committed | ports.Rejected | errors.Failure:
-        """Apply all changes if every checked row has its version, else none."""
+        """Apply all changes if all rows in `checks` have their versions, else none."""
         gevent.sleep(0)
         self.transactions += 1
         touched = {row_id.part for row_id in (*checks, *puts, *removals)}
         if not self.reachable or touched & self.parts_down:
-            return errors.Unavailable(reason="the store refuses")
+            return errors.Unavailable(reason="the store is unreachable")
         if len(touched) > 1:
-            raise ValueError("a transaction covers one part")
+            raise ValueError("a transaction must not cover several parts")
         if self.delay_transactions:
             self.delay_transactions -= 1
             self._delayed.append((dict(checks), dict(puts), removals))
@@ -88,7 +88,7 @@
         """Return the rows from key `start` up to, not including, `stop`."""
         gevent.sleep(0)
         if not self.reachable or part in self.parts_down:
-            return errors.Unavailable(reason="the store refuses")
+            return errors.Unavailable(reason="the store is unreachable")
         found = sorted(
             (
                 row
@@ -105,18 +105,18 @@
         """Return the parts of a table that hold rows."""
         gevent.sleep(0)
         if not self.reachable:
-            return errors.Unavailable(reason="the store refuses")
+            return errors.Unavailable(reason="the store is unreachable")
         return sorted({row_id.part for row_id in self.rows if row_id.table == table})
 
     def follow(
         self, table: str, after: int, wait_s: float
     ) -> ports.Changes | ports.HistoryGone | errors.Failure:
-        """Return what changed in a table after a version, waiting for a change."""
+        """Return the changes of a table after a version; wait for one if none exist."""
         deadline = time.monotonic() + wait_s
         while True:
             gevent.sleep(0)
             if not self.reachable:
-                return errors.Unavailable(reason="the store refuses")
+                return errors.Unavailable(reason="the store is unreachable")
             oldest = self._history[0].version if self._history else self.version + 1
             if after + 1 < oldest and after < self.version:
                 return ports.HistoryGone(reason="the history was dropped")
--- a/standins/service.py
+++ b/standins/service.py
@@ -109,7 +109,7 @@
         self._server: pywsgi.WSGIServer | None = None
 
     def open(self) -> None:
-        """Listen; a port of 0 is replaced by the port that was bound."""
+        """Start listening; a port of 0 is replaced by the port that was bound."""
         if self._server is not None:
             return
         listener = listen(self._address, self.port)
@@ -127,7 +127,7 @@
             shut_down(sock)
 
     def serve_socket(self, serve: Callable, sock: socket.socket, *rest: object) -> None:
-        """Serve one connection unless there are too many."""
+        """Serve one connection, or answer 503 above the limit of connections."""
         if self._max_connections and len(self._sockets) >= self._max_connections:
             sock.sendall(
                 b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: connections\r\n"
@@ -180,11 +180,11 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """End a connection in both directions."""
+    """Shut down a connection in both directions."""
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it has ended already
+        return  # already closed
 
 
 def _blocks(body: bytes, size: int = 1 << 15) -> list[bytes]:
@@ -210,7 +210,7 @@
         for name, value in environ.items()
         if name.startswith("HTTP_")
     }
-    # PATH_INFO is percent-decoded and read as latin-1 by the WSGI rules.
+    # WSGI servers percent-decode PATH_INFO and decode its bytes as latin-1.
     path = environ["PATH_INFO"].encode("latin-1").decode()
     return Request(
         environ["REQUEST_METHOD"],
@@ -223,9 +223,9 @@
 
 
 def run_until_signal(ready: str) -> None:
-    """Print a line once serving, then wait for SIGTERM, SIGINT or the parent's end.
+    """Print a line, then wait for SIGTERM, SIGINT or the end of the parent process.
 
-    A stand-in whose test process was killed would otherwise stay behind.
+    Without the latter, a stand-in would keep running after its test process is killed.
     """
     parent = os.getppid()
     ended = event.Event()
--- a/standins/tables.py
+++ b/standins/tables.py
@@ -22,7 +22,7 @@
 
 
 class Tables:
-    """Hold all rows in memory; row versions come from one counter, never reused."""
+    """Hold all rows in memory; one counter gives row versions, never reused."""
 
     def __init__(self, record: events.Record) -> None:
         self._rows: dict[str, tables.Row] = {}
--- a/standins/task_runs.py
+++ b/standins/task_runs.py
@@ -1,4 +1,4 @@
-"""Tasks of one worker stand-in: plans, timers, checkpoints and ends."""
+"""Tasks of one worker stand-in: plans, timers, checkpoints and results."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from toucanspring import resources, wire
 from toucanspring.adapters import vms
 
-# Least time between two reports of ends. The first end after a quiet time is reported
-# at once; the design allows 20 ms from the end of a task to its report.
+# Minimum time between reports of ends; the first end after a longer time is reported at
+# once. The design allows 20 ms from the end of a task to its report.
 FINISH_BATCH_S = 0.015
 CLOCK_STEP_S = 0.004
 MIN_CLOCK_STEP_S = 0.001
@@ -26,9 +26,9 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Payload of a task, in JSON: how it behaves; `run_ms` null runs until stopped.
+    """Payload of a task, in JSON; with `run_ms` null the task runs until stopped.
 
-    Without `usage` none is reported, so that the scheduler learns no size.
+    Without `usage` no usage is reported, so that the scheduler cannot estimate sizes.
     """
 
     run_ms: float | None = 10.0
@@ -40,7 +40,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Checkpoint of a task: the part of its run time that is done."""
+    """Checkpoint of a task: the run time that is done."""
 
     done_ms: float
 
@@ -69,7 +69,7 @@
 
 
 class RunningAttempt:
-    """Track one running attempt; its work advances at `rate` per unit of time."""
+    """A running attempt; throttling reduces its speed to `rate`, at most 1.0."""
 
     __slots__ = (
         "start",
@@ -99,7 +99,7 @@
         self.stopping = False
 
     def advance(self, now: float) -> None:
-        """Count the work done since the last change."""
+        """Add the work done since the last change."""
         worked_ms = (now - self.changed_at) * 1000 * self.rate
         self.done_ms += worked_ms
         if self.remaining_ms is not None:
@@ -107,14 +107,14 @@
         self.changed_at = now
 
     def usage(self) -> resources.Resources:
-        """Return what the task uses at present; throttling limits processors only."""
+        """Return the current usage of the task; throttling limits CPUs only."""
         full = self.plan.usage or resources.ZERO
         return resources.Resources(
             int(full.cpus * self.rate), full.memory, full.accelerators
         )
 
     def end_time(self) -> float | None:
-        """Return when the work is complete at the present rate, if ever."""
+        """Return when the work is complete at the current rate; `None` if never."""
         if self.remaining_ms is None or self.rate <= 0:
             return None
         return self.changed_at + self.remaining_ms / 1000 / self.rate
@@ -124,7 +124,7 @@
 
 
 class TaskHost(abc.ABC):
-    """Run tasks by timers; `worker_reports` adds the streams, `worker` the lease."""
+    """Runs tasks by timers; `worker_reports` adds the reports, `worker` the lease."""
 
     def __init__(self, listed: vms.Vm, clock: Clock, record: events.Record) -> None:
         self.listed = listed
@@ -135,7 +135,7 @@
         self._finished: dict[str, tuple[int, wire.FinishedTask]] = {}
         self._unreported: list[tuple[int, wire.FinishedTask]] = []
         self._used = resources.ZERO
-        self._in_use = resources.ZERO  # what the tasks really use
+        self._in_use = resources.ZERO  # actual usage of the tasks
         self._is_over = False
         self._flush_timer = False
         self._flushed_at = 0.0
@@ -339,7 +339,7 @@
         if due > now:
             self._clock.at(due, self._flush)
         else:
-            # After the other ends of this round, which go into the same report.
+            # Runs after the other callbacks that are due; one report covers all ends.
             gevent.spawn(self._flush)
 
     def _flush(self) -> None:
@@ -350,7 +350,7 @@
 
     @abc.abstractmethod
     def _report(self, usage: dict[str, resources.Resources]) -> None:
-        """Send what has finished and the usage of running tasks."""
+        """Send the finished tasks and the usage of running ones."""
 
     def _tick(self, now: float) -> int:
         return int(now * 1000) + self._tick_offset_ms
--- a/standins/violations.py
+++ b/standins/violations.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class IncompleteRecord(Violation):
-    """A stand-in dropped events, so the check would prove nothing."""
+    """A stand-in dropped events, so the records may miss other violations."""
 
     record: str
     dropped: int
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OverCapacity(Violation):
-    """A worker or an executor ran more than it has room for."""
+    """A worker or an executor ran more than its capacity."""
 
     place: str
     used: tuple[int, ...]
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overused(Violation):
-    """The tasks of a worker really used more than it has for long."""
+    """The actual usage of a worker's tasks exceeded its capacity for too long."""
 
     place: str
     used: tuple[int, ...]
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OverCeiling(Violation):
-    """A team had more running than its ceiling."""
+    """The running tasks of a team exceeded its ceiling."""
 
     team: str
     used: tuple[int, ...]
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PartialGang(Violation):
-    """Some members of a gang ran for long while others did not."""
+    """Only some members of a gang ran, for longer than allowed."""
 
     job: str
     running: int
@@ -111,14 +111,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RanAfterNotRun(Violation):
-    """Work ran although its caller was told that it did not."""
+    """Work ran although its caller received the outcome that it had not."""
 
     work: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FalseOutcome(Violation):
-    """A task was reported as done or failed, but no worker ended it so."""
+    """A task was reported as done or failed, but no worker recorded that."""
 
     task: str
     state: str
@@ -133,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WrongAnswer(Violation):
-    """A caller got an answer that is cut, or that belongs to another request."""
+    """A caller got a truncated answer, or that of another request."""
 
     request: str
     length: int
@@ -148,5 +148,5 @@
     seconds_after: float
 
 
-# Work that ran more than once.
+# Violations in which work ran more than once.
 DUPLICATE_RUNS = (TwoPlaces, StartedAgain, RequestRanAgain)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""One worker stand-in: life cycle, faults, and the rules of its messages."""
+"""One worker stand-in: life cycle, faults and message handling."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     `die` drops all tasks and connections; the worker returns with a new incarnation
     after `return_after_ms`, or on a later `revive`. `pause_ms` freezes it, its tasks
     included. `fail_all` fails each new task, `cut` closes the streams once.
-    `blocked_owners` and `blocked_addresses` (`address` or `address:port`) hold back
-    all traffic with these owners; it is delivered late when they are unblocked.
+    `blocked_owners` and `blocked_addresses` (`address` or `address:port`) block
+    all traffic with these owners, which is delivered once they are unblocked.
     """
 
     workers: list[str] = []
@@ -39,7 +39,7 @@
 
 
 class Worker(worker_reports.ReportingHost):
-    """Run tasks by timers under a lease, and enforce epoch, tick age and capacity."""
+    """Runs tasks by timers under a lease, and enforces epoch, tick age and capacity."""
 
     def __init__(
         self,
@@ -61,10 +61,11 @@
     # Life cycle
 
     def revive(self) -> None:
-        """Start with a new incarnation and no memory of earlier work."""
+        """Start with a new incarnation and without any earlier state."""
         if self._server is not None:
             return
-        # Clocks of different boots are not comparable; offsets make that visible.
+        # Ticks of different incarnations are not comparable; random offsets expose code
+        # that compares them.
         self._tick_offset_ms = self._rng.randrange(1 << 32)
         self._incarnation = self._rng.randrange(1, 1 << 48)
         self._record.add(
@@ -163,7 +164,7 @@
         self._wake_links()
 
     def is_blocked(self, link: worker_link.Link) -> bool:
-        """Return whether traffic on a link waits at present."""
+        """Return whether traffic on a link is blocked."""
         return (
             self._paused_at is not None
             or link.owner in self._blocked_owners
@@ -184,7 +185,7 @@
     # Messages
 
     def handle(self, link: worker_link.Link, message: object) -> bool:
-        """Carry out one message; `False` ends the connection."""
+        """Handle one message; `False` ends the connection."""
         if isinstance(message, wire.Attach):
             return self._attach(link, message)
         if link.partition < 0 or not hasattr(message, "epoch"):
@@ -213,7 +214,7 @@
         return True
 
     def _forget(self, message: wire.Acknowledge | wire.Release) -> None:
-        """Forget finished tasks, or the lease of an owner that needs it no more."""
+        """Remove acknowledged tasks, or end a lease that the owner no longer needs."""
         if isinstance(message, wire.Acknowledge):
             for task_id in message.task_ids:
                 self._finished.pop(task_id, None)
@@ -234,7 +235,7 @@
             link.post(wire.Fenced(highest))
             return True
         if message.partition != self._partition and now < self._lease_until:
-            # A worker serves one partition at a time, until its lease has expired.
+            # A worker serves one partition at a time, until the lease expires.
             return False
         self._epochs[message.partition] = message.epoch
         self._partition = message.partition
--- a/standins/worker_link.py
+++ b/standins/worker_link.py
@@ -14,7 +14,7 @@
 
 
 class Host(Protocol):
-    """Handle the messages of connections, and hold them back on request."""
+    """The worker of a connection, which handles messages and may block traffic."""
 
     blocks_changed: event.Event
     links: set[Link]
@@ -23,11 +23,11 @@
         """Handle one message; return whether the connection may go on."""
 
     def is_blocked(self, link: Link) -> bool:
-        """Return whether the traffic of a connection is held back."""
+        """Return whether the traffic of a connection is blocked."""
 
 
 class Link:
-    """Own one connection: a reader, and a writer that drains an outbox."""
+    """One connection: a reader, and a writer that sends queued messages."""
 
     def __init__(self, worker: Host, connected: stream.Stream, peer: str) -> None:
         self.worker = worker
@@ -59,7 +59,7 @@
             self.stream.close()
 
     def post(self, message: object) -> None:
-        """Queue a message; a receiver that stays far behind is disconnected."""
+        """Queue a message, or disconnect a receiver with too many unsent messages."""
         if len(self._outbox) >= MAX_OUTBOX_MESSAGES:
             self.stream.close()
             return
@@ -67,7 +67,7 @@
         self._filled.set()
 
     def close_when_sent(self) -> None:
-        """Let the writer end after the queued messages."""
+        """Close the connection once the queued messages have been sent."""
         self.post(None)
 
     def _write(self) -> None:
--- a/standins/worker_reports.py
+++ b/standins/worker_reports.py
@@ -1,4 +1,4 @@
-"""Reports of a worker stand-in: usage, ends, and what an owner learns at attach."""
+"""Reports of a worker stand-in: usage, finished tasks, and its state at attach."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from toucanspring.adapters import vms
 
 REPORT_INTERVAL_S = 4.0
-SKIPPED_INTERVAL_FRACTION = 0.75  # of the interval; without tasks, 7 s between reports
-USAGE_REFRESH_S = 60.0  # unchanged usage is repeated this rarely
-USAGE_LAG_S = 1.0
+# Wait after a skipped report, of the interval; without tasks, reports are 7 s apart.
+SKIPPED_INTERVAL_FRACTION = 0.75
+USAGE_REFRESH_S = 60.0  # interval for repeating unchanged usage
+USAGE_LAG_S = 1.0  # run time of a task before its usage is reported
 
 
 class ReportingHost(task_runs.TaskHost):
-    """Report to the owner of the worker's partition; `worker.Worker` adds the lease."""
+    """Reports to the owner of the partition; `worker.Worker` adds the lease."""
 
     def __init__(
         self, listed: vms.Vm, clock: task_runs.Clock, record: events.Record
@@ -24,7 +25,7 @@
         self.links: set[worker_link.Link] = set()
         self._partition = -1
         self._report_series = 0
-        self._skipped_last = False  # the last turn of this series sent nothing
+        self._skipped_last = False  # the latest periodic report was skipped
         self._reported_usage: dict[tuple[str, int], resources.Resources] = {}
         self._usage_refreshed_at = 0.0
 
@@ -45,8 +46,8 @@
             for partition, task in self._finished.values()
             if partition == link.partition
         ]
-        # Finished tasks beyond the frame limit are shown as running and reported as
-        # finished right after; omitted, they would be taken for tasks never started.
+        # Finished tasks beyond the frame limit are listed as running and reported as
+        # finished right after; the owner would take an omitted task as never started.
         size = task_runs.FINISHED_OVERHEAD_BYTES * len(running)
         shown = []
         later = []
@@ -61,7 +62,7 @@
                     wire.RunningTask(task.task_id, task.attempt, resources.ZERO, "")
                 )
         self._unreported = []
-        self._reported_usage = {}  # a new owner knows none
+        self._reported_usage = {}  # a new owner has received none
         self._skipped_last = False
         link.post(
             wire.Attached(
@@ -80,12 +81,12 @@
 
     def _report_periodically(self, series: int) -> None:
         if series != self._report_series or self._paused_at is not None:
-            return  # `resume` and `revive` begin a new series
+            return  # `resume` and `revive` start a new series
         now = time.monotonic()
         if now - self._usage_refreshed_at >= USAGE_REFRESH_S:
             self._usage_refreshed_at = now
             self._reported_usage = {}
-        # By attempt: an owner knows nothing of one that has just started.
+        # Keyed by attempt, because the owner has no usage of a new attempt yet.
         usage = {
             (task_id, running.start.attempt): running.usage()
             for task_id, running in self._running.items()
@@ -97,8 +98,8 @@
             for key, amount in usage.items()
             if reported.get(key) != amount
         }
-        # Only one turn is left out, so that the lease is renewed in time. With tasks
-        # none is: they should outlive a broken link for as long as possible.
+        # At most one report in a row is skipped, so that the lease is renewed in time.
+        # With tasks none is, so that they survive a broken link as long as possible.
         self._skipped_last = not (
             self._running or self._unreported or self._skipped_last
         )
@@ -129,7 +130,7 @@
         usage: dict[str, resources.Resources],
         now: float,
     ) -> list[wire.Report]:
-        """Return reports below the frame limit, none if there is nothing finished."""
+        """Return reports below the frame limit; none if there are no finished tasks."""
         reports = []
         batch: list[wire.FinishedTask] = []
         size = task_runs.FINISHED_OVERHEAD_BYTES * len(usage)
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -21,7 +21,7 @@
 
 
 class Workers:
-    """Host the workers and their common control interface."""
+    """The workers of a process and their common control interface."""
 
     def __init__(self, workers: list[worker.Worker], record: events.Record) -> None:
         self._workers = {host.listed.id: host for host in workers}
--- a/test/test_checker.py
+++ b/test/test_checker.py
@@ -10,7 +10,7 @@
 
 
 class Records:
-    """Builds the records of stand-ins event by event."""
+    """Builds the record of a stand-in event by event."""
 
     def __init__(self):
         self.events = []
@@ -65,8 +65,8 @@
         return checker.check({"all": record}, facts.Known(**known))
 
 
-class JudgeTest(testtools.TestCase):
-    """Each test guards against a violation that the judge would miss or invent."""
+class CheckerTest(testtools.TestCase):
+    """Each test guards against a violation that is missed or reported falsely."""
 
     def setUp(self):
         super().setUp()
@@ -82,7 +82,7 @@
         for index in range(4):
             records.start(1, "w1", f"j/{index}")
             records.end(2, "w1", f"j/{index}")
-        records.start(2, "w1", "k/0")  # takes the room freed at the same moment
+        records.start(2, "w1", "k/0")  # uses the capacity freed at the same time
         records.end(3, "w1", "k/0", state="checkpointed")
         records.start(3, "w2", "k/0", attempt=1, resumed=True)
         records.end(4, "w2", "k/0", attempt=1)
@@ -108,8 +108,8 @@
                 self.records.start(1 + index, "w1", f"j/{index}", demand=demand)
             self.expect(violations.OverCapacity)
 
-    def test_real_use_beyond_the_capacity_for_long(self):
-        # Guards against tasks whose declared sizes fit while the VM is overloaded.
+    def test_actual_usage_above_the_capacity_for_too_long(self):
+        # Guards against tasks whose declared demand fits while the VM is overloaded.
         def use(at, worker, is_over):
             used = (5000, 100, 0)
             self.records.add(at, "use", worker=worker, is_over=is_over, used=used)
@@ -142,7 +142,7 @@
         self.records.start(2, "w1", "j/0")
         self.expect(violations.TwoPlaces)
 
-    def test_no_overlap_with_a_dead_or_frozen_worker(self):
+    def test_no_overlap_with_a_dead_or_paused_worker(self):
         self.records.start(1, "w1", "j/0")
         self.records.add(2, "died", worker="w1", incarnation=1)
         self.records.start(3, "w2", "j/0", attempt=1)
@@ -175,7 +175,7 @@
         self.expect(violations.RequestRanAgain)
 
     def test_start_in_a_zone_taken_out(self):
-        for at in (12.9, 40.0):  # in the time limit, and after its return
+        for at in (12.9, 40.0):  # within the time limit, and after its return
             self.records.start(at, "w1", f"a{at}/0")
         outages = (facts.ZoneOutage(ZONE, 10.0, 39.0),)
         self.assertEqual([], self.records.check(zone_outages=outages))
@@ -220,7 +220,7 @@
         self.records.start(1, "w1", "j/0")
         self.expect(violations.RanAfterNotRun, task_outcomes={"j/0": "not_run"})
 
-    def test_outcomes_that_did_not_happen(self):
+    def test_outcomes_that_no_worker_recorded(self):
         self.expect(violations.FalseOutcome, task_outcomes={"j/0": "done"})
         self.records.start(1, "w1", "j/0")
         self.records.end(2, "w1", "j/0", state="done")
@@ -229,7 +229,7 @@
     def test_accepted_work_without_outcome(self):
         self.expect(violations.LostWork, accepted_tasks=frozenset({"j/0"}))
 
-    def test_cut_or_foreign_answers(self):
+    def test_truncated_answers_and_answers_of_other_requests(self):
         for body in (b"righ", b"wrong"):
             answer = facts.Answered("r1", body, b"right")
             self.expect(violations.WrongAnswer, answers=(answer,))
--- a/test/test_cluster.py
+++ b/test/test_cluster.py
@@ -44,7 +44,7 @@
         self.assertFalse(cell.directory.exists())
 
     def check_objects(self, cell, client):
-        # Guards against a key that the URL path would change.
+        # Guards against object keys that are changed by their encoding in the URL path.
         key = "snapshots/3/a b?c#ü%2F"
         self.assertIsNone(client.put(key, b"x" * 3_000_000))
         self.assertEqual(3_000_000, len(client.get(key)))
@@ -81,7 +81,7 @@
         self.assertEqual({}, cell.processes)
 
     def test_reserved_ports_can_be_listened_on_but_not_reserved_again(self):
-        # Guards against another cluster that takes the ports of a restarting daemon.
+        # Guards against another cluster taking the ports of a restarting daemon.
         with ports.PortReservation(3) as reserved:
             self.patch(ports, "FIRST_PORT", reserved.first)
             self.patch(ports, "LAST_PORT", reserved.first + 4)
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's proxy and the promises that it checks."""
+"""The soak's proxy, its in-memory workers and the invariants that it checks."""
 
 import time
 
@@ -99,13 +99,13 @@
         [end] = self.workers.poll(self.entry, 1, 0, None, 0).ended
         return end.number
 
-    def test_an_end_that_is_acknowledged_is_noted(self):
+    def test_an_end_acknowledged_under_the_lease_counts(self):
         number = self.run_once()
         self.workers.poll(self.entry, 1, number, None, 0)
         self.assertEqual({TASK}, self.workers.acknowledged)
 
-    def test_an_end_before_the_lease_was_over_is_not_noted_later(self):
-        # Found by the soak, seed 303: a worker that was silent beyond its lease.
+    def test_an_end_acknowledged_after_the_lease_does_not_count(self):
+        # Found by the soak, seed 303: the worker was silent beyond its lease.
         number = self.run_once()
         self.workers.incarnations["w1"].lease_until_ms = 1
         self.workers.poll(self.entry, 1, number, None, 0)
@@ -120,7 +120,7 @@
 
 
 class InvariantCheckerTest(testtools.TestCase):
-    """Each check shows what it guards against."""
+    """Each test guards against a violation that the checker would miss."""
 
     def setUp(self):
         super().setUp()
@@ -132,10 +132,15 @@
         )
         self.submitted = self.checker.add_job(self.spec)
 
-    def test_a_start_that_nobody_asked_for(self):
+    def test_a_start_of_a_job_that_was_not_submitted(self):
         self.assertEqual("", self.checker.check_start(TASK, "p", "a"))
-        self.assertIn("nobody", self.checker.check_start("f" * 16 + ".0.0.0", "p", "a"))
-        self.assertIn("nobody", self.checker.check_start(TASK, "other", "a"))
+        self.assertIn(
+            "no such job was submitted",
+            self.checker.check_start("f" * 16 + ".0.0.0", "p", "a"),
+        )
+        self.assertIn(
+            "no such job was submitted", self.checker.check_start(TASK, "other", "a")
+        )
 
     def test_a_start_after_a_refusal_and_a_refusal_after_a_start(self):
         self.submitted.acceptance = invariants.Acceptance.REFUSED
@@ -143,7 +148,7 @@
         self.checker.record_refusal(self.submitted)
         self.assertIn("had started", self.checker.violations[0])
 
-    def test_a_start_long_after_a_cancellation_or_in_a_zone_that_is_out(self):
+    def test_a_start_long_after_a_cancellation_or_in_a_zone_out_of_service(self):
         long_ago = time.monotonic() - 60
         self.checker.zones_out_since["a"] = long_ago
         self.assertIn("zone", self.checker.check_start(TASK, "p", "a"))
@@ -154,7 +159,7 @@
         for shown, text in (
             ("completed", "without"),
             ("failed", "without cause"),
-            ("cancelled", "nobody"),
+            ("cancelled", "without a request"),
         ):
             self.checker.record_state(self.checker.add_job(self.spec), shown)
             self.assertIn(text, self.checker.violations[-1])
--- a/test/test_worker_faults.py
+++ b/test/test_worker_faults.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass
 class OwnedWorker:
-    """What an owner knows of one worker."""
+    """A worker as its owner knows it."""
 
     port: int
     link: workers.StreamWorkerLink | None = None
@@ -29,7 +29,7 @@
 
 
 class Owner:
-    """Runs tasks on workers by the rules of the design, or restarts them too early."""
+    """Runs tasks on workers, and restarts them after their leases or too early."""
 
     def __init__(self, ports, waits_for_leases):
         self.owned_workers = [OwnedWorker(port) for port in ports]
@@ -105,7 +105,7 @@
     def finish(self, owned, finished):
         for task in finished:
             if owned.tasks.get(task.task_id) != task.attempt:
-                continue  # it was started elsewhere after the lease had expired
+                continue  # started on another worker after the lease had expired
             del owned.tasks[task.task_id]
             if task.state == "done":
                 self.done.add(task.task_id)
@@ -118,7 +118,7 @@
 
 
 class WorkerFaultsTest(testtools.TestCase):
-    """Guards against records of the stand-in that hide or invent violations."""
+    """Guards against records that hide violations or cause false ones."""
 
     def setUp(self):
         super().setUp()
@@ -169,12 +169,12 @@
         record = msgspec.json.decode(self.record.dump())
         return owner, checker.check({"workers": record})
 
-    def test_an_owner_that_waits_for_leases_breaks_nothing(self):
+    def test_an_owner_that_waits_for_leases_causes_no_violations(self):
         owner, found = self.run_owner(waits_for_leases=True)
         self.assertEqual([], found)
         self.assertEqual(TASKS, len(owner.done))
 
-    def test_an_owner_that_does_not_wait_is_found_out(self):
+    def test_an_owner_that_does_not_wait_for_leases_is_detected(self):
         _, found = self.run_owner(waits_for_leases=False)
         kinds = {type(violation) for violation in found}
         self.assertEqual({violations.TwoPlaces}, kinds)
--- a/test/test_worker_reports.py
+++ b/test/test_worker_reports.py
@@ -9,7 +9,7 @@
 
 
 class ReportingHost(task_runs.TaskHost):
-    """Notes the tasks in each report of ends; timers run when the test fires them."""
+    """Records the tasks in each report of ends; the test fires the timers."""
 
     def __init__(self):
         listed = vms.Vm(
@@ -39,8 +39,8 @@
 
 class ReportTest(testtools.TestCase):
     def test_the_first_ends_are_reported_at_once_and_the_next_ones_together(self):
-        # Guards against slots that stay empty for the batch time after each task, and
-        # against a message for each of many ends.
+        # Guards against capacity that stays unused for the batch time after each task,
+        # and against a message for each of many ends.
         self.patch(task_runs, "FINISH_BATCH_S", 3600.0)
         host = ReportingHost()
         host._flushed_at = -2 * task_runs.FINISH_BATCH_S
