--- a/bench/moves.py
+++ b/bench/moves.py
@@ -84,7 +84,7 @@
         "wait_p50_s": change.percentile(waits, 0.5),
         "wait_p95_s": change.percentile(waits, 0.95),
         "not_started": len(submitted) - len(first),
-        "violations": len(checker.check(records, facts.Known())),
+        "violations": len(checker.check(records, facts.RunFacts())),
         "events_dropped": records["workers"]["dropped"],
     }
 
--- a/bench/zone.py
+++ b/bench/zone.py
@@ -80,7 +80,7 @@
         event["task"] for event in ends if event["state"] == "done"
     )
     outage = facts.ZoneOutage(zone, out_at, in_at)
-    violations = checker.check(records, facts.Known(zone_outages=(outage,)))
+    violations = checker.check(records, facts.RunFacts(zone_outages=(outage,)))
     window = work_done(ends, out_at, ended, run_ms)
     allowed = CORES * (ended - out_at) - CORES / 3 * (in_at - out_at)
     without = work_done(ends, began, steady, run_ms) / (CORES * (steady - began))
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -198,6 +198,6 @@
     """Run one deployment from start to end and judge it."""
     with start(deployment, say) as run:
         deployment.run(run)
-        known = facts.Known(zone_outages=tuple(run.outages), gang_sizes=run.gangs)
+        known = facts.RunFacts(zone_outages=tuple(run.outages), gang_sizes=run.gangs)
         run.counts.violations = checker.check(run.cluster.records(), known)
         return run.counts
--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -292,7 +292,7 @@
                 return
             gevent.sleep(0.3)
 
-    def known(self) -> facts.Known:
+    def known(self) -> facts.RunFacts:
         """Return what operators and callers know."""
         outcomes: dict[str, str] = {}
         accepted: set[str] = set()
@@ -309,7 +309,7 @@
                     outcomes |= dict.fromkeys(names, state)
         every = (*self.jobs.values(), *self.requests.values())
         open_outages = [facts.ZoneOutage(zone, at) for zone, at in self.out.items()]
-        return facts.Known(
+        return facts.RunFacts(
             zone_outages=(*self.outages, *open_outages),
             ceilings=tuple(self.ceilings),
             gang_sizes=self.gangs,
--- a/scenarios/loads.py
+++ b/scenarios/loads.py
@@ -252,7 +252,7 @@
         self._kind = kind
         self._number = 0
         self.not_run: set[str] = set()
-        self.answers: list[facts.Answered] = []
+        self.answers: list[facts.ReceivedAnswer] = []
         self.answer_bytes = kind.answer_bytes
 
     def start(self, callers: int) -> None:
@@ -347,7 +347,7 @@
     def _check(self, request_id: str, reply: client.Reply) -> None:
         expected = backend_servers.expected_answer(request_id, self.answer_bytes)
         if reply.body != expected or len(reply.body) <= KEPT_ANSWER_BYTES:
-            self.answers.append(facts.Answered(request_id, reply.body, expected))
+            self.answers.append(facts.ReceivedAnswer(request_id, reply.body, expected))
 
     def count(self, state: str) -> int:
         """Return the number of requests in a state."""
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -95,9 +95,9 @@
         return found.address
 
     def _add_worker(self, name: str, zone: str) -> None:
-        own = (ADDRESS, next(self._ports))
+        target = (ADDRESS, next(self._ports))
         entry = types.WorkerEntry(
-            id=name, pool=POOL, address=self._add_proxy(name, own), zone=zone,
+            id=name, pool=POOL, address=self._add_proxy(name, target), zone=zone,
             rack=f"r-{zone}", labels=frozenset({"kind", f"r-{zone}"}),
             capacity=resources.Resources(8000, 16_384, 0), incarnation=_now_ms(),
         )  # fmt: skip
@@ -108,7 +108,7 @@
             return self.checker.check_start(order.task, order.spec, zone)
 
         app = emulator.ExecutorResource(self.workers, name, check).application()
-        self._stack.enter_context(emulator.Listener(own, app))
+        self._stack.enter_context(emulator.Listener(target, app))
         self._register(name)
 
     def _add_process(self, name: str, zone: str) -> None:
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -22,11 +22,11 @@
 # Workers report usage every 4 s, and their data is up to 1 s old; the owner may just
 # have died (3.2 s until the next one attaches), and a checkpoint takes 2 s.
 OVERUSE_S = 12.0
-NOTHING_KNOWN = facts.Known()
+NO_FACTS = facts.RunFacts()
 
 
 def check(
-    records: dict[str, dict], known: facts.Known = NOTHING_KNOWN
+    records: dict[str, dict], run_facts: facts.RunFacts = NO_FACTS
 ) -> list[violations.Violation]:
     """Return all violations in the records, by stand-in name, in order of time."""
     history = History(records)
@@ -36,16 +36,16 @@
         *check_use(history),
         *check_places(history),
         *check_single_starts(history),
-        *check_zones(history, known.zone_outages),
-        *check_ceilings(history, known.ceilings),
+        *check_zones(history, run_facts.zone_outages),
+        *check_ceilings(history, run_facts.ceilings),
         *check_epochs(history),
-        *check_gangs(history, known.gang_sizes),
-        *check_requests(history, known.requests_not_run),
+        *check_gangs(history, run_facts.gang_sizes),
+        *check_requests(history, run_facts.requests_not_run),
         *check_slots(history),
         *check_leaving(history),
-        *check_outcomes(history, known),
-        *check_answers(known.answers),
-        *check_keys(known),
+        *check_outcomes(history, run_facts),
+        *check_answers(run_facts.answers),
+        *check_keys(run_facts),
     ]
     return sorted(found, key=lambda violation: violation.at)
 
@@ -217,17 +217,17 @@
     for event in history.events:
         if event["kind"] not in ("attach", "start"):
             continue
-        place = (event["worker"], event["incarnation"], event["partition"])
-        known = highest.get(place, 0)
-        if event["kind"] == "start" and event["epoch"] < known:
+        key = (event["worker"], event["incarnation"], event["partition"])
+        highest_epoch = highest.get(key, 0)
+        if event["kind"] == "start" and event["epoch"] < highest_epoch:
             yield violations.StaleEpoch(
                 at=event["at"],
                 task=event["task"],
                 worker=event["worker"],
                 epoch=event["epoch"],
-                highest=known,
+                highest=highest_epoch,
             )
-        highest[place] = max(known, event["epoch"])
+        highest[key] = max(highest_epoch, event["epoch"])
 
 
 def check_gangs(
@@ -337,13 +337,13 @@
 
 
 def check_outcomes(
-    history: History, known: facts.Known
+    history: History, run_facts: facts.RunFacts
 ) -> Iterator[
     violations.RanAfterNotRun | violations.FalseOutcome | violations.LostWork
 ]:
     """Invariant 7 for tasks, and that each reported outcome matches the records."""
     by_task = executions.group_by(history.attempts, "task")
-    for task, state in known.task_outcomes.items():
+    for task, state in run_facts.task_outcomes.items():
         attempts = by_task.get(task, [])
         if state == "not_run" and attempts:
             yield violations.RanAfterNotRun(at=attempts[0].start.at, work=task)
@@ -352,12 +352,12 @@
             yield violations.FalseOutcome(task=task, state=state)
         if state == "failed" and ends == {"done"}:
             yield violations.FalseOutcome(task=task, state=state)
-    for task in sorted(known.accepted_tasks - known.task_outcomes.keys()):
+    for task in sorted(run_facts.accepted_tasks - run_facts.task_outcomes.keys()):
         yield violations.LostWork(work=task)
 
 
 def check_answers(
-    answers: tuple[facts.Answered, ...],
+    answers: tuple[facts.ReceivedAnswer, ...],
 ) -> Iterator[violations.WrongAnswer]:
     """Invariant 6: each caller got the complete answer to its own request."""
     for answer in answers:
@@ -369,10 +369,10 @@
             )
 
 
-def check_keys(known: facts.Known) -> Iterator[violations.KeyAccepted]:
+def check_keys(run_facts: facts.RunFacts) -> Iterator[violations.KeyAccepted]:
     """Invariant 3: a withdrawn key stops working within 3 s."""
-    for use in known.key_uses:
-        since = use.accepted_at - known.withdrawn_keys.get(use.key, math.inf)
+    for use in run_facts.key_uses:
+        since = use.accepted_at - run_facts.withdrawn_keys.get(use.key, math.inf)
         if since > IN_FORCE_S:
             yield violations.KeyAccepted(
                 at=use.accepted_at, key=use.key, seconds_after=since
--- a/standins/facts.py
+++ b/standins/facts.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class ReceivedAnswer:
     """Answer that a caller received as complete, and the correct one."""
 
     request: str
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Known:
+class RunFacts:
     """Facts in addition to the records.
 
     `task_outcomes` maps task IDs to the final state that callers received,
@@ -57,6 +57,6 @@
     accepted_tasks: frozenset[str] = frozenset()
     task_outcomes: dict[str, str] = dataclasses.field(default_factory=dict)
     requests_not_run: frozenset[str] = frozenset()
-    answers: tuple[Answered, ...] = ()
+    answers: tuple[ReceivedAnswer, ...] = ()
     key_uses: tuple[KeyUse, ...] = ()
     withdrawn_keys: dict[str, float] = dataclasses.field(default_factory=dict)
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -32,8 +32,8 @@
         self.name = name
         self.command = list(command)
         self.output = directory / f"{name}.log"
-        own = {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
-        environment = {**os.environ, **own, **(variables or {})}
+        overrides = {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
+        environment = {**os.environ, **overrides, **(variables or {})}
         with self.output.open("ab") as sink:
             self._child = subprocess.Popen(
                 self.command,
--- a/standins/task_runs.py
+++ b/standins/task_runs.py
@@ -64,8 +64,8 @@
             while heap and heap[0][0] <= now:
                 _, _, function, args = heapq.heappop(heap)
                 function(*args)
-            pause_s = heap[0][0] - time.monotonic() if heap else CLOCK_STEP_S
-            gevent.sleep(min(CLOCK_STEP_S, max(MIN_CLOCK_STEP_S, pause_s)))
+            wait_s = heap[0][0] - time.monotonic() if heap else CLOCK_STEP_S
+            gevent.sleep(min(CLOCK_STEP_S, max(MIN_CLOCK_STEP_S, wait_s)))
 
 
 class RunningAttempt:
@@ -134,8 +134,8 @@
         self._running: dict[str, RunningAttempt] = {}
         self._finished: dict[str, tuple[int, wire.FinishedTask]] = {}
         self._unreported: list[tuple[int, wire.FinishedTask]] = []
-        self._used = resources.ZERO
-        self._in_use = resources.ZERO  # actual usage of the tasks
+        self._allocated = resources.ZERO
+        self._usage = resources.ZERO  # actual usage of the tasks
         self._is_over = False
         self._flush_timer = False
         self._flushed_at = 0.0
@@ -158,8 +158,8 @@
             if running.remaining_ms is not None:
                 running.remaining_ms = max(0.0, running.remaining_ms - done_ms)
         self._running[task.task_id] = running
-        self._used += task.demand
-        self._change_use(resources.ZERO, running.usage(), now)
+        self._allocated += task.demand
+        self._update_usage(resources.ZERO, running.usage(), now)
         self._record.append(
             events.Start(
                 at=now,
@@ -179,18 +179,16 @@
         )
         self._schedule_end(task.task_id, running)
 
-    def _change_use(
+    def _update_usage(
         self, before: resources.Resources, after: resources.Resources, now: float
     ) -> None:
-        self._in_use += after - before
-        is_over = not self._in_use.fits(self.listed.resources)
+        self._usage += after - before
+        is_over = not self._usage.fits(self.listed.resources)
         if is_over is self._is_over:
             return
         self._is_over = is_over
         self._record.append(
-            events.Use(
-                at=now, worker=self.listed.id, is_over=is_over, used=self._in_use
-            )
+            events.Use(at=now, worker=self.listed.id, is_over=is_over, used=self._usage)
         )
 
     def _plan(self, task: wire.TaskStart) -> Plan:
@@ -203,7 +201,7 @@
         except msgspec.DecodeError as error:
             return Plan(run_ms=0.0, fail=f"payload: {error}")
 
-    def _begin_checkpoint(self, task_id: str, now: float, limit: float) -> None:
+    def _begin_checkpoint(self, task_id: str, now: float, deadline: float) -> None:
         running = self._running[task_id]
         if running.stopping:
             return
@@ -211,7 +209,7 @@
         running.stopping = True
         running.generation += 1
         self._clock.at(
-            min(now + running.plan.checkpoint_ms / 1000, limit),
+            min(now + running.plan.checkpoint_ms / 1000, deadline),
             self._end_checkpoint,
             self._incarnation,
             task_id,
@@ -242,7 +240,7 @@
             running.advance(now)
             before = running.usage()
             running.rate = min(1.0, max(0.0, message.fraction))
-            self._change_use(before, running.usage(), now)
+            self._update_usage(before, running.usage(), now)
             self._schedule_end(message.task_id, running)
 
     def _schedule_end(self, task_id: str, running: RunningAttempt) -> None:
@@ -307,8 +305,8 @@
         ran_until: float | None = None,
     ) -> None:
         del self._running[task_id]
-        self._used -= running.start.demand
-        self._change_use(running.usage(), resources.ZERO, now)
+        self._allocated -= running.start.demand
+        self._update_usage(running.usage(), resources.ZERO, now)
         finished = wire.FinishedTask(
             task_id,
             running.start.attempt,
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -96,7 +96,7 @@
         self._running.clear()
         self._finished.clear()
         self._unreported.clear()
-        self._used = self._in_use = resources.ZERO
+        self._allocated = self._usage = resources.ZERO
         self._is_over = False
         self._epochs.clear()
         self._partition = -1
@@ -270,11 +270,11 @@
         refused = []
         capacity = self.listed.resources
         for task in message.tasks:
-            cause = self._known(task)
+            cause = self._check_duplicate(task)
             if cause == "":
                 accepted.append(task.task_id)
                 continue
-            if cause is None and not (self._used + task.demand).fits(capacity):
+            if cause is None and not (self._allocated + task.demand).fits(capacity):
                 cause = "capacity"
             if cause is not None:
                 refused.append((task.task_id, cause))
@@ -285,7 +285,7 @@
             self._record_refusals(link, refused)
         link.post(wire.Started(message.batch, accepted, refused))
 
-    def _known(self, task: wire.TaskStart) -> str | None:
+    def _check_duplicate(self, task: wire.TaskStart) -> str | None:
         """Return `None` for a new task, "" for a repeated start, or a refusal."""
         running = self._running.get(task.task_id)
         if running is not None:
@@ -340,9 +340,9 @@
                 incarnation=self._incarnation,
                 tasks=len(self._running),
             )
-        stopped_by = self._lease_until + CHECKPOINT_LIMIT_S
+        deadline = self._lease_until + CHECKPOINT_LIMIT_S
         for task_id in list(self._running):
-            self._begin_checkpoint(task_id, now, stopped_by)
+            self._begin_checkpoint(task_id, now, deadline)
 
     def _stop(self, message: wire.Stop) -> None:
         now = time.monotonic()
--- a/standins/worker_reports.py
+++ b/standins/worker_reports.py
@@ -49,15 +49,15 @@
         # Finished tasks beyond the frame limit are listed as running and reported as
         # finished right after; the owner would take an omitted task as never started.
         size = task_runs.FINISHED_OVERHEAD_BYTES * len(running)
-        shown = []
-        later = []
+        included = []
+        deferred = []
         for task in finished:
             size += len(task.answer) + task_runs.FINISHED_OVERHEAD_BYTES
             if size <= task_runs.MAX_REPORT_BYTES:
-                shown.append(task)
+                included.append(task)
             else:
                 size -= len(task.answer)
-                later.append(task)
+                deferred.append(task)
                 running.append(
                     wire.RunningTask(task.task_id, task.attempt, resources.ZERO, "")
                 )
@@ -73,10 +73,10 @@
                 self.listed.rack,
                 self._tick(now),
                 running,
-                shown,
+                included,
             )
         )
-        for report in self._split(later, {}, now):
+        for report in self._split(deferred, {}, now):
             link.post(report)
 
     def _report_periodically(self, series: int) -> None:
@@ -103,12 +103,12 @@
         self._skipped_last = not (
             self._running or self._unreported or self._skipped_last
         )
-        pause_s = REPORT_INTERVAL_S * (
+        wait_s = REPORT_INTERVAL_S * (
             SKIPPED_INTERVAL_FRACTION if self._skipped_last else 1.0
         )
         if not self._skipped_last:
             self._report(changed)
-        self._clock.at(now + pause_s, self._report_periodically, series)
+        self._clock.at(now + wait_s, self._report_periodically, series)
 
     def _report(self, usage: dict[str, resources.Resources]) -> None:
         unreported, self._unreported = self._unreported, []
--- a/test/test_checker.py
+++ b/test/test_checker.py
@@ -62,7 +62,7 @@
 
     def check(self, **known):
         record = {"events": self.events, "dropped": self.dropped}
-        return checker.check({"all": record}, facts.Known(**known))
+        return checker.check({"all": record}, facts.RunFacts(**known))
 
 
 class CheckerTest(testtools.TestCase):
@@ -231,7 +231,7 @@
 
     def test_truncated_answers_and_answers_of_other_requests(self):
         for body in (b"righ", b"wrong"):
-            answer = facts.Answered("r1", body, b"right")
+            answer = facts.ReceivedAnswer("r1", body, b"right")
             self.expect(violations.WrongAnswer, answers=(answer,))
 
     def test_more_requests_than_slots(self):
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -56,7 +56,7 @@
     def test_a_wrong_answer_reaches_the_judge(self):
         load, state = self.send(client.Reply(200, b"cut"))
         self.assertEqual("done", state)
-        known = facts.Known(answers=tuple(load.answers))
+        known = facts.RunFacts(answers=tuple(load.answers))
         (violation,) = checker.check({}, known)
         self.assertIsInstance(violation, violations.WrongAnswer)
 
@@ -88,7 +88,7 @@
 
     def test_late_acceptance_of_a_withdrawn_key_reaches_the_judge(self):
         load, _ = self.send(client.Reply(200, b"x"))
-        known = facts.Known(
+        known = facts.RunFacts(
             key_uses=tuple(load.key_uses), withdrawn_keys={"k1": time.monotonic() - 4}
         )
         (violation,) = checker.check({}, known)
