--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -12,7 +12,7 @@
 import yaml
 
 from scenarios import client, history, loads
-from standins import cluster, facts, judge, ports, processes, violations
+from standins import checker, cluster, facts, ports, processes, violations
 from toucanspring import errors
 from toucanspring.adapters import tables
 from toucanspring.cell import ownership_rows
@@ -292,7 +292,7 @@
                 return
             gevent.sleep(0.3)
 
-    def known(self) -> facts.Known:
+    def known(self) -> facts.RunFacts:
         """Return what operators and callers know."""
         outcomes: dict[str, str] = {}
         accepted: set[str] = set()
@@ -309,7 +309,7 @@
                     outcomes |= dict.fromkeys(names, state)
         every = (*self.jobs.values(), *self.requests.values())
         open_outages = [facts.ZoneOutage(zone, at) for zone, at in self.out.items()]
-        return facts.Known(
+        return facts.RunFacts(
             zone_outages=(*self.outages, *open_outages),
             ceilings=tuple(self.ceilings),
             gang_sizes=self.gangs,
@@ -338,7 +338,7 @@
 
     def judge(self) -> list[violations.Violation]:
         """Check all records."""
-        return judge.check(self.cluster.records(), self.known())
+        return checker.check(self.cluster.records(), self.known())
 
 
 def prepare(name: str) -> str:
--- a/scenarios/disturbances.py
+++ b/scenarios/disturbances.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from scenarios import cell, expectations, language
-from standins import judge
+from standins import checker
 from toucanspring.adapters import vms
 from toucanspring.reporting import event_rows
 
@@ -84,7 +84,7 @@
 
     def _vms(self) -> list[vms.Vm]:
         if not self._listed:
-            self._listed = self._cell.cluster.listed()
+            self._listed = self._cell.cluster.list_vms()
         return self._listed
 
     def _set_workers(self, place: language.Place, **faults: object) -> None:
@@ -129,7 +129,7 @@
     def list_as(self, host: language.Host, listed_as: str) -> None:
         """Change the entry of a VM in the VM list."""
         target = self._host(host)
-        known = self._cell.cluster.listed() if not self._shown else self._shown
+        known = self._cell.cluster.list_vms() if not self._shown else self._shown
         known = [vm for vm in known if vm.id != target.id]
         if listed_as != "gone":
             state = vms.State.LEAVING if listed_as == "leaving" else vms.State.LIVE
@@ -141,7 +141,7 @@
     def expect_no_start_on(self, host: language.Host) -> None:
         """Check that a VM got no work later than 3 s after its entry was changed."""
         target = self._host(host)
-        since = self._listed_at[target.id] + judge.IN_FORCE_S
+        since = self._listed_at[target.id] + checker.IN_FORCE_S
         if host.role == "worker":
             self._cell.history.refresh()
             late = [
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from soak import promises, proxy
+from soak import invariants, proxy
 from standins import lease_workers, ports, processes, rowstore
 from toucanspring import errors, resources
 from toucanspring.adapters import exchange
@@ -28,16 +28,16 @@
 ADDRESS = "127.0.0.1"
 ZONES = ("a", "b", "c")
 POOL, PREFIX, KEY = "pool", "/jobs/", "key"
-PORTS_OF_PROCESS = 4
+PORTS_PER_PROCESS = 4
 HEARTBEAT_S = 1.5
-RESTART_S = 0.5  # the platform starts an ended process again after this time
-# No process is back within this time; the coordinator relies on 0.2 s.
+RESTART_S = 0.5  # after which the platform restarts a process that has ended
+# No process restarts faster than this; the coordinator relies on 0.2 s.
 WORKER_RESTART_S = 0.3
-RUN_S = (0.05, 1.2)
+RUN_TIME_RANGE_S = (0.05, 1.2)
 
 
 class Cell:
-    """Own the processes, the workers, the store and the proxies."""
+    """The processes, the workers, the store and the proxies, as a context manager."""
 
     def __init__(
         self, rng: random.Random, folder: pathlib.Path, daemons: int, workers: int
@@ -45,17 +45,17 @@
         self.rng = rng
         self.store = rowstore.MemoryStore()
         self.workers = lease_workers.LeaseWorkers()
-        self.promises = promises.Promises(self.workers)
+        self.checker = invariants.InvariantChecker(self.workers)
         self.daemons = [f"entry-{number}" for number in range(1, daemons + 1)]
         self.proxies: dict[str, proxy.Proxy] = {}
         self.version = 0
-        self.down: set[str] = set()  # processes that the soak ended
+        self.terminated: set[str] = set()  # processes that the soak has ended
         self._folder = folder
         self._running: dict[str, processes.ManagedProcess] = {}
         self._settings: dict[str, pathlib.Path] = {}
         self._stack = contextlib.ExitStack()
         self._greenlets: list[gevent.Greenlet] = []
-        count = 2 + 2 * workers + (PORTS_OF_PROCESS + 2) * daemons
+        count = 2 + 2 * workers + (PORTS_PER_PROCESS + 2) * daemons
         self._ports = iter(range(first := ports.find_ports(count), first + count))
         self._add_platform()
         for number in range(workers):
@@ -67,7 +67,10 @@
         self.configure()
         for name in self.daemons:
             self.start(name)
-        self._greenlets = [gevent.spawn(self._beat), gevent.spawn(self._watch)]
+        self._greenlets = [
+            gevent.spawn(self._send_heartbeats),
+            gevent.spawn(self._restart_ended),
+        ]
         return self
 
     def __exit__(self, *_exc: object) -> None:
@@ -92,25 +95,25 @@
         return found.address
 
     def _add_worker(self, name: str, zone: str) -> None:
-        own = (ADDRESS, next(self._ports))
+        target = (ADDRESS, next(self._ports))
         entry = types.WorkerEntry(
-            id=name, pool=POOL, address=self._add_proxy(name, own), zone=zone,
+            id=name, pool=POOL, address=self._add_proxy(name, target), zone=zone,
             rack=f"r-{zone}", labels=frozenset({"kind", f"r-{zone}"}),
             capacity=resources.Resources(8000, 16_384, 0), incarnation=_now_ms(),
         )  # fmt: skip
         self.workers.add(entry)
 
         def check(order: object) -> str:
-            self.workers.run_s = self.rng.uniform(*RUN_S)
-            return self.promises.start_of(order.task, order.spec, zone)
+            self.workers.run_s = self.rng.uniform(*RUN_TIME_RANGE_S)
+            return self.checker.check_start(order.task, order.spec, zone)
 
         app = emulator.ExecutorResource(self.workers, name, check).application()
-        self._stack.enter_context(emulator.Listener(own, app))
+        self._stack.enter_context(emulator.Listener(target, app))
         self._register(name)
 
     def _add_process(self, name: str, zone: str) -> None:
         first = next(self._ports)
-        for _ in range(PORTS_OF_PROCESS - 1):
+        for _ in range(PORTS_PER_PROCESS - 1):
             next(self._ports)
         store = self._add_proxy(f"store of {name}", self._store_at)
         self._add_proxy(f"callers of {name}", (ADDRESS, first))
@@ -139,33 +142,33 @@
         self.store.put(row, emulator.encode_configuration(known))
 
     def set_zone(self, zone: str, out: bool) -> None:
-        """Take a zone out of service, or back."""
+        """Take a zone out of service, or return it."""
         row = types.RowId("op", "", f"evacuate/{zone}")
         if out:
             self.store.put(row, b"{}")
-            self.promises.out_since[zone] = time.monotonic()
+            self.checker.zones_out_since[zone] = time.monotonic()
             return
         self.store.remove(row)
-        self.promises.out_since.pop(zone, None)
+        self.checker.zones_out_since.pop(zone, None)
 
-    def renew_worker(self, name: str) -> None:
-        """Let a worker crash and begin another life, which knows nothing."""
+    def restart_worker(self, name: str) -> None:
+        """Crash a worker and restart it as a new incarnation without any state."""
         self.proxies[name].set_mode(proxy.Reset())
         gevent.sleep(WORKER_RESTART_S)
-        old = self.workers.lives[name].entry
+        old = self.workers.incarnations[name].entry
         self.workers.add(dataclasses.replace(old, incarnation=_now_ms()))
         self.proxies[name].set_mode(proxy.Pass())
         self._register(name)
 
     def _register(self, name: str) -> None:
-        entry = self.workers.lives[name].entry
+        entry = self.workers.incarnations[name].entry
         row = types.RowId("servers", "", name)
         self.store.put(row, emulator.encode_executor(entry, draining=False))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
             gevent.sleep(HEARTBEAT_S)
-            for name in self.workers.lives:
+            for name in self.workers.incarnations:
                 if self.store.reachable and name not in self.workers.silent:
                     self._register(name)
 
@@ -173,7 +176,7 @@
 
     def start(self, name: str) -> None:
         """Start a process."""
-        self.down.discard(name)
+        self.terminated.discard(name)
         self._running[name] = processes.ManagedProcess(
             name,
             [sys.executable, str(PLATFORM)],
@@ -185,8 +188,8 @@
         self, name: str, method: str, job: job_specs.Job, timeout_s: float
     ) -> exchange.Reply | errors.Failure:
         """Send a caller's request about a job to a process, on its own connection."""
-        place = exchange.parse_address(self.proxies[f"callers of {name}"].address)
-        endpoint = exchange.Endpoint(*place, 1)
+        address = exchange.parse_address(self.proxies[f"callers of {name}"].address)
+        endpoint = exchange.Endpoint(*address, 1)
         body = emulator.encode_job(job) if method == "POST" else b""
         headers = emulator.caller_headers(KEY, timeout_s)
         path = emulator.job_path(PREFIX, job.id)
@@ -198,18 +201,18 @@
     def signal(self, name: str, number: int) -> None:
         """Send a signal to a process."""
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.down.add(name)
+            self.terminated.add(name)
         self._running[name].signal(number)
 
-    def _watch(self) -> None:
-        """Start processes again that have ended, as the platform does."""
+    def _restart_ended(self) -> None:
+        """Restart processes that have ended, as the platform does."""
         while True:
             gevent.sleep(RESTART_S)
             for name, each in list(self._running.items()):
                 if each.status() is None:
                     continue
-                if name not in self.down:
-                    self.promises.break_(f"{name} ended with {each.status()}")
+                if name not in self.terminated:
+                    self.checker.add_violation(f"{name} ended with {each.status()}")
                 self.start(name)
 
 
--- a/standins/judge.py
+++ b/standins/checker.py
@@ -11,22 +11,22 @@
 from standins import executions, facts, violations
 from toucanspring import resources
 
-# The design allows 3 s until a taken out zone, a withdrawn key, a leaving backend
-# server or a lowered ceiling is in force everywhere.
+# The design allows 3 s until all processes respect a zone taken out of service, a
+# withdrawn key, a leaving backend server or a lowered ceiling.
 IN_FORCE_S = 3.0
-# A task stopped for a lowered ceiling has the checkpoint grace to end.
+# Time that a task stopped for a lowered ceiling has to write its checkpoint.
 STOP_GRACE_S = 2.0
-# A lost gang member is noticed after the worker lease (20 s), its grace (2 s) and the
-# drift allowance (1.1 s); then the other members are stopped (2 s).
+# The loss of a gang member is detected after the worker lease (20 s), its grace (2 s)
+# and the allowance for clock drift (1.1 s); then the other members are stopped (2 s).
 GANG_SETTLE_S = 26.0
-# Workers report every 4 s what was used up to 1 s before, the owner may just have
-# died (3.2 s until the next one attaches), and a checkpoint takes 2 s.
+# Workers report usage every 4 s, and their data is up to 1 s old; the owner may just
+# have died (3.2 s until the next one attaches), and a checkpoint takes 2 s.
 OVERUSE_S = 12.0
-NOTHING_KNOWN = facts.Known()
+NO_FACTS = facts.RunFacts()
 
 
 def check(
-    records: dict[str, dict], known: facts.Known = NOTHING_KNOWN
+    records: dict[str, dict], run_facts: facts.RunFacts = NO_FACTS
 ) -> list[violations.Violation]:
     """Return all violations in the records, by stand-in name, in order of time."""
     history = History(records)
@@ -36,22 +36,22 @@
         *check_use(history),
         *check_places(history),
         *check_single_starts(history),
-        *check_zones(history, known.zone_outages),
-        *check_ceilings(history, known.ceilings),
+        *check_zones(history, run_facts.zone_outages),
+        *check_ceilings(history, run_facts.ceilings),
         *check_epochs(history),
-        *check_gangs(history, known.gang_sizes),
-        *check_requests(history, known.requests_not_run),
+        *check_gangs(history, run_facts.gang_sizes),
+        *check_requests(history, run_facts.requests_not_run),
         *check_slots(history),
         *check_leaving(history),
-        *check_outcomes(history, known),
-        *check_answers(known.answers),
-        *check_keys(known),
+        *check_outcomes(history, run_facts),
+        *check_answers(run_facts.answers),
+        *check_keys(run_facts),
     ]
     return sorted(found, key=lambda violation: violation.at)
 
 
 class History:
-    """Hold the events of all records in the order of time, and the attempts."""
+    """The events of all records in order of time, and the attempts of tasks."""
 
     def __init__(self, records: dict[str, dict]) -> None:
         self.incomplete = [
@@ -97,7 +97,7 @@
 
 
 def check_use(history: History) -> Iterator[violations.Overused]:
-    """Invariant 1 for what tasks really use, whatever their declared sizes."""
+    """Invariant 1 for the actual usage of tasks, whatever their declared demand."""
     over: dict[str, tuple[float, dict]] = {}
     last = history.events[-1]["at"] if history.events else 0.0
     ended = []
@@ -170,8 +170,8 @@
 ) -> Iterator[violations.OverCeiling]:
     """Invariant 4: no team runs more than its ceiling; one violation for each.
 
-    A lowered ceiling counts once it is in force and the tasks above it had the time
-    to stop, so it is also checked at that moment.
+    A lowered ceiling applies once it is in force and the tasks above it have had time
+    to stop, so it is also checked at that time.
     """
     by_team: dict[str, list[facts.Ceiling]] = collections.defaultdict(list)
     for ceiling in sorted(ceilings, key=lambda ceiling: ceiling.from_at):
@@ -197,7 +197,7 @@
 
 
 def _allowed(steps: list[facts.Ceiling], at: float) -> resources.Resources | None:
-    """Return the largest ceiling that may still have been in force, if any is set."""
+    """Return the largest ceiling that may still be in force; `None` if none is set."""
     oldest = at - IN_FORCE_S - STOP_GRACE_S
     counted = [step.amount for step in steps if oldest < step.from_at <= at]
     settled = [step.amount for step in steps if step.from_at <= oldest]
@@ -212,22 +212,22 @@
 
 
 def check_epochs(history: History) -> Iterator[violations.StaleEpoch]:
-    """Check that a superseded owner starts nothing where its successor is known."""
+    """Check that a worker starts no tasks of an owner once it knows a higher epoch."""
     highest: dict[tuple[str, int], int] = {}
     for event in history.events:
         if event["kind"] not in ("attach", "start"):
             continue
-        place = (event["worker"], event["incarnation"], event["partition"])
-        known = highest.get(place, 0)
-        if event["kind"] == "start" and event["epoch"] < known:
+        key = (event["worker"], event["incarnation"], event["partition"])
+        highest_epoch = highest.get(key, 0)
+        if event["kind"] == "start" and event["epoch"] < highest_epoch:
             yield violations.StaleEpoch(
                 at=event["at"],
                 task=event["task"],
                 worker=event["worker"],
                 epoch=event["epoch"],
-                highest=known,
+                highest=highest_epoch,
             )
-        highest[place] = max(known, event["epoch"])
+        highest[key] = max(highest_epoch, event["epoch"])
 
 
 def check_gangs(
@@ -285,12 +285,12 @@
         if event["kind"] == "run":
             runs[event["request"]].append(event)
     for request, ran in runs.items():
-        keyed = [event for event in ran if not event["idempotent"]]
-        if len(keyed) > 1:
+        non_idempotent = [event for event in ran if not event["idempotent"]]
+        if len(non_idempotent) > 1:
             yield violations.RequestRanAgain(
-                at=keyed[1]["at"],
+                at=non_idempotent[1]["at"],
                 request=request,
-                executors=tuple(event["executor"] for event in keyed),
+                executors=tuple(event["executor"] for event in non_idempotent),
             )
         if request in not_run:
             yield violations.RanAfterNotRun(at=ran[0]["at"], work=request)
@@ -337,13 +337,13 @@
 
 
 def check_outcomes(
-    history: History, known: facts.Known
+    history: History, run_facts: facts.RunFacts
 ) -> Iterator[
     violations.RanAfterNotRun | violations.FalseOutcome | violations.LostWork
 ]:
-    """Invariant 7 for tasks, and that each outcome is what happened."""
+    """Invariant 7 for tasks, and that each reported outcome matches the records."""
     by_task = executions.group_by(history.attempts, "task")
-    for task, state in known.task_outcomes.items():
+    for task, state in run_facts.task_outcomes.items():
         attempts = by_task.get(task, [])
         if state == "not_run" and attempts:
             yield violations.RanAfterNotRun(at=attempts[0].start.at, work=task)
@@ -352,12 +352,12 @@
             yield violations.FalseOutcome(task=task, state=state)
         if state == "failed" and ends == {"done"}:
             yield violations.FalseOutcome(task=task, state=state)
-    for task in sorted(known.accepted_tasks - known.task_outcomes.keys()):
+    for task in sorted(run_facts.accepted_tasks - run_facts.task_outcomes.keys()):
         yield violations.LostWork(work=task)
 
 
 def check_answers(
-    answers: tuple[facts.Answered, ...],
+    answers: tuple[facts.ReceivedAnswer, ...],
 ) -> Iterator[violations.WrongAnswer]:
     """Invariant 6: each caller got the complete answer to its own request."""
     for answer in answers:
@@ -369,10 +369,10 @@
             )
 
 
-def check_keys(known: facts.Known) -> Iterator[violations.KeyAccepted]:
+def check_keys(run_facts: facts.RunFacts) -> Iterator[violations.KeyAccepted]:
     """Invariant 3: a withdrawn key stops working within 3 s."""
-    for use in known.key_uses:
-        since = use.accepted_at - known.withdrawn_keys.get(use.key, math.inf)
+    for use in run_facts.key_uses:
+        since = use.accepted_at - run_facts.withdrawn_keys.get(use.key, math.inf)
         if since > IN_FORCE_S:
             yield violations.KeyAccepted(
                 at=use.accepted_at, key=use.key, seconds_after=since
--- a/standins/injection.py
+++ b/standins/injection.py
@@ -16,9 +16,10 @@
 
     `down` refuses connections, `delay_ms` waits before the operation takes effect and
     `answer_delay_ms` after it, `error_fraction` answers 503 without an effect,
-    `lose_answers` drops that many answers after the effect, `blocked` hangs up on the
-    clients with these `X-Client` names before the effect. `lose_writes` maps the prefix
-    of a row key to the number of answers to drop after writes of such rows.
+    `lose_answers` drops that many answers after the effect, `blocked` closes the
+    connections of clients with these `X-Client` names before the effect. `lose_writes`
+    maps the prefix of a row key to the number of answers to drop after writes of such
+    rows.
     """
 
     down: bool = False
@@ -34,7 +35,7 @@
     """Faults of the tables, the objects and the VM list.
 
     `calls_per_second` limits the calls whose path begins with each key, such as
-    `{"/v1/transactions": 400}`; calls beyond it wait their turn.
+    `{"/v1/transactions": 400}`; calls above the limit are delayed.
     """
 
     calls_per_second: dict[str, float] = {}
@@ -45,7 +46,7 @@
 
     The control interface stays reachable on the control port while the service is
     `down`. Without a control port it shares the service's port, and `down` then
-    hangs up on each call instead of refusing the connection.
+    closes the connection of each call instead of refusing it.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
     ) -> None:
         self.faults = ServiceFaults()
         self.record = record
-        self._next_turns: dict[str, float] = {}
+        self._next_call_at: dict[str, float] = {}
         self._handler = handler
         self._rng = rng
         self._service = service.HttpServer(address, port, self._serve)
@@ -70,13 +71,13 @@
         )
 
     def open(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._service.open()
         if self._control is not None:
             self._control.open()
 
     def close(self) -> None:
-        """Stop to listen and close all connections."""
+        """Stop listening and close all connections."""
         self._service.close()
         if self._control is not None:
             self._control.close()
@@ -107,16 +108,16 @@
         answer = control(request, self.record, self._set_faults)
         if answer is not None:
             return answer
-        self._wait_for_turn(request.path)
+        self._limit_rate(request.path)
         return apply_faults(self.faults, request, self._handler, self._rng)
 
-    def _wait_for_turn(self, path: str) -> None:
+    def _limit_rate(self, path: str) -> None:
         for prefix, rate in self.faults.calls_per_second.items():
             if path.startswith(prefix):
                 now = time.monotonic()
-                turn = max(now, self._next_turns.get(prefix, 0.0))
-                self._next_turns[prefix] = turn + 1 / rate
-                gevent.sleep(turn - now)
+                call_at = max(now, self._next_call_at.get(prefix, 0.0))
+                self._next_call_at[prefix] = call_at + 1 / rate
+                gevent.sleep(call_at - now)
 
 
 def merge_faults(current: Faults, changes: dict[str, object]) -> Faults:
@@ -132,7 +133,7 @@
 ) -> service.Response | None:
     """Run a handler under faults; `None` closes the connection."""
     if faults.down or request.client in faults.blocked:
-        return service.HANG_UP
+        return service.CLOSE_CONNECTION
     if faults.delay_ms:
         gevent.sleep(faults.delay_ms / 1000)
     if faults.error_fraction and rng() < faults.error_fraction:
@@ -142,11 +143,11 @@
         gevent.sleep(faults.answer_delay_ms / 1000)
     if faults.lose_answers > 0:
         faults.lose_answers -= 1
-        return service.HANG_UP
+        return service.CLOSE_CONNECTION
     for prefix, left in faults.lose_writes.items():
         if left > 0 and any(key.startswith(prefix) for key in response.written):
             faults.lose_writes[prefix] = left - 1
-            return service.HANG_UP
+            return service.CLOSE_CONNECTION
     return response
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of tests, the demonstration and benches."""
+"""Child processes of tests, the demonstration and benchmarks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StartFailed(Exception):
-    """Raised when a process ended or did not get ready; holds its output."""
+    """Raised when a process exits or does not become ready; includes its output."""
 
 
 class ManagedProcess:
@@ -32,8 +32,8 @@
         self.name = name
         self.command = list(command)
         self.output = directory / f"{name}.log"
-        own = {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
-        environment = {**os.environ, **own, **(variables or {})}
+        overrides = {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
+        environment = {**os.environ, **overrides, **(variables or {})}
         with self.output.open("ab") as sink:
             self._child = subprocess.Popen(
                 self.command,
@@ -59,13 +59,13 @@
             self._child.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         self.signal(signal.SIGKILL)
         self._child.wait()
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """End the process with SIGTERM, or after the time limit with SIGKILL."""
-        self.signal(signal.SIGCONT)  # a stopped process would not see SIGTERM
+        """Stop the process with SIGTERM, or after the time limit with SIGKILL."""
+        self.signal(signal.SIGCONT)  # a stopped process would not handle SIGTERM
         self.signal(signal.SIGTERM)
         try:
             return self._child.wait(timeout=timeout_s)
@@ -73,7 +73,7 @@
             self.kill()
             return self._child.returncode
 
-    def text(self) -> str:
+    def read_output(self) -> str:
         """Return the output so far."""
         return self.output.read_text(errors="replace")
 
@@ -83,16 +83,17 @@
     is_ready: Callable[[], bool],
     timeout_s: float = START_TIMEOUT_S,
 ) -> None:
-    """Wait until a process is ready; raises `StartFailed` if it ends before."""
+    """Wait until a process is ready; raise `StartFailed` if it exits before."""
     deadline = time.monotonic() + timeout_s
     while not is_ready():
         if process.status() is not None:
             raise StartFailed(
-                f"{process.name} ended with {process.status()}:\n{process.text()}"
+                f"{process.name} ended with {process.status()}:\n"
+                f"{process.read_output()}"
             )
         if time.monotonic() > deadline:
             process.stop()
             raise StartFailed(
-                f"{process.name} not ready in {timeout_s} s:\n{process.text()}"
+                f"{process.name} not ready in {timeout_s} s:\n{process.read_output()}"
             )
         time.sleep(POLL_S)
--- a/standins/service.py
+++ b/standins/service.py
@@ -66,7 +66,9 @@
     )
 
 
-HANG_UP = None  # returned by a handler to close the connection without an answer
+CLOSE_CONNECTION = (
+    None  # returned by a handler to close the connection without an answer
+)
 Handler = Callable[[Request], Response | None]
 
 
@@ -107,7 +109,7 @@
         self._server: pywsgi.WSGIServer | None = None
 
     def open(self) -> None:
-        """Listen; a port of 0 is replaced by the port that was bound."""
+        """Start listening; a port of 0 is replaced by the port that was bound."""
         if self._server is not None:
             return
         listener = listen(self._address, self.port)
@@ -122,10 +124,10 @@
         server, self._server = self._server, None
         server.stop(timeout=0)
         for sock in list(self._sockets):
-            hang_up(sock)
+            shut_down(sock)
 
     def serve_socket(self, serve: Callable, sock: socket.socket, *rest: object) -> None:
-        """Serve one connection unless there are too many."""
+        """Serve one connection, or answer 503 above the limit of connections."""
         if self._max_connections and len(self._sockets) >= self._max_connections:
             sock.sendall(
                 b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: connections\r\n"
@@ -145,8 +147,8 @@
             response = self._handler(request)
         except Exception as error:
             response = Response(500, f"{type(error).__name__}: {error}".encode())
-        if response is HANG_UP:
-            hang_up(environ["standins.socket"])
+        if response is CLOSE_CONNECTION:
+            shut_down(environ["standins.socket"])
             start_response(STATUS_LINES[500], [("Content-Length", "0")])
             return [b""]
         headers = list(response.headers.items())
@@ -177,12 +179,12 @@
         self._owner.serve_socket(super().handle, sock, address)
 
 
-def hang_up(sock: socket.socket) -> None:
-    """End a connection in both directions."""
+def shut_down(sock: socket.socket) -> None:
+    """Shut down a connection in both directions."""
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it has ended already
+        return  # already closed
 
 
 def _blocks(body: bytes, size: int = 1 << 15) -> list[bytes]:
@@ -191,7 +193,7 @@
 
 def _cut(sock: socket.socket, response: Response) -> Iterator[bytes]:
     yield response.body[: response.cut_at]
-    hang_up(sock)
+    shut_down(sock)
     yield response.body[response.cut_at :]
 
 
@@ -208,7 +210,7 @@
         for name, value in environ.items()
         if name.startswith("HTTP_")
     }
-    # PATH_INFO is percent-decoded and read as latin-1 by the WSGI rules.
+    # WSGI servers percent-decode PATH_INFO and decode its bytes as latin-1.
     path = environ["PATH_INFO"].encode("latin-1").decode()
     return Request(
         environ["REQUEST_METHOD"],
@@ -221,9 +223,9 @@
 
 
 def run_until_signal(ready: str) -> None:
-    """Print a line once serving, then wait for SIGTERM, SIGINT or the parent's end.
+    """Print a line, then wait for SIGTERM, SIGINT or the end of the parent process.
 
-    A stand-in whose test process was killed would otherwise stay behind.
+    Without the latter, a stand-in would keep running after its test process is killed.
     """
     parent = os.getppid()
     ended = event.Event()
--- a/standins/task_runs.py
+++ b/standins/task_runs.py
@@ -1,4 +1,4 @@
-"""Tasks of one worker stand-in: plans, timers, checkpoints and ends."""
+"""Tasks of one worker stand-in: plans, timers, checkpoints and results."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from toucanspring import resources, wire
 from toucanspring.adapters import vms
 
-# Least time between two reports of ends. The first end after a quiet time is reported
-# at once; the design allows 20 ms from the end of a task to its report.
+# Minimum time between reports of ends; the first end after a longer time is reported at
+# once. The design allows 20 ms from the end of a task to its report.
 FINISH_BATCH_S = 0.015
 CLOCK_STEP_S = 0.004
 MIN_CLOCK_STEP_S = 0.001
@@ -26,9 +26,9 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Payload of a task, in JSON: how it behaves; `run_ms` null runs until stopped.
+    """Payload of a task, in JSON; with `run_ms` null the task runs until stopped.
 
-    Without `usage` none is reported, so that the scheduler learns no size.
+    Without `usage` no usage is reported, so that the scheduler cannot estimate sizes.
     """
 
     run_ms: float | None = 10.0
@@ -40,7 +40,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Checkpoint of a task: the part of its run time that is done."""
+    """Checkpoint of a task: the run time that is done."""
 
     done_ms: float
 
@@ -64,19 +64,19 @@
             while heap and heap[0][0] <= now:
                 _, _, function, args = heapq.heappop(heap)
                 function(*args)
-            pause_s = heap[0][0] - time.monotonic() if heap else CLOCK_STEP_S
-            gevent.sleep(min(CLOCK_STEP_S, max(MIN_CLOCK_STEP_S, pause_s)))
+            wait_s = heap[0][0] - time.monotonic() if heap else CLOCK_STEP_S
+            gevent.sleep(min(CLOCK_STEP_S, max(MIN_CLOCK_STEP_S, wait_s)))
 
 
-class Running:
-    """Track one running attempt; its work advances at `rate` per unit of time."""
+class RunningAttempt:
+    """A running attempt; throttling reduces its speed to `rate`, at most 1.0."""
 
     __slots__ = (
         "start",
         "plan",
         "partition",
         "started_at",
-        "left_ms",
+        "remaining_ms",
         "done_ms",
         "rate",
         "changed_at",
@@ -92,50 +92,50 @@
         self.partition = partition
         self.started_at = now
         self.done_ms = 0.0
-        self.left_ms = plan.run_ms
+        self.remaining_ms = plan.run_ms
         self.rate = 1.0
         self.changed_at = now
         self.generation = 0
         self.stopping = False
 
     def advance(self, now: float) -> None:
-        """Count the work done since the last change."""
+        """Add the work done since the last change."""
         worked_ms = (now - self.changed_at) * 1000 * self.rate
         self.done_ms += worked_ms
-        if self.left_ms is not None:
-            self.left_ms = max(0.0, self.left_ms - worked_ms)
+        if self.remaining_ms is not None:
+            self.remaining_ms = max(0.0, self.remaining_ms - worked_ms)
         self.changed_at = now
 
     def usage(self) -> resources.Resources:
-        """Return what the task uses at present; throttling limits processors only."""
+        """Return the current usage of the task; throttling limits CPUs only."""
         full = self.plan.usage or resources.ZERO
         return resources.Resources(
             int(full.cpus * self.rate), full.memory, full.accelerators
         )
 
     def end_time(self) -> float | None:
-        """Return when the work is complete at the present rate, if ever."""
-        if self.left_ms is None or self.rate <= 0:
+        """Return when the work is complete at the current rate; `None` if never."""
+        if self.remaining_ms is None or self.rate <= 0:
             return None
-        return self.changed_at + self.left_ms / 1000 / self.rate
+        return self.changed_at + self.remaining_ms / 1000 / self.rate
 
 
 _plan_decoder = msgspec.json.Decoder(Plan)
 
 
 class TaskHost(abc.ABC):
-    """Run tasks by timers; `worker_reports` adds the streams, `worker` the lease."""
+    """Runs tasks by timers; `worker_reports` adds the reports, `worker` the lease."""
 
     def __init__(self, listed: vms.Vm, clock: Clock, record: events.Record) -> None:
         self.listed = listed
         self._clock = clock
         self._record = record
         self._incarnation = 0
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, RunningAttempt] = {}
         self._finished: dict[str, tuple[int, wire.FinishedTask]] = {}
         self._unreported: list[tuple[int, wire.FinishedTask]] = []
-        self._used = resources.ZERO
-        self._in_use = resources.ZERO  # what the tasks really use
+        self._allocated = resources.ZERO
+        self._usage = resources.ZERO  # actual usage of the tasks
         self._is_over = False
         self._flush_timer = False
         self._flushed_at = 0.0
@@ -151,15 +151,15 @@
         now: float,
         tick_age_ms: int,
     ) -> None:
-        running = Running(task, self._plan(task), partition, now)
+        running = RunningAttempt(task, self._plan(task), partition, now)
         if task.progress:
             done_ms = msgspec.json.decode(task.progress, type=Progress).done_ms
             running.done_ms = done_ms
-            if running.left_ms is not None:
-                running.left_ms = max(0.0, running.left_ms - done_ms)
+            if running.remaining_ms is not None:
+                running.remaining_ms = max(0.0, running.remaining_ms - done_ms)
         self._running[task.task_id] = running
-        self._used += task.demand
-        self._change_use(resources.ZERO, running.usage(), now)
+        self._allocated += task.demand
+        self._update_usage(resources.ZERO, running.usage(), now)
         self._record.append(
             events.Start(
                 at=now,
@@ -179,18 +179,16 @@
         )
         self._schedule_end(task.task_id, running)
 
-    def _change_use(
+    def _update_usage(
         self, before: resources.Resources, after: resources.Resources, now: float
     ) -> None:
-        self._in_use += after - before
-        is_over = not self._in_use.fits(self.listed.resources)
+        self._usage += after - before
+        is_over = not self._usage.fits(self.listed.resources)
         if is_over is self._is_over:
             return
         self._is_over = is_over
         self._record.append(
-            events.Use(
-                at=now, worker=self.listed.id, is_over=is_over, used=self._in_use
-            )
+            events.Use(at=now, worker=self.listed.id, is_over=is_over, used=self._usage)
         )
 
     def _plan(self, task: wire.TaskStart) -> Plan:
@@ -203,7 +201,7 @@
         except msgspec.DecodeError as error:
             return Plan(run_ms=0.0, fail=f"payload: {error}")
 
-    def _begin_checkpoint(self, task_id: str, now: float, limit: float) -> None:
+    def _begin_checkpoint(self, task_id: str, now: float, deadline: float) -> None:
         running = self._running[task_id]
         if running.stopping:
             return
@@ -211,7 +209,7 @@
         running.stopping = True
         running.generation += 1
         self._clock.at(
-            min(now + running.plan.checkpoint_ms / 1000, limit),
+            min(now + running.plan.checkpoint_ms / 1000, deadline),
             self._end_checkpoint,
             self._incarnation,
             task_id,
@@ -220,7 +218,7 @@
         )
 
     def _end_checkpoint(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> None:
         if self._is_current(incarnation, task_id, running, generation):
             self._checkpoint_now(task_id, running, time.monotonic())
@@ -228,7 +226,7 @@
     def _checkpoint_now(
         self,
         task_id: str,
-        running: Running,
+        running: RunningAttempt,
         now: float,
         ran_until: float | None = None,
     ) -> None:
@@ -242,10 +240,10 @@
             running.advance(now)
             before = running.usage()
             running.rate = min(1.0, max(0.0, message.fraction))
-            self._change_use(before, running.usage(), now)
+            self._update_usage(before, running.usage(), now)
             self._schedule_end(message.task_id, running)
 
-    def _schedule_end(self, task_id: str, running: Running) -> None:
+    def _schedule_end(self, task_id: str, running: RunningAttempt) -> None:
         running.generation += 1
         if running.stopping:
             self._clock.at(
@@ -269,7 +267,7 @@
             )
 
     def _is_current(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> bool:
         return (
             incarnation == self._incarnation
@@ -279,7 +277,7 @@
         )
 
     def _end(
-        self, incarnation: int, task_id: str, running: Running, generation: int
+        self, incarnation: int, task_id: str, running: RunningAttempt, generation: int
     ) -> None:
         if not self._is_current(incarnation, task_id, running, generation):
             return
@@ -299,7 +297,7 @@
     def _finish(
         self,
         task_id: str,
-        running: Running,
+        running: RunningAttempt,
         state: str,
         reason: str,
         answer: bytes,
@@ -307,8 +305,8 @@
         ran_until: float | None = None,
     ) -> None:
         del self._running[task_id]
-        self._used -= running.start.demand
-        self._change_use(running.usage(), resources.ZERO, now)
+        self._allocated -= running.start.demand
+        self._update_usage(running.usage(), resources.ZERO, now)
         finished = wire.FinishedTask(
             task_id,
             running.start.attempt,
@@ -339,7 +337,7 @@
         if due > now:
             self._clock.at(due, self._flush)
         else:
-            # After the other ends of this round, which go into the same report.
+            # Runs after the other callbacks that are due; one report covers all ends.
             gevent.spawn(self._flush)
 
     def _flush(self) -> None:
@@ -350,7 +348,7 @@
 
     @abc.abstractmethod
     def _report(self, usage: dict[str, resources.Resources]) -> None:
-        """Send what has finished and the usage of running tasks."""
+        """Send the finished tasks and the usage of running ones."""
 
     def _tick(self, now: float) -> int:
         return int(now * 1000) + self._tick_offset_ms
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""One worker stand-in: life cycle, faults, and the rules of its messages."""
+"""One worker stand-in: life cycle, faults and message handling."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     `die` drops all tasks and connections; the worker returns with a new incarnation
     after `return_after_ms`, or on a later `revive`. `pause_ms` freezes it, its tasks
     included. `fail_all` fails each new task, `cut` closes the streams once.
-    `blocked_owners` and `blocked_addresses` (`address` or `address:port`) hold back
-    all traffic with these owners; it is delivered late when they are unblocked.
+    `blocked_owners` and `blocked_addresses` (`address` or `address:port`) block
+    all traffic with these owners, which is delivered once they are unblocked.
     """
 
     workers: list[str] = []
@@ -39,7 +39,7 @@
 
 
 class Worker(worker_reports.ReportingHost):
-    """Run tasks by timers under a lease, and enforce epoch, tick age and capacity."""
+    """Runs tasks by timers under a lease, and enforces epoch, tick age and capacity."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         rng: random.Random,
     ) -> None:
         super().__init__(listed, clock, record)
-        self.gate = event.Event()
+        self.blocks_changed = event.Event()
         self._rng = rng
         self._server: server.StreamServer | None = None
         self._epochs: dict[int, int] = {}
@@ -61,10 +61,11 @@
     # Life cycle
 
     def revive(self) -> None:
-        """Start with a new incarnation and no memory of earlier work."""
+        """Start with a new incarnation and without any earlier state."""
         if self._server is not None:
             return
-        # Clocks of different boots are not comparable; offsets make that visible.
+        # Ticks of different incarnations are not comparable; random offsets expose code
+        # that compares them.
         self._tick_offset_ms = self._rng.randrange(1 << 32)
         self._incarnation = self._rng.randrange(1, 1 << 48)
         self._record.add(
@@ -80,7 +81,7 @@
         self._server.start()
         first = time.monotonic() + self._rng.random() * worker_reports.REPORT_INTERVAL_S
         self._report_series += 1
-        self._clock.at(first, self._report_regularly, self._report_series)
+        self._clock.at(first, self._report_periodically, self._report_series)
 
     def die(self) -> None:
         """Lose all tasks, finished results, epochs and connections."""
@@ -95,7 +96,7 @@
         self._running.clear()
         self._finished.clear()
         self._unreported.clear()
-        self._used = self._in_use = resources.ZERO
+        self._allocated = self._usage = resources.ZERO
         self._is_over = False
         self._epochs.clear()
         self._partition = -1
@@ -108,7 +109,7 @@
         """Close all streams; tasks go on."""
         for link in list(self.links):
             link.stream.close()
-        self._open_gate()
+        self._wake_links()
 
     def pause(self) -> None:
         """Freeze the worker and its tasks."""
@@ -126,19 +127,19 @@
         self._record.add(
             "resumed", worker=self.listed.id, incarnation=self._incarnation
         )
-        lapsed = now >= self._lease_until + LEASE_GRACE_S
+        expired = now >= self._lease_until + LEASE_GRACE_S
         for task_id, running in list(self._running.items()):
             running.advance(paused_at)
             running.changed_at = now
-            if lapsed:
+            if expired:
                 self._checkpoint_now(task_id, running, now, ran_until=paused_at)
             else:
                 self._schedule_end(task_id, running)
-        if not lapsed and not self._lease_timer:
+        if not expired and not self._lease_timer:
             self._check_lease(incarnation)
         self._report_series += 1
-        self._report_regularly(self._report_series)
-        self._open_gate()
+        self._report_periodically(self._report_series)
+        self._wake_links()
 
     def apply(self, faults: WorkerFaults) -> None:
         """Apply one call of the control interface."""
@@ -160,10 +161,10 @@
             self._clock.at(now + faults.pause_ms / 1000, self.resume, self._incarnation)
         if faults.die and faults.return_after_ms is not None:
             self._clock.at(now + faults.return_after_ms / 1000, self.revive)
-        self._open_gate()
+        self._wake_links()
 
-    def holds_back(self, link: worker_link.Link) -> bool:
-        """Return whether traffic on a link waits at present."""
+    def is_blocked(self, link: worker_link.Link) -> bool:
+        """Return whether traffic on a link is blocked."""
         return (
             self._paused_at is not None
             or link.owner in self._blocked_owners
@@ -171,9 +172,9 @@
             or link.peer.rpartition(":")[0] in self._blocked_addresses
         )
 
-    def _open_gate(self) -> None:
-        self.gate.set()
-        self.gate.clear()
+    def _wake_links(self) -> None:
+        self.blocks_changed.set()
+        self.blocks_changed.clear()
 
     def _accept(self, sock: object, address: tuple[str, int]) -> None:
         connected = stream.Stream(sock, wire.decode_worker)
@@ -184,7 +185,7 @@
     # Messages
 
     def handle(self, link: worker_link.Link, message: object) -> bool:
-        """Carry out one message; `False` ends the connection."""
+        """Handle one message; `False` ends the connection."""
         if isinstance(message, wire.Attach):
             return self._attach(link, message)
         if link.partition < 0 or not hasattr(message, "epoch"):
@@ -213,7 +214,7 @@
         return True
 
     def _forget(self, message: wire.Acknowledge | wire.Release) -> None:
-        """Forget finished tasks, or the lease of an owner that needs it no more."""
+        """Remove acknowledged tasks, or end a lease that the owner no longer needs."""
         if isinstance(message, wire.Acknowledge):
             for task_id in message.task_ids:
                 self._finished.pop(task_id, None)
@@ -234,7 +235,7 @@
             link.post(wire.Fenced(highest))
             return True
         if message.partition != self._partition and now < self._lease_until:
-            # A worker serves one partition at a time, until its lease has expired.
+            # A worker serves one partition at a time, until the lease expires.
             return False
         self._epochs[message.partition] = message.epoch
         self._partition = message.partition
@@ -269,11 +270,11 @@
         refused = []
         capacity = self.listed.resources
         for task in message.tasks:
-            cause = self._known(task)
+            cause = self._check_duplicate(task)
             if cause == "":
                 accepted.append(task.task_id)
                 continue
-            if cause is None and not (self._used + task.demand).fits(capacity):
+            if cause is None and not (self._allocated + task.demand).fits(capacity):
                 cause = "capacity"
             if cause is not None:
                 refused.append((task.task_id, cause))
@@ -284,7 +285,7 @@
             self._record_refusals(link, refused)
         link.post(wire.Started(message.batch, accepted, refused))
 
-    def _known(self, task: wire.TaskStart) -> str | None:
+    def _check_duplicate(self, task: wire.TaskStart) -> str | None:
         """Return `None` for a new task, "" for a repeated start, or a refusal."""
         running = self._running.get(task.task_id)
         if running is not None:
@@ -339,9 +340,9 @@
                 incarnation=self._incarnation,
                 tasks=len(self._running),
             )
-        stopped_by = self._lease_until + CHECKPOINT_LIMIT_S
+        deadline = self._lease_until + CHECKPOINT_LIMIT_S
         for task_id in list(self._running):
-            self._begin_checkpoint(task_id, now, stopped_by)
+            self._begin_checkpoint(task_id, now, deadline)
 
     def _stop(self, message: wire.Stop) -> None:
         now = time.monotonic()
--- a/test/test_workers.py
+++ b/test/test_workers.py
@@ -6,7 +6,7 @@
 import testtools
 from gevent import server
 
-from standins import events, judge, ports, service, task_runs, worker_reports
+from standins import checker, events, ports, service, task_runs, worker_reports
 from standins import worker as standin
 from toucanspring import errors, resources, wire
 from toucanspring.adapters import vms, workers
@@ -99,7 +99,7 @@
         self.worker.apply(standin.WorkerFaults(**faults))
 
     def violations(self):
-        return judge.check({"workers": msgspec.json.decode(self.record.dump())})
+        return checker.check({"workers": msgspec.json.decode(self.record.dump())})
 
     def test_tasks_run_are_reported_at_once_and_kept_until_acknowledged(self):
         owner = self.own()
@@ -155,13 +155,13 @@
         clock.at = lambda due, *_: pauses.append(round(due - time.monotonic()))
         self.patch(worker, "_clock", clock)
         for _ in range(4):
-            worker._report_regularly(worker._report_series)
+            worker._report_periodically(worker._report_series)
         self.assertEqual(([{}, {}], [3, 4, 3, 4]), (sent, pauses))
         owner = self.own()
         owner.link.start(1, [task("j/0", run_ms=None)])
         wait(lambda: owner.accepted)
         for _ in range(3):
-            worker._report_regularly(worker._report_series)
+            worker._report_periodically(worker._report_series)
         self.assertEqual([4, 4, 4], pauses[-3:])
 
     def test_a_late_report_is_requested_before_the_link_closes(self):
