--- a/test/edge_fakes.py
+++ b/test/edge_fakes.py
@@ -71,12 +71,10 @@
     def check_key(self, secret):
         if secret not in self.secrets:
             return errors.Forbidden(reason="the key is unknown or was withdrawn")
-        return records.KeyFacts(secret, self.secrets[secret], "a")
+        return records.KeyInfo(secret, self.secrets[secret], "a")
 
     def keys(self):
-        return [
-            records.KeyFacts(name, team, "a") for name, team in self.secrets.items()
-        ]
+        return [records.KeyInfo(name, team, "a") for name, team in self.secrets.items()]
 
     def grant_key(self, team, operator):
         self.secrets[f"{team}-new"] = team
--- a/test/test_budgets.py
+++ b/test/test_budgets.py
@@ -229,7 +229,7 @@
                     case 6 if rng.random() < 0.5:
                         each.claims.partitions = {0: 1}
                         each.service._fold_all_at = each.now
-                        self.patch(budgets, "SILENT_MINUTES", rng.choice((0, 360)))
+                        self.patch(budgets, "INACTIVE_MINUTES", rng.choice((0, 360)))
                     case 6:
                         each.tables.lose.clear()
                         each.tables.drop.clear()
@@ -290,6 +290,8 @@
         [series] = process.service.export().written
         kept = sum(good for _, _, good, _ in series.buckets)
         # An hour leaves as a whole.
-        self.assertTrue(burn.KEPT_MINUTES - 60 <= kept < burn.KEPT_MINUTES, kept)
+        self.assertTrue(
+            burn.RETENTION_MINUTES - 60 <= kept < burn.RETENTION_MINUTES, kept
+        )
         self.assertLess(len(series.buckets), 65 + 10 + 37 + 96)
         self.assertLess(max(sizes), 3000)
--- a/test/test_cli.py
+++ b/test/test_cli.py
@@ -278,8 +278,11 @@
 
     def test_the_endpoint_that_answered_is_asked_first(self):
         port = self.core.find("gateway").port
-        places = [client.parse_endpoint(UNUSED), client.Place("127.0.0.1", port)]
-        connection = client.Client(places, "", edge_fakes.OPERATOR_KEY, "", 5.0)
+        addresses = [
+            client.parse_endpoint(UNUSED),
+            client.EndpointAddress("127.0.0.1", port),
+        ]
+        connection = client.Client(addresses, "", edge_fakes.OPERATOR_KEY, "", 5.0)
         asked = []
         plain = exchange.Endpoint.call
         self.patch(
--- a/test/test_event_buffer.py
+++ b/test/test_event_buffer.py
@@ -57,7 +57,7 @@
                 moment = START - START % 3600 + 60 * minute
                 self.buffer.add(stopped(job=f"job-{number}"), moment)
         size = sum(segment.size for segment in self.buffer.segments)
-        self.assertTrue(size <= event_buffer.HOUR_BYTES)
+        self.assertTrue(size <= event_buffer.MAX_BYTES_PER_HOUR)
         kept = sum(entry.count for entry in self.entries())
         total = 59 * event_buffer.ENTRIES_PER_MINUTE
         self.assertEqual(total, kept + self.buffer.lost)
@@ -70,8 +70,8 @@
             for number in range(1000):
                 moment = START + 3600 * hour + number
                 self.buffer.add(lost(number), moment)
-        held = sum(segment.size for segment in self.buffer.segments)
-        self.assertTrue(held <= 2 * event_buffer.HELD_BYTES)
+        buffered = sum(segment.size for segment in self.buffer.segments)
+        self.assertTrue(buffered <= 2 * event_buffer.MAX_BUFFERED_BYTES)
         self.assertTrue(self.buffer.lost > 0)
         # Guards against a loss that no row ever states.
         for segment in self.buffer.segments:
@@ -84,9 +84,9 @@
             self.buffer.add(lost(number), START)
         for segment in self.buffer.segments:
             segment.unwritten, segment.written_at = False, 5.0
-        self.buffer.drop_written(5.0 + event_buffer.KEPT_S - 1)
+        self.buffer.drop_written(5.0 + event_buffer.WRITTEN_RETENTION_S - 1)
         self.assertEqual(300, len(self.entries()))
-        self.buffer.drop_written(5.0 + event_buffer.KEPT_S)
+        self.buffer.drop_written(5.0 + event_buffer.WRITTEN_RETENTION_S)
         self.assertEqual(1, len(self.buffer.segments))
 
 
--- a/test/test_story.py
+++ b/test/test_story.py
@@ -71,10 +71,10 @@
 
     def test_an_unknown_id_is_not_found(self):
         failed = self.assertRaises(
-            console.Failed, story.run, None, "0" * 16, self.entry
+            console.CommandError, story.run, None, "0" * 16, self.entry
         )
         self.assertIsInstance(failed.failure, errors.NotFound)
 
     def test_a_missing_file_is_invalid(self):
-        failed = self.assertRaises(console.Failed, story.run, None, JOB, "absent")
+        failed = self.assertRaises(console.CommandError, story.run, None, JOB, "absent")
         self.assertIsInstance(failed.failure, errors.Invalid)
--- a/test/test_text.py
+++ b/test/test_text.py
@@ -140,13 +140,13 @@
         edited = reader.parse(
             KERNHALDE.replace("run_time: 5 min", "run_time: 6 min", 1)
         )
-        self.assertEqual([], text.introduced(old, edited))
+        self.assertEqual([], text.jobs_to_start(old, edited))
         change = text.Changed("jobs", "listing-import", {"run_seconds": (300.0, 360.0)})
         self.assertEqual([change], text.diff(old, edited))
         again = reader.parse(
             KERNHALDE.replace("class: urgent\n", "class: urgent\n    run: 2\n", 1)
         )
-        started = [text.apply_id(item) for item in text.introduced(old, again)]
+        started = [text.apply_id(item) for item in text.jobs_to_start(old, again)]
         self.assertEqual(["apply.listing-import.2"], started)
 
     @SETTINGS
@@ -184,5 +184,5 @@
         for template in cell.jobs.values():
             self.assertEqual(template.team, cell.queues[template.queue].team)
             gang = template.kind is job.Kind.GANG
-            together = template.demand.times(template.task_count if gang else 1)
-            self.assertTrue(together.fits(cell.teams[template.team].ceiling))
+            total = template.demand.times(template.task_count if gang else 1)
+            self.assertTrue(total.fits(cell.teams[template.team].ceiling))
--- a/toucanspring/callers/api_operators.py
+++ b/toucanspring/callers/api_operators.py
@@ -69,8 +69,8 @@
         if not unchanged:
             log.info("operator {} put configuration {} into force", operator, version)
         # The autostart service submits them once the text is in force.
-        introduced = [] if unchanged else text.introduced(before, cell)
-        starts = [text.apply_id(each) for each in introduced]
+        jobs_to_start = [] if unchanged else text.jobs_to_start(before, cell)
+        starts = [text.apply_id(each) for each in jobs_to_start]
         api.send_json(
             response,
             {"version": version, "unchanged": unchanged, "starts": starts},
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -376,7 +376,7 @@
             echo_incarnation=0,
             versions=view.versions,
             view_age_ms=int(min(now - view.confirmed_at, 1e6) * 1000) + 1,
-            has_read_head=documents.is_witness(),
+            has_read_head=documents.has_read_head(),
             promise=promise,
             promise_free_ms=int((now - self.local_member.promised_at) * 1000),
             owned=self.local_member.hooks.owned(),
--- a/toucanspring/cli.py
+++ b/toucanspring/cli.py
@@ -165,13 +165,13 @@
         ]
         tls = None
         if any(place.secure for place in places):
-            tls = console.unwrap(client.load_authorities(ca_file))
+            tls = console.unwrap(client.create_tls_context(ca_file))
         connection = client.Client(places, key, operator_key, operator, timeout_s, tls)
         try:
             result = command(console.Context(connection, json, timeout_s))
         finally:
             connection.close()
-    except console.Failed as failed:
+    except console.CommandError as failed:
         console.print_failure(failed, json)
         return console.exit_code(failed.failure)
     console.print_result(result, json)
@@ -184,7 +184,7 @@
         defaults = common_defaults(environment)
     except ValueError:
         failure = errors.Invalid(reason="not a number", path=f"{PREFIX}TIMEOUT_S")
-        console.print_failure(console.Failed(failure), False)
+        console.print_failure(console.CommandError(failure), False)
         return console.EXIT_USAGE
     commands = {
         name: {
--- a/toucanspring/commands/apply.py
+++ b/toucanspring/commands/apply.py
@@ -67,7 +67,7 @@
             version, source_in_force = source.fetch(connection)
             if version == current and source_in_force == content:
                 return version
-    raise console.Failed(result)
+    raise console.CommandError(result)
 
 
 def _wait(
@@ -96,7 +96,7 @@
         if time.monotonic() > deadline:
             progress.end()
             names = ", ".join(missing)
-            raise console.Failed(
+            raise console.CommandError(
                 errors.Timeout(reason=f"version {version} not confirmed by {names}")
             )
         gevent.sleep(CONFIRM_POLL_S)
--- a/toucanspring/commands/diff.py
+++ b/toucanspring/commands/diff.py
@@ -19,7 +19,7 @@
     else:
         version, (_, old) = 0, source.parse(against)
     changes = text.diff(old, new)
-    starts = [text.apply_id(each) for each in text.introduced(old, new)]
+    starts = [text.apply_id(each) for each in text.jobs_to_start(old, new)]
     shown = source.show_changes(changes)
     if starts:
         shown += "\nstarts: " + ", ".join(starts)
--- a/toucanspring/commands/events.py
+++ b/toucanspring/commands/events.py
@@ -75,7 +75,7 @@
 def _seconds(text: str) -> int:
     found = re.fullmatch(r"(\d{1,7})([smhd])", text)
     if found is None:
-        raise console.Failed(
+        raise console.CommandError(
             errors.Invalid(
                 reason="not a duration",
                 path="since",
--- a/toucanspring/commands/report.py
+++ b/toucanspring/commands/report.py
@@ -23,13 +23,13 @@
         context.client.get(f"/v1/reports/{name}", operator=True)
     ).json()
     shown = SHOW[name](value)
-    shown = "\n".join([shown, *page.gaps(value)])
+    shown = "\n".join([shown, *page.missing_data(value)])
     if html is not None:
         try:
             pathlib.Path(html).write_text(page.render(name, value), encoding="utf-8")
         except OSError as error:
             reason = f"{html}: {error.strerror}"
-            raise console.Failed(errors.Refused(reason=reason)) from None
+            raise console.CommandError(errors.Refused(reason=reason)) from None
     return console.Result(value, shown)
 
 
--- a/toucanspring/commands/story.py
+++ b/toucanspring/commands/story.py
@@ -27,11 +27,15 @@
                 entries += [entry for line in file if (entry := read_line(line, name))]
         except OSError as error:
             reason = f"cannot read {name}: {error.strerror}"
-            raise console.Failed(errors.Invalid(reason=reason, path=name)) from error
+            raise console.CommandError(
+                errors.Invalid(reason=reason, path=name)
+            ) from error
     entries.sort(key=lambda entry: str(entry["time"]))
     story = select(entries, request_id)
     if not story:
-        raise console.Failed(errors.NotFound(reason=f"no line names {request_id}"))
+        raise console.CommandError(
+            errors.NotFound(reason=f"no line names {request_id}")
+        )
     return console.Result(story, "\n".join(show(entry) for entry in story))
 
 
@@ -51,18 +55,18 @@
 
 def select(entries: list[dict], request_id: str) -> list[dict]:
     """Return the entries of a job and the takeovers between the first and the last."""
-    about = {request_id}
+    ids = {request_id}
     for entry in entries:
         if entry.get("request") == request_id:
-            about.add(job_of(entry))
-    own = [entry for entry in entries if names(entry, about)]
+            ids.add(job_of(entry))
+    own = [entry for entry in entries if mentions(entry, ids)]
     if not own:
         return []
     first, last = str(own[0]["time"]), str(own[-1]["time"])
     return [
         entry
         for entry in entries
-        if names(entry, about)
+        if mentions(entry, ids)
         or (
             entry["message"] in ("seat_taken", "seat_left", "worker_lost")
             and first <= str(entry["time"]) <= last
@@ -75,10 +79,10 @@
     return str(entry.get("job") or entry.get("path", "").rpartition("/")[2])
 
 
-def names(entry: dict, about: set[str]) -> bool:
+def mentions(entry: dict, ids: set[str]) -> bool:
     """Return whether an entry is about one of some IDs."""
     fields = [str(value) for key, value in entry.items() if key not in HIDDEN]
-    return any(name and name in field for name in about for field in fields)
+    return any(name and name in field for name in ids for field in fields)
 
 
 def show(entry: dict) -> str:
--- a/toucanspring/commands/wait.py
+++ b/toucanspring/commands/wait.py
@@ -34,7 +34,7 @@
         if limit_s and waited >= limit_s:
             progress.end()
             names = ", ".join(open_jobs)
-            raise console.Failed(errors.Timeout(reason=f"not ended yet: {names}"))
+            raise console.CommandError(errors.Timeout(reason=f"not ended yet: {names}"))
         gevent.sleep(pause)
         pause = min(LONGEST_POLL_S, pause * 1.5)
     progress.end()
--- a/toucanspring/commands/zone.py
+++ b/toucanspring/commands/zone.py
@@ -31,8 +31,8 @@
     return console.Result(value, console.table(("ZONE", "REGION", "STATE"), rows))
 
 
-def _change(context: console.Context, name: str, way: str) -> console.Result:
-    target = f"/v1/zones/{urllib.parse.quote(name, safe='')}/{way}"
+def _change(context: console.Context, name: str, action: str) -> console.Result:
+    target = f"/v1/zones/{urllib.parse.quote(name, safe='')}/{action}"
     value = console.unwrap(context.client.call("POST", target, operator=True)).json()
     state = "out of service" if value["out"] else "in service"
     return console.Result(value, f"{name} is {state} (version {value['version']})")
--- a/toucanspring/configuration/changes.py
+++ b/toucanspring/configuration/changes.py
@@ -16,7 +16,7 @@
 from toucanspring.cell import freshness
 from toucanspring.configuration import records
 
-KEPT_HISTORY = 1000
+MAX_HISTORY_VERSIONS = 1000
 RETRY_S = 0.1
 # A change is retried for this long after lost answers and conflicts.
 LIMIT_S = 5.0
@@ -66,7 +66,7 @@
             version=expected_version + 1,
             source=source,
             operator=operator,
-            change=records.new_change(),
+            change=records.new_change_id(),
             applied_at=time.time(),
         )
         self._history = records.history_key(self._document.version)
@@ -83,7 +83,7 @@
             unchanged = present.source == self._document.source
             if unchanged and 0 < present.version == self._expected:
                 return InEffect(present)
-            expired = self._document.version - KEPT_HISTORY
+            expired = self._document.version - MAX_HISTORY_VERSIONS
             return Plan(
                 self._document,
                 {self._history: records.encode(self._document)},
@@ -106,7 +106,7 @@
     name: ClassVar[str]
 
     def __init__(self) -> None:
-        self._change = records.new_change()
+        self._change = records.new_change_id()
         self.reads = [records.ROWS[self.name].key]
 
     def plan(
@@ -126,7 +126,9 @@
             msgspec.structs.replace(
                 edited,
                 version=document.version + 1,
-                changes=[*document.changes, self._change][-records.KEPT_CHANGES :],
+                changes=[*document.changes, self._change][
+                    -records.MAX_RECENT_CHANGES :
+                ],
             )
         )
 
--- a/toucanspring/configuration/checks.py
+++ b/toucanspring/configuration/checks.py
@@ -8,14 +8,14 @@
 from toucanspring.configuration import model, syntax, text
 
 
-class Faults(Protocol):
+class FaultCollector(Protocol):
     """Collect what is wrong with a text."""
 
     def add(self, path: syntax.Path, value: object, expected: str, reason: str) -> None:
         """Record a fault at a path of the text."""
 
 
-def check_jobs(cell: text.Cell, faults: Faults) -> None:
+def check_jobs(cell: text.Cell, faults: FaultCollector) -> None:
     """Check jobs against teams, queues, the largest worker and one another."""
     for template in cell.jobs.values():
         path = ("jobs", template.name)
@@ -41,7 +41,10 @@
 
 
 def _check_size(
-    cell: text.Cell, template: text.JobTemplate, path: syntax.Path, faults: Faults
+    cell: text.Cell,
+    template: text.JobTemplate,
+    path: syntax.Path,
+    faults: FaultCollector,
 ) -> None:
     demand = template.demand
     if demand.cpus <= 0 or demand.memory <= 0:
@@ -52,14 +55,14 @@
         faults.add(path, _show(demand), expected, "larger than the largest worker")
     ceiling = cell.teams[template.team].ceiling
     gang = template.kind is job.Kind.GANG
-    together = demand.times(template.task_count) if gang else demand
-    if not together.fits(ceiling):
-        what = "gang" if gang else "task"
+    total = demand.times(template.task_count) if gang else demand
+    if not total.fits(ceiling):
+        unit = "gang" if gang else "task"
         faults.add(
             path,
-            _show(together),
+            _show(total),
             f"at most {_show(ceiling)}",
-            f"the {what} exceeds the ceiling of team {template.team}",
+            f"the {unit} exceeds the ceiling of team {template.team}",
         )
 
 
@@ -70,24 +73,24 @@
     )
 
 
-def _check_cycles(cell: text.Cell, faults: Faults) -> None:
+def _check_cycles(cell: text.Cell, faults: FaultCollector) -> None:
     """Record each job that depends on itself, once per cycle found."""
     finished: set[str] = set()
     for start in cell.jobs:
-        trail: dict[str, None] = {}
+        visiting: dict[str, None] = {}
         stack = [(start, iter(cell.jobs[start].after))]
         if start in finished:
             continue
-        trail[start] = None
+        visiting[start] = None
         while stack:
             name, rest = stack[-1]
             following = next(rest, None)
             if following is None:
                 finished.add(name)
-                del trail[name]
+                del visiting[name]
                 stack.pop()
-            elif following in trail:
-                names = list(trail)
+            elif following in visiting:
+                names = list(visiting)
                 cycle = [*names[names.index(following) :], following]
                 index = cell.jobs[name].after.index(following)
                 faults.add(
@@ -97,5 +100,5 @@
                     "dependency cycle",
                 )
             elif following not in finished:
-                trail[following] = None
+                visiting[following] = None
                 stack.append((following, iter(cell.jobs[following].after)))
--- a/toucanspring/configuration/confirmation.py
+++ b/toucanspring/configuration/confirmation.py
@@ -28,7 +28,7 @@
         self._versions = versions
         self._announced = event.Event()
 
-    def notice(self) -> None:
+    def notify(self) -> None:
         """Look again at what the members announced."""
         self._announced.set()
 
--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -23,7 +23,7 @@
 HISTORY_PAGE = 100
 FETCH_TIMEOUT_S = 2.0
 RETRY_S = 0.1
-STALE_HEADS = 4
+STALE_HEADS_PER_ERROR = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,11 +72,11 @@
         }
         self._cell = self._parse("")
         self._view = freshness.View()
-        self._wanted = freshness.Versions()
-        self._currency = ownership.Lease()
-        self._witness = False
+        self._target_versions = freshness.Versions()
+        self._view_lease = ownership.Lease()
+        self._has_read_head = False
         self._stale_heads = 0
-        self._pending: tuple[freshness.Versions, float] | None = None
+        self._pending_head: tuple[freshness.Versions, float] | None = None
         self._wake = event.Event()
         self._greenlets = pool.Group()
         self._members: membership.Service | None = None
@@ -86,8 +86,8 @@
         """Follow the head row and the versions that other processes announce."""
         self._members = self._kernel.find("membership")
         self.confirmation = confirmation.Confirmation(self._members, self.versions)
-        self._members.watch(lambda: [records.HEAD], self._take_head)
-        self._members.on_heartbeat(self._take_heartbeat)
+        self._members.watch(lambda: [records.HEAD], self._handle_head)
+        self._members.on_heartbeat(self._handle_heartbeat)
         self._kernel.find("peers").handle("fetch_document", self._serve_document)
         self._greenlets.spawn(self._follow)
 
@@ -119,20 +119,20 @@
 
     def fresh(self, now: float) -> bool:
         """Return whether keyed work may be accepted and tasks may be started."""
-        standing = ownership.lease_state(self._currency, now)
-        if standing is ownership.LeaseState.EXTENDED:
-            return self._view.versions.covers(self._wanted)
-        return standing is ownership.LeaseState.HELD
+        lease_state = ownership.lease_state(self._view_lease, now)
+        if lease_state is ownership.LeaseState.EXTENDED:
+            return self._view.versions.covers(self._target_versions)
+        return lease_state is ownership.LeaseState.HELD
 
     def extend(self, now: float) -> None:
         """Extend the view by the promises known now; called with each heartbeat."""
         # A process that has not read the head itself has no list to count against.
-        if self._witness and not self._currency.ended:
+        if self._has_read_head and not self._view_lease.ended:
             members = self._members
             known = dict(members.peer_tracker.promised_versions)
             known[members.identity.process] = self._view.versions
-            self._currency = freshness.extend(
-                self._currency,
+            self._view_lease = freshness.extend(
+                self._view_lease,
                 self._view,
                 members.local_member.possible_member_lists,
                 members.promises(),
@@ -140,18 +140,18 @@
                 now,
             )
 
-    def is_witness(self) -> bool:
+    def has_read_head(self) -> bool:
         """Return whether the head was read since the own member row was written."""
-        return self._witness
+        return self._has_read_head
 
-    def keys(self) -> list[records.KeyFacts]:
+    def keys(self) -> list[records.KeyInfo]:
         """Return all granted keys."""
         return [
-            records.KeyFacts(key.id, key.team, key.granted_by)
+            records.KeyInfo(key.id, key.team, key.granted_by)
             for key in self._documents["keys"].keys.values()
         ]
 
-    def check_key(self, secret: str) -> records.KeyFacts | errors.Forbidden:
+    def check_key(self, secret: str) -> records.KeyInfo | errors.Forbidden:
         """Return the key that a secret belongs to."""
         return records.find_key(self._documents["keys"], secret)
 
@@ -239,7 +239,7 @@
 
     # Following
 
-    def _take_head(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
+    def _handle_head(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
         head = records.decode(records.Head, rows[records.HEAD].value)
         if isinstance(head, errors.Failure):
             log.error("{}", head.reason)
@@ -248,24 +248,24 @@
             # One may be a read that a change has overtaken; a series is a store that
             # has lost changes. The view then ages, and keyed work stops.
             self._stale_heads += 1
-            if self._stale_heads % STALE_HEADS == 0:
+            if self._stale_heads % STALE_HEADS_PER_ERROR == 0:
                 log.error("the store shows {}, which is too old", head.versions)
             return
         self._stale_heads = 0
-        self._witness = (
-            self._witness or sent_at >= self._members.local_member.registered_at
+        self._has_read_head = (
+            self._has_read_head or sent_at >= self._members.local_member.registered_at
         )
         self._confirm(freshness.confirm_by_head(self._view, head.versions, sent_at))
         if head.versions != self._view.versions:
-            self._pending = (head.versions, sent_at)
-            self._want(head.versions)
+            self._pending_head = (head.versions, sent_at)
+            self._raise_target(head.versions)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, _process: str, message: heartbeat.Heartbeat, echoed_at: float
     ) -> None:
-        self.confirmation.notice()
+        self.confirmation.notify()
         if not self._view.versions.covers(message.versions):
-            self._want(message.versions)
+            self._raise_target(message.versions)
         elif echoed_at > ownership.NEVER:
             drift = self._members.timing.drift
             age_s = message.view_age_ms / 1000
@@ -279,10 +279,10 @@
 
     def _confirm(self, view: freshness.View) -> None:
         self._view = view
-        self._currency = freshness.renew(self._currency, view.confirmed_at)
+        self._view_lease = freshness.renew(self._view_lease, view.confirmed_at)
 
-    def _want(self, versions: freshness.Versions) -> None:
-        self._wanted = freshness.merge(self._wanted, versions)
+    def _raise_target(self, versions: freshness.Versions) -> None:
+        self._target_versions = freshness.merge(self._target_versions, versions)
         self._wake.set()
 
     def _follow(self) -> None:
@@ -290,7 +290,7 @@
         while True:
             self._wake.wait()
             self._wake.clear()
-            while not self._view.versions.covers(self._wanted):
+            while not self._view.versions.covers(self._target_versions):
                 try:
                     progressed = self._fetch()
                 except Exception:
@@ -298,16 +298,18 @@
                     progressed = False
                 if not progressed:
                     gevent.sleep(RETRY_S)
-            if self._pending is not None:
-                self._confirm(freshness.confirm_by_head(self._view, *self._pending))
-                self._pending = None
+            if self._pending_head is not None:
+                self._confirm(
+                    freshness.confirm_by_head(self._view, *self._pending_head)
+                )
+                self._pending_head = None
 
     def _fetch(self) -> bool:
         """Fetch the documents that are behind; return whether one was adopted."""
         behind = [
             name
             for name in records.ROWS
-            if getattr(self._view.versions, name) < getattr(self._wanted, name)
+            if getattr(self._view.versions, name) < getattr(self._target_versions, name)
         ]
         now = self._members.clock()
         if self._members.store_contact_age(now) < member_rows.STORE_UNREACHABLE_S:
@@ -322,9 +324,9 @@
         return any(list(map(self._fetch_from_peers, behind)))
 
     def _fetch_from_peers(self, name: str) -> bool:
-        wanted = getattr(self._wanted, name)
+        target = getattr(self._target_versions, name)
         for process, message in self._members.peer_states().items():
-            if getattr(message.versions, name) < wanted:
+            if getattr(message.versions, name) < target:
                 continue
             value = self._kernel.find("peers").call(
                 process, "fetch_document", name.encode(), FETCH_TIMEOUT_S
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -39,7 +39,7 @@
 MAX_FAULTS = 100
 
 
-class Faults:
+class FaultCollector:
     """Collect what is wrong with a text."""
 
     def __init__(self, document: syntax.Document) -> None:
@@ -86,7 +86,7 @@
 
 def read_cell(document: syntax.Document) -> tuple[text.Cell, list[errors.Invalid]]:
     """Return the cell and the faults; with faults the cell is incomplete."""
-    faults = Faults(document)
+    faults = FaultCollector(document)
     root = document.value
     if not isinstance(root, dict):
         faults.add((), root, "a mapping with the key `cell`", "not a cell")
@@ -122,7 +122,7 @@
 
 
 def _read_section(
-    section: str, kind: type[model.Model], entries: object, faults: Faults
+    section: str, kind: type[model.Model], entries: object, faults: FaultCollector
 ) -> Iterator[tuple[str, model.Model]]:
     if entries is None:
         return
@@ -137,7 +137,7 @@
                 yield name, converted
 
 
-def _check_name(path: syntax.Path, name: object, faults: Faults) -> bool:
+def _check_name(path: syntax.Path, name: object, faults: FaultCollector) -> bool:
     if isinstance(name, str) and model.NAME.fullmatch(name):
         return True
     expected = "1 to 63 lower case letters, digits and hyphens"
@@ -147,7 +147,7 @@
 
 
 def _convert(
-    entry: object, kind: type[model.Model], path: syntax.Path, faults: Faults
+    entry: object, kind: type[model.Model], path: syntax.Path, faults: FaultCollector
 ) -> model.Model | None:
     """Return the validated entry, or record the fault at the field it lies in."""
     try:
@@ -200,7 +200,7 @@
         self,
         models: dict[str, dict],
         declared: dict[str, frozenset[str]],
-        faults: Faults,
+        faults: FaultCollector,
     ) -> None:
         self._models = models
         # Names with faulty entries count, so that one fault is not reported for
--- a/toucanspring/configuration/records.py
+++ b/toucanspring/configuration/records.py
@@ -18,7 +18,7 @@
 KEYS = "keys"
 ZONES = "zones"
 # Change IDs kept in keys and zones, to recognise a change whose answer was lost.
-KEPT_CHANGES = 64
+MAX_RECENT_CHANGES = 64
 SECRET_BYTES = 24
 SECRET_PREFIX = "ts"
 
@@ -78,7 +78,7 @@
 }
 
 
-class KeyFacts(msgspec.Struct, frozen=True):
+class KeyInfo(msgspec.Struct, frozen=True):
     """Describe a granted key without its secret."""
 
     id: str
@@ -121,7 +121,7 @@
     return f"{HISTORY}{version:010d}"
 
 
-def new_change() -> str:
+def new_change_id() -> str:
     """Return an ID that recognises a change after its answer was lost."""
     return secrets.token_hex(8)
 
@@ -144,7 +144,7 @@
     return stored, GrantedKey(key_id, team, secret)
 
 
-def find_key(keys: Keys, secret: str) -> KeyFacts | errors.Forbidden:
+def find_key(keys: Keys, secret: str) -> KeyInfo | errors.Forbidden:
     """Return the key that a secret belongs to."""
     prefix, _, rest = secret.partition("_")
     key_id, _, _ = rest.partition("_")
@@ -154,4 +154,4 @@
     expected = stored.hash if stored is not None else b"\0" * len(digest)
     if stored is None or not hmac.compare_digest(digest, expected):
         return errors.Forbidden(reason="the key is unknown or was withdrawn")
-    return KeyFacts(stored.id, stored.team, stored.granted_by)
+    return KeyInfo(stored.id, stored.team, stored.granted_by)
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -39,7 +39,7 @@
         return self.lines.get(path, 1)
 
 
-class _Fault(Exception):
+class _ReadError(Exception):
     """Carry the failure out of the recursive reader."""
 
     def __init__(self, failure: errors.Invalid) -> None:
@@ -81,8 +81,8 @@
         next(events)  # end of the document
         after = next(events)
         if not isinstance(after, yaml.StreamEndEvent):
-            raise _fault(after, (), "a second document", "one YAML document")
-    except _Fault as fault:
+            raise _read_error(after, (), "a second document", "one YAML document")
+    except _ReadError as fault:
         return fault.failure
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None) or getattr(
@@ -101,8 +101,8 @@
     return Document(value, lines)
 
 
-def _fault(event: yaml.Event, path: Path, value: str, expected: str) -> _Fault:
-    return _Fault(
+def _read_error(event: yaml.Event, path: Path, value: str, expected: str) -> _ReadError:
+    return _ReadError(
         errors.Invalid(
             reason=f"{value} is not accepted here",
             path=show(path),
@@ -115,14 +115,14 @@
 
 def _read_node(event: yaml.Event, events, path: Path, lines: dict[Path, int]) -> object:
     if isinstance(event, yaml.AliasEvent) or event.anchor is not None:
-        raise _fault(event, path, "an anchor or alias", "the value itself")
+        raise _read_error(event, path, "an anchor or alias", "the value itself")
     lines.setdefault(path, event.start_mark.line + 1)
     if len(path) > MAX_DEPTH:
-        raise _fault(event, path, "deeper nesting", f"at most {MAX_DEPTH} levels")
+        raise _read_error(event, path, "deeper nesting", f"at most {MAX_DEPTH} levels")
     if event.tag is not None and not (
         isinstance(event, yaml.ScalarEvent) and event.tag == "!"
     ):
-        raise _fault(event, path, f"tag {event.tag}", "a value without a tag")
+        raise _read_error(event, path, f"tag {event.tag}", "a value without a tag")
     if isinstance(event, yaml.ScalarEvent):
         return _scalar(event.value) if event.implicit[0] else event.value
     if isinstance(event, yaml.SequenceStartEvent):
@@ -137,10 +137,10 @@
     entries: dict[str, object] = {}
     while not isinstance(key := next(events), yaml.MappingEndEvent):
         if not isinstance(key, yaml.ScalarEvent):
-            raise _fault(key, path, "a compound key", "a plain name as key")
+            raise _read_error(key, path, "a compound key", "a plain name as key")
         inner = (*path, key.value)
         if key.value in entries:
-            raise _Fault(
+            raise _ReadError(
                 errors.Invalid(
                     reason="duplicate key",
                     path=show(inner),
--- a/toucanspring/configuration/text.py
+++ b/toucanspring/configuration/text.py
@@ -204,7 +204,7 @@
     return f"{APPLY_PREFIX}.{template.name}.{template.run}"
 
 
-def introduced(old: Cell, new: Cell) -> list[JobTemplate]:
+def jobs_to_start(old: Cell, new: Cell) -> list[JobTemplate]:
     """Return the templates that acceptance of the new text starts, in its order."""
     known = {apply_id(item) for item in old.jobs.values() if item.starts_on_apply}
     return [
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -126,7 +126,7 @@
         links = self._kernel.find("fleet").links(number)
         is_leaving = self._kernel.find("fleet").is_leaving
         return reply.encode_result(
-            survey.list_links(number, links, owned.facts(), found, is_leaving)
+            survey.list_workers(number, links, owned.facts(), found, is_leaving)
         )
 
 
--- a/toucanspring/plugins/joblog.py
+++ b/toucanspring/plugins/joblog.py
@@ -12,9 +12,9 @@
 
 def attach(core: kernel.Kernel) -> None:
     """Log each job that has ended in a partition of this process."""
-    core.subscribe(effects.JobFinished, _note)
+    core.subscribe(effects.JobFinished, _log_outcome)
 
 
-def _note(event: effects.JobFinished) -> None:
+def _log_outcome(event: effects.JobFinished) -> None:
     outcome = event.outcome
     log.info("job {} ended: {} {}", event.job_id, outcome.state.value, outcome.reason)
--- a/toucanspring/reporting/budgets.py
+++ b/toucanspring/reporting/budgets.py
@@ -29,12 +29,12 @@
 # 9 processes make 0.075 writes a second, 128 make 1.1. A process that is killed loses
 # up to 192 s: an interval with its jitter, and the minute that was open before it.
 WRITE_INTERVAL_S = 120.0
-DOUBT_INTERVAL_S = 10.0
+IN_DOUBT_RETRY_S = 10.0
 FOLD_INTERVAL_S = 3600.0
 # The owner of partition 0 folds rows without news for this long. A writer that was only
 # idle begins another row.
-SILENT_MINUTES = 360
-MARKER_MINUTES = 1440
+INACTIVE_MINUTES = 360
+TOMBSTONE_MINUTES = 1440
 ROWS_PER_FOLD = 20
 PAGE_ROWS = 50
 # Writers that a row names as folded into it; a report needs those of the last seconds.
@@ -82,9 +82,9 @@
     row: Row
     value: bytes
     checks: dict[str, int]
-    markers: dict[str, bytes]
+    tombstones: dict[str, bytes]
     deletes: list[str]
-    taken: burn.Counts  # what was unwritten before
+    new_counts: burn.Counts  # what was unwritten before
     in_doubt: bool = False  # may have taken effect, or may still do so
 
 
@@ -175,7 +175,7 @@
         with gevent.Timeout(STOP_LIMIT_S, False):
             if self._attempt is not None:
                 self.write()
-            self.write(with_open=True)
+            self.write(include_open=True)
 
     def export(self) -> Export:
         """Return all counts that this process knows."""
@@ -189,20 +189,20 @@
             self._row.sequence,
             self._row.folded,
             self._row.series,
-            [] if attempt is None else attempt.taken.series(),
+            [] if attempt is None else attempt.new_counts.series(),
             unwritten.series(),
             self._lost,
         )
 
-    def write(self, with_open: bool = False) -> None:
+    def write(self, include_open: bool = False) -> None:
         """Write the closed minutes, or settle whether the last write took effect."""
         if self._attempt is not None:
             self._settle(self._attempt)
         if self._attempt is not None or not self._confirm_row():
             return
         minute = self._minute()
-        taken = self._recorder.take(self._clock(), with_open)
-        self._unwritten.add_samples(taken, minute)
+        samples = self._recorder.take(self._clock(), include_open)
+        self._unwritten.add_samples(samples, minute)
         self._unwritten = self._unwritten.merged(minute)
         folded = self._rows_to_fold(minute)
         if self._unwritten or folded:
@@ -236,7 +236,7 @@
             except Exception:
                 log.exception("writing error budgets failed")
             in_doubt = self._attempt is not None
-            pause_s = DOUBT_INTERVAL_S if in_doubt else WRITE_INTERVAL_S
+            pause_s = IN_DOUBT_RETRY_S if in_doubt else WRITE_INTERVAL_S
             gevent.sleep(pause_s * self._rng.uniform(0.9, 1.1))
 
     def _begin_row(self) -> None:
@@ -281,9 +281,9 @@
 
     def _has_ended(self, key: str, row: Row, minute: int) -> bool:
         if row.ended:
-            return abs(minute - row.ended) >= MARKER_MINUTES
+            return abs(minute - row.ended) >= TOMBSTONE_MINUTES
         age = abs(minute - burn.Counts(row.series).newest())
-        return age >= SILENT_MINUTES or key.startswith(self._prefix)
+        return age >= INACTIVE_MINUTES or key.startswith(self._prefix)
 
     def _plan(self, folded: dict[str, tuple[int, Row]], minute: int) -> Attempt:
         # Merging in one go held requests up for 52 ms at 100 pairs of service and team,
@@ -291,13 +291,13 @@
         counts = burn.Counts(self._row.series, pause=lambda: gevent.sleep(0))
         counts.add(self._unwritten.series())
         names = list(self._row.folded)
-        markers = {}
+        tombstones = {}
         for key, (_, row) in folded.items():
             counts.add(row.series)
             if not row.ended:
                 names += [*row.folded, row.writer]
-                marker = Row(row.writer, -1, [], [], max(1, minute))
-                markers[key] = _encode(marker)
+                tombstone = Row(row.writer, -1, [], [], max(1, minute))
+                tombstones[key] = _encode(tombstone)
         row = Row(
             self._row.writer,
             self._row.sequence + 1,
@@ -306,15 +306,15 @@
         )
         checks = {key: version for key, (version, _) in folded.items()}
         checks[self._key] = self._version
-        deletes = [key for key in folded if key not in markers]
-        return Attempt(row, _encode(row), checks, markers, deletes, self._unwritten)
+        deletes = [key for key in folded if key not in tombstones]
+        return Attempt(row, _encode(row), checks, tombstones, deletes, self._unwritten)
 
     def _send(self, attempt: Attempt) -> None:
         was_in_doubt = attempt.in_doubt
         attempt.in_doubt = True  # also if this greenlet ends during the call
         result = self._tables.transact(
             attempt.checks,
-            {**attempt.markers, self._key: attempt.value},
+            {**attempt.tombstones, self._key: attempt.value},
             attempt.deletes,
         )
         match result:
@@ -325,7 +325,7 @@
             case _ if was_in_doubt:
                 pass  # the earlier call decides
             case _:
-                self._take_back(attempt)
+                self._roll_back(attempt)
                 self._may_be_folded = isinstance(result, errors.Conflict)
 
     def _settle(self, attempt: Attempt) -> None:
@@ -344,7 +344,7 @@
             if isinstance(own, errors.Failure):
                 return
             if own[self._key].version == self._version:
-                self._take_back(attempt)
+                self._roll_back(attempt)
                 return
             rows = own
         row = rows[self._key]
@@ -354,7 +354,7 @@
             self._send(attempt)
         else:
             # The process that folded the row may have read it with or without them.
-            self._lost += attempt.taken.requests()
+            self._lost += attempt.new_counts.requests()
             log.warning("{} requests are lost to error budgets", self._lost)
             self._attempt = None
             self._begin_row()
@@ -364,8 +364,8 @@
         self._row = attempt.row
         self._version = version
 
-    def _take_back(self, attempt: Attempt) -> None:
+    def _roll_back(self, attempt: Attempt) -> None:
         self._attempt = None
-        self._unwritten.add(attempt.taken.series())
+        self._unwritten.add(attempt.new_counts.series())
         # Its folded rows, if any, are looked for again.
         self._fold_own = True
--- a/toucanspring/reporting/burn.py
+++ b/toucanspring/reporting/burn.py
@@ -26,10 +26,10 @@
 # Lengths of stored buckets and the age from which they are used, in minutes. The
 # windows of up to an hour are made of whole minutes; at the edge of the longer ones a
 # bucket is counted by its middle, an error of 5 min in 6 h and of 30 min in 3 days.
-SPANS = ((60, 370), (10, 65))
+BUCKET_SPANS = ((60, 370), (10, 65))
 # A day more than the budget period: a clock that is wrong by less deletes nothing that
 # a report needs.
-KEPT_MINUTES = BUDGET_PERIOD_S // 60 + 1440
+RETENTION_MINUTES = BUDGET_PERIOD_S // 60 + 1440
 
 Key = tuple[str, str]  # service, team
 # Service, team, age in buckets, good, bad.
@@ -75,12 +75,12 @@
             if bucket.start > oldest
         ]
 
-    def take(self, now: float, with_open: bool = False) -> list[Sample]:
+    def take(self, now: float, include_open: bool = False) -> list[Sample]:
         """Remove and return the closed buckets, on request also the present one."""
         current = int(now // BUCKET_S)
         taken: list[Sample] = []
         for (service, team), buckets in list(self._buckets.items()):
-            while buckets and (with_open or buckets[0].start < current):
+            while buckets and (include_open or buckets[0].start < current):
                 bucket = buckets.popleft()
                 age = current - bucket.start
                 taken.append((service, team, age, bucket.good, bucket.bad))
@@ -136,7 +136,9 @@
         """Return the counts in their stored form."""
         found = []
         for key, buckets in sorted(self._buckets.items()):
-            listed = [(*place, *count) for place, count in sorted(buckets.items())]
+            listed = [
+                (*interval, *count) for interval, count in sorted(buckets.items())
+            ]
             found.append(Series(*key, listed))
             self._pause()
         return found
@@ -146,7 +148,7 @@
         found = Counts(pause=self._pause)
         for key, buckets in self._buckets.items():
             for (start, span), (good, bad) in buckets.items():
-                if abs(minute - start) < KEPT_MINUTES:
+                if abs(minute - start) < RETENTION_MINUTES:
                     found._add(key, *_merge(start, span, minute), good, bad)
             self._pause()
         return found
@@ -174,7 +176,7 @@
 
 def _merge(start: int, span: int, minute: int) -> tuple[int, int]:
     """Return the longest bucket that this one belongs to at its age."""
-    for longer, age in SPANS:
+    for longer, age in BUCKET_SPANS:
         whole = start - start % longer
         if span < longer and minute - (whole + longer) >= age:
             return whole, longer
--- a/toucanspring/reporting/deliveries.py
+++ b/toucanspring/reporting/deliveries.py
@@ -23,7 +23,7 @@
 
     def __init__(self, core: kernel.Kernel) -> None:
         self._kernel = core
-        self._waiting: queue.Queue = queue.Queue()
+        self._queue: queue.Queue = queue.Queue()
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -38,11 +38,11 @@
     def publish(self, occurrence: object) -> event.Event:
         """Queue an event; the result is set once all listeners have handled it."""
         delivery = Delivery(occurrence, event.Event())
-        self._waiting.put(delivery)
+        self._queue.put(delivery)
         return delivery.done
 
     def _run(self) -> None:
         while True:
-            delivery = self._waiting.get()
+            delivery = self._queue.get()
             self._kernel.publish(delivery.occurrence)
             delivery.done.set()
--- a/toucanspring/reporting/event_buffer.py
+++ b/toucanspring/reporting/event_buffer.py
@@ -15,14 +15,14 @@
 SEGMENT_BYTES = 8 * 1024
 # Bounds what a process writes in an hour, and with the retention its rows: 96 hours
 # of 64 KiB are 6 MiB. Urgent events may use as much again.
-HOUR_BYTES = 64 * 1024
+MAX_BYTES_PER_HOUR = 64 * 1024
 # Bounds the memory during an outage of the store.
-HELD_BYTES = 512 * 1024
+MAX_BUFFERED_BYTES = 512 * 1024
 # Entries of a minute that keep their subjects; further ones count by kind and cause.
 ENTRIES_PER_MINUTE = 200
 # A written segment stays for this long, so that a reader who saw its row too early
 # still gets it from the process. It also outlasts the minute of its last entry.
-KEPT_S = 120.0
+WRITTEN_RETENTION_S = 120.0
 HOUR_S = 3600
 
 
@@ -99,7 +99,7 @@
         self.segments = [
             segment
             for segment in self.segments[:-1]
-            if segment.unwritten or now - segment.written_at < KEPT_S
+            if segment.unwritten or now - segment.written_at < WRITTEN_RETENTION_S
         ] + self.segments[-1:]
 
     def _append(
@@ -111,10 +111,10 @@
         entry = Entry(self._numbers, wall, wall, 1, event)
         size = len(msgspec.msgpack.encode(entry))
         factor = 2 if event.URGENT else 1
-        held = sum(segment.size for segment in self.segments)
+        buffered = sum(segment.size for segment in self.segments)
         if (
-            self._hour_bytes + size > factor * HOUR_BYTES
-            or held + size > factor * HELD_BYTES
+            self._hour_bytes + size > factor * MAX_BYTES_PER_HOUR
+            or buffered + size > factor * MAX_BUFFERED_BYTES
         ):
             self.lost += 1
             if self.segments:
--- a/toucanspring/reporting/event_rows.py
+++ b/toucanspring/reporting/event_rows.py
@@ -17,10 +17,10 @@
 PAGE_ROWS = 50
 RETENTION_HOURS = 96
 ROWS_PER_REMOVAL = 50
-FILTERED = ("process", *event_kinds.SUBJECTS)
+SUBJECT_FIELDS = ("process", *event_kinds.SUBJECTS)
 
 
-class Found(msgspec.Struct, array_like=True, frozen=True):
+class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
     """Hold a stored entry; the event may be of a kind that this version lacks."""
 
     number: int
@@ -40,7 +40,7 @@
     process: str
     writer: str
     lost: int
-    entries: list[Found]
+    entries: list[StoredEntry]
 
 
 _decoder = msgspec.msgpack.Decoder(Row)
@@ -163,9 +163,9 @@
 
 def _is_about(item: dict[str, object], subject: str) -> bool:
     field, separator, name = subject.partition(":")
-    if separator and field in FILTERED:
+    if separator and field in SUBJECT_FIELDS:
         return _matches(item.get(field), name)
-    return any(_matches(item.get(field), subject) for field in FILTERED)
+    return any(_matches(item.get(field), subject) for field in SUBJECT_FIELDS)
 
 
 def _matches(value: object, name: str) -> bool:
--- a/toucanspring/reporting/events.py
+++ b/toucanspring/reporting/events.py
@@ -27,15 +27,15 @@
 
 WRITE_INTERVAL_S = 30.0
 # Collects the events of one cause, such as the loss of a rack, into one write.
-GATHER_S = 1.0
+BATCH_DELAY_S = 1.0
 # Urgent events are written this long after the last write, so within 5 s in all.
 URGENT_INTERVAL_S = 3.5
 RETRY_S = 5.0
 # Old rows are looked for; the first time sooner, since processes may live shortly.
-REMOVE_INTERVAL_S = 3600.0
-REMOVE_FIRST_S = 600.0
+CLEANUP_INTERVAL_S = 3600.0
+FIRST_CLEANUP_DELAY_S = 600.0
 STOP_LIMIT_S = 3.0
-ASK_TIMEOUT_S = 2.0
+PEER_TIMEOUT_S = 2.0
 MAX_PEER_CALLS = 32
 
 
@@ -70,10 +70,10 @@
         self._buffer = event_buffer.Buffer()
         self._due = math.inf
         self._written_at = -math.inf
-        self._remove_at = clock() + REMOVE_FIRST_S
+        self._cleanup_at = clock() + FIRST_CLEANUP_DELAY_S
         self._changed = gevent.event.Event()
         # A reader may scan all rows, so there is one at a time.
-        self._reading = gevent.lock.BoundedSemaphore()
+        self._read_lock = gevent.lock.BoundedSemaphore()
         self._greenlet: gevent.Greenlet | None = None
         for kind in event_kinds.KINDS:
             core.subscribe(kind, self.record)
@@ -95,7 +95,7 @@
         """Take in an event; never waits."""
         self._buffer.add(event, self._wall_clock())
         interval_s = URGENT_INTERVAL_S if event.URGENT else WRITE_INTERVAL_S
-        due = max(self._clock() + GATHER_S, self._written_at + interval_s)
+        due = max(self._clock() + BATCH_DELAY_S, self._written_at + interval_s)
         if due < self._due:
             self._due = due
             self._changed.set()
@@ -122,10 +122,10 @@
     def report(self, since_s: float, kind: str = "", subject: str = "") -> Report:
         """Return the entries of the last `since_s` seconds of the whole cell."""
         since = self._wall_clock() - since_s
-        with self._reading:
+        with self._read_lock:
             rows = event_rows.read(self._tables, since)
         stored = [] if isinstance(rows, errors.Failure) else rows
-        live, missing = self._ask_all()
+        live, missing = self._collect_live()
         items = event_rows.join(stored, live)
         return Report(
             event_rows.select(items, since, kind, subject),
@@ -142,14 +142,14 @@
 
     def _run(self) -> None:
         while True:
-            wait_s = max(0.0, min(self._due, self._remove_at) - self._clock())
+            wait_s = max(0.0, min(self._due, self._cleanup_at) - self._clock())
             if self._changed.wait(wait_s):
                 self._changed.clear()
                 continue
             try:
                 if self._clock() >= self._due:
                     self.write()
-                if self._clock() >= self._remove_at:
+                if self._clock() >= self._cleanup_at:
                     self._remove_old()
             except Exception:
                 log.exception("writing events failed")
@@ -186,17 +186,17 @@
         return written
 
     def _remove_old(self) -> None:
-        self._remove_at = self._clock() + REMOVE_INTERVAL_S
+        self._cleanup_at = self._clock() + CLEANUP_INTERVAL_S
         if 0 in self._kernel.find("claims").owned():
             event_rows.remove_old(self._tables, self._wall_clock())
 
-    def _ask_all(self) -> tuple[list[event_rows.Row], list[str]]:
+    def _collect_live(self) -> tuple[list[event_rows.Row], list[str]]:
         """Return what live processes hold, and the processes that did not answer."""
         membership = self._kernel.find("membership")
         peers = self._kernel.find("peers")
         others = sorted(set(membership.members()) - {self._process})
         bodies = gevent.pool.Pool(MAX_PEER_CALLS).map(
-            lambda name: peers.call(name, "events", b"", ASK_TIMEOUT_S), others
+            lambda name: peers.call(name, "events", b"", PEER_TIMEOUT_S), others
         )
         found, missing = [], []
         for name, body in zip(
--- a/toucanspring/reporting/page.py
+++ b/toucanspring/reporting/page.py
@@ -33,7 +33,7 @@
 def render(name: str, value: dict) -> str:
     """Return the page of a report."""
     body = {"share": _share, "waiting": _waiting, "burn": _burn}[name](value)
-    missing = "".join(f"<p>{html.escape(each)}</p>" for each in gaps(value))
+    missing = "".join(f"<p>{html.escape(each)}</p>" for each in missing_data(value))
     title = f"toucanspring: {name}"
     return (
         f'<!doctype html>\n<html lang="en"><head><meta charset="utf-8">'
@@ -42,7 +42,7 @@
     )
 
 
-def gaps(value: dict) -> list[str]:
+def missing_data(value: dict) -> list[str]:
     """Return what a report does not contain, one line for each reason."""
     found = []
     if value["missing"]:
@@ -76,12 +76,12 @@
     for index, (label, values, shown) in enumerate(rows):
         y = index * ROW_HEIGHT + LEGEND_HEIGHT
         parts.append(_text(0, y + 20, label))
-        for place, value in enumerate(values):
+        for bar_index, value in enumerate(values):
             length = max(0.0, value) / top * PLOT_WIDTH
             parts.append(
-                f'<rect x="{LABEL_WIDTH}" y="{y + place * BAR_HEIGHT}" '
+                f'<rect x="{LABEL_WIDTH}" y="{y + bar_index * BAR_HEIGHT}" '
                 f'width="{length:.1f}" height="{BAR_HEIGHT - 2}" '
-                f'fill="{COLOURS[place]}"/>'
+                f'fill="{COLOURS[bar_index]}"/>'
             )
         parts.append(_text(LABEL_WIDTH + PLOT_WIDTH + 8, y + 20, shown))
     ticks = (show(0.0), show(top / 2), show(top))
--- a/toucanspring/reporting/report.py
+++ b/toucanspring/reporting/report.py
@@ -24,7 +24,7 @@
 ASK_LIMIT_S = 1.0
 
 
-class Part(msgspec.Struct):
+class Contribution(msgspec.Struct):
     """Hold what one process contributes to a report."""
 
     summary: summary.Summary | None = None
@@ -32,27 +32,27 @@
     budgets: budgets.Export | None = None
 
 
-_part_decoder = msgspec.msgpack.Decoder(Part)
+_decoder = msgspec.msgpack.Decoder(Contribution)
 
 
-def encode(part: Part) -> bytes:
+def encode(part: Contribution) -> bytes:
     """Return a contribution as bytes for a peer."""
     return msgspec.msgpack.encode(part)
 
 
-def decode(body: bytes) -> Part | errors.Malformed:
+def decode(body: bytes) -> Contribution | errors.Malformed:
     """Return the contribution of a peer."""
     try:
-        return _part_decoder.decode(body)
+        return _decoder.decode(body)
     except msgspec.MsgspecError as error:
         return errors.Malformed(reason=str(error))
 
 
-def collect(core: kernel.Kernel, name: str) -> Part:
+def collect(core: kernel.Kernel, name: str) -> Contribution:
     """Return the contribution of this process to a report."""
     if name == "burn":
-        return Part(budgets=core.find("budgets").export())
-    part = Part(summary=_summarise_owned(core))
+        return Contribution(budgets=core.find("budgets").export())
+    part = Contribution(summary=_summarise_owned(core))
     if name == "waiting":
         part.requests = core.find("requests").waiting()
     return part
@@ -85,7 +85,7 @@
 def build(
     name: str,
     cell: text.Cell,
-    parts: list[Part],
+    parts: list[Contribution],
     stored: list[budgets.Row] | errors.Failure = (),
 ) -> dict[str, object]:
     """Return a report from the contributions of all processes and of the store."""
@@ -102,7 +102,9 @@
 
 
 def _budgets(
-    cell: text.Cell, parts: list[Part], stored: list[budgets.Row] | errors.Failure
+    cell: text.Cell,
+    parts: list[Contribution],
+    stored: list[budgets.Row] | errors.Failure,
 ) -> dict[str, object]:
     objectives = {service.name: service.objective for service in cell.services.values()}
     exports = [part.budgets for part in parts if part.budgets is not None]
@@ -159,7 +161,7 @@
     ]
 
 
-def _waiting_requests(parts: list[Part]) -> list[dict[str, object]]:
+def _waiting_requests(parts: list[Contribution]) -> list[dict[str, object]]:
     joined: dict[tuple[str, str], int] = {}
     for part in parts:
         for service, classes in part.requests.items():
--- a/toucanspring/reporting/survey.py
+++ b/toucanspring/reporting/survey.py
@@ -35,7 +35,7 @@
     silent: dict[int, errors.Failure]
 
 
-def list_links(
+def list_workers(
     partition: int,
     links: Mapping[str, worker_link.Link],
     facts: Mapping[str, object],
--- a/toucanspring/terminal/client.py
+++ b/toucanspring/terminal/client.py
@@ -14,7 +14,7 @@
 CONNECT_TIMEOUT_S = 3.0
 MAX_ANSWER_BYTES = 1 << 26
 # Failures after which another process may do better; none of them had an effect.
-ELSEWHERE = (errors.NotRun, errors.Unavailable, errors.Overloaded, errors.Fenced)
+FAILOVER_ERRORS = (errors.NotRun, errors.Unavailable, errors.Overloaded, errors.Fenced)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class EndpointAddress:
     """Locate one endpoint; `secure` means HTTPS."""
 
     host: str
@@ -39,7 +39,7 @@
     secure: bool = False
 
 
-def parse_endpoint(text: str) -> Place | errors.Invalid:
+def parse_endpoint(text: str) -> EndpointAddress | errors.Invalid:
     """Return the place of `host`, `host:port`, `http://...` or `https://...`."""
     expected = "host:port, http://host:port or https://host:port"
     parts = urllib.parse.urlsplit(text if "//" in text else f"//{text}", "http")
@@ -56,10 +56,10 @@
         return errors.Invalid(
             reason="not an endpoint", path="endpoints", value=text, expected=expected
         )
-    return Place(parts.hostname, port, parts.scheme == "https")
+    return EndpointAddress(parts.hostname, port, parts.scheme == "https")
 
 
-def load_authorities(ca_file: str) -> object | errors.Invalid:
+def create_tls_context(ca_file: str) -> object | errors.Invalid:
     """Return a TLS context that accepts certificates of the authorities in a file.
 
     Without a file, those of the host are accepted.
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        endpoints: list[Place],
+        endpoints: list[EndpointAddress],
         key: str,
         operator_key: str,
         operator: str,
@@ -97,13 +97,13 @@
     ) -> None:
         self._endpoints = [
             exchange.Endpoint(
-                place.host,
-                place.port,
+                address.host,
+                address.port,
                 1,
                 connect_timeout_s=min(CONNECT_TIMEOUT_S, timeout_s),
-                tls=tls if place.secure else None,
+                tls=tls if address.secure else None,
             )
-            for place in endpoints
+            for address in endpoints
         ]
         self._key = key
         self._operator_key = operator_key
@@ -146,7 +146,7 @@
             match reply:
                 case exchange.Reply():
                     result = _interpret(reply)
-                    if not isinstance(result, ELSEWHERE):
+                    if not isinstance(result, FAILOVER_ERRORS):
                         self._prefer(endpoint)
                         return result
                     last = result
--- a/toucanspring/terminal/console.py
+++ b/toucanspring/terminal/console.py
@@ -61,7 +61,7 @@
     status: int = 0
 
 
-class Failed(Exception):
+class CommandError(Exception):
     """End a command with a failure; `detail` is printed after it for people."""
 
     def __init__(self, failure: errors.Failure, detail: str = "") -> None:
@@ -73,7 +73,7 @@
 def unwrap(result: object) -> object:
     """Return a result, or end the command if it is a failure."""
     if isinstance(result, errors.Failure):
-        raise Failed(result)
+        raise CommandError(result)
     return result
 
 
@@ -168,7 +168,7 @@
         print(result.text)
 
 
-def print_failure(failed: Failed, as_json: bool) -> None:
+def print_failure(failed: CommandError, as_json: bool) -> None:
     """Print a failure with its type to the error output."""
     failure = failed.failure
     if as_json:
--- a/toucanspring/terminal/source.py
+++ b/toucanspring/terminal/source.py
@@ -25,9 +25,9 @@
         return content.decode()
     except OSError as error:
         reason = f"{path}: {error.strerror}"
-        raise console.Failed(errors.Invalid(reason=reason, path=path)) from None
+        raise console.CommandError(errors.Invalid(reason=reason, path=path)) from None
     except UnicodeDecodeError:
-        raise console.Failed(
+        raise console.CommandError(
             errors.Invalid(reason="not UTF-8", path=path, expected="a YAML text")
         ) from None
 
@@ -37,7 +37,7 @@
     source = read(path)
     cell = reader.parse_all(source)
     if isinstance(cell, list):
-        raise console.Failed(cell[0], show_faults(path, cell[1:]))
+        raise console.CommandError(cell[0], show_faults(path, cell[1:]))
     return source, cell
 
 
