--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -73,7 +73,7 @@
         self._cell = self._parse("")
         self._view = freshness.View()
         self._target_versions = freshness.Versions()
-        self._view_lease = ownership.Lease()
+        self._validity = ownership.Lease()
         self._has_read_head = False
         self._stale_heads = 0
         self._pending_head: tuple[freshness.Versions, float] | None = None
@@ -119,7 +119,7 @@
 
     def fresh(self, now: float) -> bool:
         """Return whether keyed work may be accepted and tasks may be started."""
-        lease_state = ownership.lease_state(self._view_lease, now)
+        lease_state = ownership.lease_state(self._validity, now)
         if lease_state is ownership.LeaseState.EXTENDED:
             return self._view.versions.covers(self._target_versions)
         return lease_state is ownership.LeaseState.HELD
@@ -127,12 +127,12 @@
     def extend(self, now: float) -> None:
         """Extend the view by the promises known now; called with each heartbeat."""
         # A process that has not read the head itself has no list to count against.
-        if self._has_read_head and not self._view_lease.ended:
+        if self._has_read_head and not self._validity.ended:
             members = self._members
             known = dict(members.peer_tracker.promised_versions)
             known[members.identity.process] = self._view.versions
-            self._view_lease = freshness.extend(
-                self._view_lease,
+            self._validity = freshness.extend(
+                self._validity,
                 self._view,
                 members.local_member.possible_member_lists,
                 members.promises(),
@@ -279,7 +279,7 @@
 
     def _confirm(self, view: freshness.View) -> None:
         self._view = view
-        self._view_lease = freshness.renew(self._view_lease, view.confirmed_at)
+        self._validity = freshness.renew(self._validity, view.confirmed_at)
 
     def _raise_target(self, versions: freshness.Versions) -> None:
         self._target_versions = freshness.merge(self._target_versions, versions)
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -25,7 +25,7 @@
 _GOT = re.compile(r", got (.*)$")
 
 # The words of fields whose fault msgspec describes without naming the valid ones.
-_WORDS = {
+_VALID_VALUES = {
     "kind": tuple(job.Kind),
     "class": tuple(job.JobClass),
     "default_class": tuple(job.JobClass),
@@ -51,7 +51,7 @@
         self.found.append(
             errors.Invalid(
                 reason=reason,
-                path=syntax.show(path),
+                path=syntax.format_path(path),
                 line=self._document.line(path),
                 value=syntax.shorten(value),
                 expected=expected,
@@ -172,8 +172,8 @@
     if "missing required" in message:
         reason, value = "field missing", ""
     expected = _GOT.sub("", message).removeprefix("Expected ").replace("`", "")
-    if inner and inner[-1] in _WORDS:
-        expected = "one of " + ", ".join(_WORDS[inner[-1]])
+    if inner and inner[-1] in _VALID_VALUES:
+        expected = "one of " + ", ".join(_VALID_VALUES[inner[-1]])
     faults.add((*path, *inner), value, expected, reason)
     return None
 
@@ -224,7 +224,9 @@
     def team(self, name: str, entry: model.Team) -> text.Team:
         """Return a team; its organisation must exist and its share be positive."""
         path = ("teams", name)
-        self._known("organisations", (*path, "organisation"), entry.organisation)
+        self._check_reference(
+            "organisations", (*path, "organisation"), entry.organisation
+        )
         if not 0 < entry.share <= 1e9:
             self._faults.add(
                 (*path, "share"),
@@ -239,13 +241,13 @@
 
     def queue(self, name: str, entry: model.Queue) -> text.Queue:
         """Return a queue; its team must exist."""
-        self._known("teams", ("queues", name, "team"), entry.team)
+        self._check_reference("teams", ("queues", name, "team"), entry.team)
         return text.Queue(name, entry.team, entry.access, entry.description)
 
     def service(self, name: str, entry: model.Service) -> text.Service:
         """Return a service; its queue and its default class must exist."""
         path = ("services", name)
-        self._known("queues", (*path, "queue"), entry.queue)
+        self._check_reference("queues", (*path, "queue"), entry.queue)
         timeout = self._seconds((*path, "timeout"), entry.timeout)
         if not entry.classes:
             self._faults.add((*path, "classes"), "", "at least one class", "no classes")
@@ -303,12 +305,12 @@
     def job(self, name: str, entry: model.Job) -> text.JobTemplate:
         """Return a job template; what it names must exist."""
         path = ("jobs", name)
-        self._known("teams", (*path, "team"), entry.team)
-        self._known("queues", (*path, "queue"), entry.queue)
+        self._check_reference("teams", (*path, "team"), entry.team)
+        self._check_reference("queues", (*path, "queue"), entry.queue)
         for index, zone in enumerate(entry.zones):
-            self._known("availability_zones", (*path, "zones", index), zone)
+            self._check_reference("availability_zones", (*path, "zones", index), zone)
         for index, other in enumerate(entry.after):
-            self._known("jobs", (*path, "after", index), other)
+            self._check_reference("jobs", (*path, "after", index), other)
         for field in ("zones", "after"):
             names = getattr(entry, field)
             if len(set(names)) < len(names):
@@ -348,7 +350,7 @@
             description=entry.description,
         )
 
-    def _known(self, section: str, path: syntax.Path, name: str) -> None:
+    def _check_reference(self, section: str, path: syntax.Path, name: str) -> None:
         if name not in self._declared[section]:
             expected = f"a name of the section {section}"
             self._faults.add(path, name, expected, "unknown name")
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -21,7 +21,7 @@
 
 _INTEGER = re.compile(r"[-+]?[0-9]{1,18}")
 _FLOAT = re.compile(r"[-+]?(\.[0-9]+|[0-9]+(\.[0-9]*)?)([eE][-+]?[0-9]+)?")
-_WORDS = {"": None, "~": None, "null": None, "true": True, "false": False}
+_LITERALS = {"": None, "~": None, "null": None, "true": True, "false": False}
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
@@ -47,7 +47,7 @@
         self.failure = failure
 
 
-def show(path: Path) -> str:
+def format_path(path: Path) -> str:
     """Return a path in the form `teams.rep-checks.share`."""
     return ".".join(str(part) for part in path)
 
@@ -105,7 +105,7 @@
     return _ReadError(
         errors.Invalid(
             reason=f"{value} is not accepted here",
-            path=show(path),
+            path=format_path(path),
             line=event.start_mark.line + 1,
             value=shorten(value),
             expected=expected,
@@ -143,7 +143,7 @@
             raise _ReadError(
                 errors.Invalid(
                     reason="duplicate key",
-                    path=show(inner),
+                    path=format_path(inner),
                     line=key.start_mark.line + 1,
                     value=shorten(key.value),
                     expected=f"one entry (the first is on line {lines[inner]})",
@@ -155,8 +155,8 @@
 
 
 def _scalar(text: str) -> object:
-    if text in _WORDS:
-        return _WORDS[text]
+    if text in _LITERALS:
+        return _LITERALS[text]
     if _INTEGER.fullmatch(text):
         return int(text)
     if _FLOAT.fullmatch(text):
