--- a/test/test_text.py
+++ b/test/test_text.py
@@ -12,15 +12,15 @@
     derandomize=True, deadline=None, max_examples=150, database=None
 )
 
-# Changes of the example text, `\n` for a line break, each followed by the path and
-# the reason of the fault that it must be refused with.
+# Edits of the example text, `\n` for a line break, each followed by the path and
+# the reason of the error that it must be rejected with.
 FAULTS = r"""
 share: 5 => share: 0
   teams.desk.share | share is not positive
 share: 5 => share: -1
   teams.desk.share | share is not positive
 share: 5 => share: .inf
-  teams.desk.share | not valid
+  teams.desk.share | invalid value
 share: 5 => shares: 5
   teams.desk.shares | unknown field
     share: 5\n =>     description: x\n
@@ -42,25 +42,25 @@
 cpus: 8, memory: 16 GiB => cpus: 33, memory: 1 GiB
   jobs.demand-model.resources | larger than the largest worker
 cpus: 8, memory: 16 GiB => cpus: 0, memory: 16 GiB
-  jobs.demand-model.resources | impossible size
+  jobs.demand-model.resources | invalid size
 cpus: 8, memory: 16 GiB => cpus: 8, memory: 16 GB
-  jobs.demand-model.resources.memory | impossible size
+  jobs.demand-model.resources.memory | invalid size
 cpus: 8, memory: 16 GiB => cpus: -8, memory: 16 GiB
-  jobs.demand-model.resources.cpus | impossible size
+  jobs.demand-model.resources.cpus | invalid size
 run_time: 40 min => run_time: 0 s
-  jobs.demand-model.run_time | impossible time
+  jobs.demand-model.run_time | invalid duration
 kind: gang => kind: gong
-  jobs.demand-model.kind | not valid
+  jobs.demand-model.kind | invalid value
 queue: retail => queue: desk
   jobs.demand-model.queue | the queue belongs to team desk
 default_class: check => default_class: urgent
   services.request-desk.default_class | unknown class
 objective: 99.9 => objective: 100
-  services.request-desk.objective | impossible objective
+  services.request-desk.objective | invalid objective
   routes: {team: routes} =>   routes: {team: routes}\n  routes: {team: desk}
   queues.routes | duplicate key
   routes: {team: routes} =>   Routes: {team: routes}
-  queues.Routes | not a name
+  queues.Routes | invalid name
 cell: kernhalde => cell: &a kernhalde
   cell | an anchor or alias is not accepted here
 cell: kernhalde => cell: !!python/name:os.system x
@@ -79,7 +79,7 @@
 
 class TextTest(testtools.TestCase):
     def test_a_fault_names_path_line_value_and_expected_form(self):
-        # Guards against a faulty text that passes, or whose fault cannot be found.
+        # Guards against an invalid text that is accepted and an error without a place.
         for old, new, path, reason in read_faults():
             source = KERNHALDE.replace(old, new, 1)
             self.assertNotEqual(KERNHALDE, source, old)
@@ -104,12 +104,12 @@
     def test_oversized_and_deep_texts_are_refused_before_they_are_read(self):
         # Guards against a text that exhausts memory or the stack.
         large = KERNHALDE + "#" * syntax.MAX_TEXT_BYTES
-        self.assertEqual("the text is oversized", reader.parse(large).reason)
+        self.assertEqual("the text is too large", reader.parse(large).reason)
         for deep in ("[" * 100_000, "cell: " + "{a: " * 5_000, "- " * 50_000):
             self.assertIsInstance(reader.parse(deep), errors.Invalid)
 
     def test_a_long_chain_of_dependencies_is_no_cycle(self):
-        # Guards against recursion over the operators' dependencies.
+        # Guards against a stack overflow by recursion over the dependencies of jobs.
         entry = "{team: desk, queue: desk, resources: {cpus: 1, memory: 1}"
         jobs = "".join(
             f"  chain-{index}: {entry}, after: [chain-{index + 1}]}}\n"
@@ -135,7 +135,7 @@
         self.assertEqual((7200.0, 21600.0), (gang.run_seconds, gang.deadline_seconds))
 
     def test_an_edit_starts_a_job_again_only_with_a_new_run_number(self):
-        # Guards against an edit of a comment or a limit that repeats work.
+        # Guards against an edit of a comment or a limit that starts a job again.
         old = reader.parse(KERNHALDE)
         edited = reader.parse(
             KERNHALDE.replace("run_time: 5 min", "run_time: 6 min", 1)
--- a/toucanspring/configuration/__init__.py
+++ b/toucanspring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' text, keys and zones: read, checked, changed, kept fresh."""
+"""Configuration of the cell, API keys and availability zones."""
--- a/toucanspring/configuration/changes.py
+++ b/toucanspring/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of documents by operators, committed once despite lost answers and races."""
+"""Changes of documents, committed once despite lost answers and conflicts."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from toucanspring.cell import freshness
 from toucanspring.configuration import records
 
+# Configuration versions kept; each new version deletes the oldest one beyond these.
 MAX_HISTORY_VERSIONS = 1000
 RETRY_S = 0.1
 # A change is retried for this long after lost answers and conflicts.
@@ -26,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Hold a new document and further rows of the same transaction."""
+    """New document with the other writes and deletes of its transaction."""
 
     document: records.Document
     writes: dict[str, bytes] = dataclasses.field(default_factory=dict)
@@ -35,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InEffect:
-    """State that the change was committed, possibly by an earlier attempt."""
+    """Document of a change that is committed, possibly by an earlier attempt."""
 
     document: records.Document
 
 
 class Change(Protocol):
-    """One change of the document `name`, made on rows read with the head."""
+    """Change of the document `name`, planned on the rows `reads` and the head row."""
 
     name: str
     reads: list[str]
@@ -49,13 +50,13 @@
     def plan(
         self, rows: Rows, current: freshness.Versions
     ) -> Plan | InEffect | errors.Failure:
-        """Return what to write; `InEffect` if an earlier attempt took effect."""
+        """Return the writes, or `InEffect` if an earlier attempt was committed."""
 
 
 class ConfigChange:
     """Replace the configuration text if its version is as expected.
 
-    A text that equals the one in force at that version changes nothing.
+    If the text is already in force at that version, no new version is written.
     """
 
     name = "config"
@@ -101,7 +102,7 @@
 
 
 class _Edit(abc.ABC):
-    """Edit a document whose changes commute, whatever its version is."""
+    """Base of commutative edits, which apply to any version of a document."""
 
     name: ClassVar[str]
 
@@ -191,11 +192,12 @@
     in_force: Callable[[], freshness.Versions],
     clock: Callable[[], float] = time.monotonic,
 ) -> records.Document | errors.Failure:
-    """Write a document and raise the head; retry after lost answers and races.
+    """Commit a change and its version in the head row, with retries.
 
-    Each attempt checks the head row, so once the head has moved on, an earlier
-    attempt of this change can no longer take effect. Returns `Ambiguous` only if an
-    answer was lost and the rows could not be read in time.
+    Retries after lost answers and conflicts. Each attempt checks the version of the
+    head row, so once the head has changed, an earlier attempt can no longer take
+    effect. Returns `Ambiguous` only if an answer was lost and the rows could not be
+    read in time.
     """
     deadline = clock() + LIMIT_S
     lost: errors.Ambiguous | None = None
@@ -207,7 +209,7 @@
             case errors.Ambiguous():
                 lost = result
             case errors.Conflict(key=records.HEAD):
-                result = errors.Unavailable(reason="too many changes at once")
+                result = errors.Unavailable(reason="too many concurrent changes")
             case errors.Unavailable() if lost is not None:
                 pass
             case _:
@@ -229,7 +231,9 @@
     if isinstance(head, errors.Failure):
         return head
     if not head.versions.covers(in_force):
-        return errors.Refused(reason="the store shows less than what is in force")
+        return errors.Refused(
+            reason="the store returned older versions than those in force"
+        )
     planned = change.plan(rows, head.versions)
     if not isinstance(planned, Plan):
         return planned
--- a/toucanspring/configuration/checks.py
+++ b/toucanspring/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operators' text that concern several of its entries at once."""
+"""Validation rules that involve several entries of the configuration."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class FaultCollector(Protocol):
-    """Collect what is wrong with a text."""
+    """Collector of validation errors."""
 
     def add(self, path: syntax.Path, value: object, expected: str, reason: str) -> None:
-        """Record a fault at a path of the text."""
+        """Record an error at a path of the configuration."""
 
 
 def check_jobs(cell: text.Cell, faults: FaultCollector) -> None:
@@ -48,7 +48,7 @@
 ) -> None:
     demand = template.demand
     if demand.cpus <= 0 or demand.memory <= 0:
-        faults.add(path, _show(demand), "cpus and memory above 0", "impossible size")
+        faults.add(path, _show(demand), "cpus and memory above 0", "invalid size")
         return
     if cell.largest_task is not None and not demand.fits(cell.largest_task):
         expected = f"at most {_show(cell.largest_task)}"
--- a/toucanspring/configuration/confirmation.py
+++ b/toucanspring/configuration/confirmation.py
@@ -1,4 +1,4 @@
-"""Which processes have a document version in force, and waiting for enough of them."""
+"""Confirmation of stored document versions by the members of the cell."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from toucanspring import errors
 from toucanspring.cell import freshness, membership
 
-# How long a stored change waits until half of the members have it in force.
+# Limit on the wait until half of the members have a stored change in force.
 LIMIT_S = 2.5
-# Until the member rows are read again after a failure.
+# Delay of the next read of the member rows after a failed one.
 RETRY_S = 0.1
 
 
@@ -29,7 +29,7 @@
         self._announced = event.Event()
 
     def notify(self) -> None:
-        """Look again at what the members announced."""
+        """Wake waiters to check the announced versions again."""
         self._announced.set()
 
     def by_process(self, name: str, version: int) -> dict[str, bool]:
@@ -50,11 +50,12 @@
     def wait(self, name: str, version: int) -> errors.Ambiguous | None:
         """Wait until enough members have a stored version in force.
 
-        A majority that vouches for an old view during an outage of the store then
-        always includes a member that knows the change.
+        A majority that confirms an old view during a store outage then always includes
+        a member that knows the change.
         """
         deadline = time.monotonic() + LIMIT_S
-        # A member that wrote its row before the change but was not read yet counts too.
+        # A member that registered before the change must be counted even if its row
+        # was not read yet.
         scanned = False
         while True:
             self._announced.clear()
--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -1,4 +1,4 @@
-"""Configuration, keys and availability zones: read, spread, changed and kept fresh."""
+"""Service `documents`: configuration, keys and availability zones in force here."""
 
 from __future__ import annotations
 
@@ -20,9 +20,12 @@
 log = logbook.Logger(__name__)
 
 MAX_SOURCE_BYTES = 512 << 10
+# Versions that `history` returns at most.
 HISTORY_PAGE = 100
 FETCH_TIMEOUT_S = 2.0
 RETRY_S = 0.1
+# A single stale head may be a read that a change has overtaken. This many in a row
+# mean that the store has lost changes, which is logged.
 STALE_HEADS_PER_ERROR = 4
 
 
@@ -56,7 +59,7 @@
 
 
 class Service:
-    """Own the documents in force in this process."""
+    """Manage the documents in force in this process."""
 
     def __init__(
         self,
@@ -95,7 +98,7 @@
         """Stop following."""
         self._greenlets.kill()
 
-    # Interface: reading
+    # Public API: reads
 
     def cell(self) -> object:
         """Return the parsed configuration in force."""
@@ -125,8 +128,8 @@
         return lease_state is ownership.LeaseState.HELD
 
     def extend(self, now: float) -> None:
-        """Extend the view by the promises known now; called with each heartbeat."""
-        # A process that has not read the head itself has no list to count against.
+        """Extend the validity of the view by the known promises on each heartbeat."""
+        # Without a read of the head there is no member list to count a majority of.
         if self._has_read_head and not self._validity.ended:
             members = self._members
             known = dict(members.peer_tracker.promised_versions)
@@ -141,7 +144,7 @@
             )
 
     def has_read_head(self) -> bool:
-        """Return whether the head was read since the own member row was written."""
+        """Return whether the head was read since this process wrote its member row."""
         return self._has_read_head
 
     def keys(self) -> list[records.KeyInfo]:
@@ -176,12 +179,12 @@
         """Return which members have a configuration version in force."""
         return self.confirmation.by_process("config", version)
 
-    # Interface: changes
+    # Public API: changes
 
     def apply(
         self, source: str, expected_version: int, operator: str
     ) -> int | errors.Failure:
-        """Put a configuration text into force; return its version.
+        """Apply a configuration text and return its version.
 
         Fails with `Invalid`, `Conflict` with both versions, `Unavailable` (not in
         force) or `Ambiguous`.
@@ -219,7 +222,7 @@
         log.info("operator {} withdraws key {}", operator, key_id)
         return self._change(changes.KeyWithdrawal(key_id))
 
-    # Changes
+    # Commits
 
     @property
     def _tables(self) -> tables.TableClient:
@@ -237,7 +240,7 @@
         failure = self.confirmation.wait(name, document.version)
         return document.version if failure is None else failure
 
-    # Following
+    # Replication
 
     def _handle_head(self, rows: Mapping[str, tables.Row], sent_at: float) -> None:
         head = records.decode(records.Head, rows[records.HEAD].value)
@@ -245,11 +248,12 @@
             log.error("{}", head.reason)
             return
         if not head.versions.covers(self._view.versions):
-            # One may be a read that a change has overtaken; a series is a store that
-            # has lost changes. The view then ages, and keyed work stops.
+            # The view is not confirmed; once it is too old, keyed work stops.
             self._stale_heads += 1
             if self._stale_heads % STALE_HEADS_PER_ERROR == 0:
-                log.error("the store shows {}, which is too old", head.versions)
+                log.error(
+                    "the store returned stale document versions: {}", head.versions
+                )
             return
         self._stale_heads = 0
         self._has_read_head = (
@@ -349,15 +353,17 @@
         return self._adopt(name, document)
 
     def _adopt(self, name: str, document: records.Document) -> bool:
-        """Put a document into force unless a newer one is; versions never go back."""
+        """Put a document into force unless a newer one is; versions never decrease."""
         if document.version <= getattr(self._view.versions, name):
             return False
         if name == "config":
             cell = self._parse(document.source)
             if isinstance(cell, errors.Failure):
-                # Not in force here, hence not confirmed and, soon, not fresh.
+                # Not put into force, so it is not confirmed and the view expires soon.
                 log.error(
-                    "configuration {} is invalid here: {}", document.version, cell
+                    "configuration {} is invalid in this process: {}",
+                    document.version,
+                    cell,
                 )
                 return False
             self._cell = cell
--- a/toucanspring/configuration/model.py
+++ b/toucanspring/configuration/model.py
@@ -1,7 +1,7 @@
-"""Border models of the operators' text, and the units that values are written in.
+"""Schema of the configuration text, and parsers of quantities with units.
 
-Each entry of a section is checked against its model on its own, so that one faulty
-entry does not hide the faults of the others.
+Each entry of a section is validated on its own, so that an invalid entry does not hide
+the errors in others.
 """
 
 import re
@@ -14,7 +14,7 @@
 MIB_PER_UNIT = {"MiB": 1, "GiB": 1024, "TiB": 1024 * 1024}
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1, "min": 60, "h": 3600, "d": 86400}
 MILLICORES_PER_CPU = 1000
-# Far above any real machine or cell, and sums of 100,000 of them stay in 64 bits.
+# Far above any real machine or cell; a sum of 100,000 such amounts fits in 64 bits.
 MAX_AMOUNT = 1 << 40
 MAX_TASKS = 10_000
 MAX_RETRIES = 100
@@ -30,11 +30,11 @@
 
 
 class Model(msgspec.Struct, forbid_unknown_fields=True):
-    """Refuse fields that the model does not name."""
+    """Base of all schema structures; rejects unknown fields."""
 
 
 class Amounts(Model, kw_only=True):
-    """Hold cores, memory (MiB, or text with a unit) and accelerators."""
+    """Cores, memory (MiB, or a string with a unit) and accelerators."""
 
     cpus: int | float = 0
     memory: Quantity = 0
@@ -42,27 +42,27 @@
 
 
 class Limits(Model, kw_only=True):
-    """State what the largest worker offers; larger tasks can never run."""
+    """Size of the largest worker; larger tasks can never run."""
 
     largest_task: Amounts
 
 
 class AvailabilityZone(Model, kw_only=True):
-    """Name a region of an availability zone."""
+    """Availability zone with its region."""
 
     region: str = ""
     description: str = ""
 
 
 class Organisation(Model, kw_only=True):
-    """Describe an organisation; `host` marks the one that operates the cell."""
+    """Organisation; `host` marks the one that operates the cell."""
 
     host: bool = False
     description: str = ""
 
 
 class Team(Model, kw_only=True):
-    """Describe a team with its share of a full cell and its ceiling."""
+    """Team with its share of a fully used cell and its ceiling."""
 
     organisation: str
     share: int | float
@@ -71,7 +71,7 @@
 
 
 class Queue(Model, kw_only=True):
-    """Describe where work enters; an open queue accepts work without a key."""
+    """Queue of a team; an open queue accepts work without a key."""
 
     team: str
     access: Literal["keyed", "open"] = "keyed"
@@ -79,7 +79,7 @@
 
 
 class ClassRule(Model, kw_only=True):
-    """Limit the requests of one class to a service."""
+    """Limits on the requests of one class to a service."""
 
     timeout: Quantity | None = None
     max_waiting: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1000
@@ -88,13 +88,13 @@
 
 
 class Service(Model, kw_only=True):
-    """Describe a service whose requests are forwarded to backend servers."""
+    """Service whose requests are forwarded to backend servers."""
 
     queue: str
     backend_servers: str
     timeout: Quantity = 10
     retries: Annotated[int, msgspec.Meta(ge=0, le=10)] = 2
-    # Read with `ClassRule` one by one, so that a fault names its class.
+    # Values are converted to `ClassRule` one by one, so that errors name the class.
     classes: dict[str, object]
     default_class: job.JobClass | None = None
     objective: int | float = 99.9
@@ -102,7 +102,7 @@
 
 
 class Job(Model, kw_only=True):
-    """Describe a job that starts on acceptance of the text or on `submit`."""
+    """Job that starts when the configuration is applied or on `submit`."""
 
     team: str
     queue: str
@@ -124,7 +124,7 @@
 
 
 def read_seconds(quantity: Quantity) -> float | None:
-    """Return seconds of a number or a text such as `20 min`; None if not positive."""
+    """Return seconds of a number or a string like `20 min`; None if not positive."""
     seconds = _read_quantity(quantity, SECONDS_PER_UNIT)
     if seconds is None or not 0 < seconds <= MAX_SECONDS:
         return None
@@ -132,7 +132,7 @@
 
 
 def read_memory(quantity: Quantity) -> int | None:
-    """Return MiB of an integer or a text such as `8 GiB`; None if it is neither."""
+    """Return MiB of an integer or a string like `8 GiB`; None if invalid."""
     amount = _read_quantity(quantity, MIB_PER_UNIT)
     if amount is None or not 0 <= amount <= MAX_AMOUNT or amount != int(amount):
         return None
@@ -140,7 +140,7 @@
 
 
 def read_millicores(cpus: int | float) -> int | None:
-    """Return millicores of a number of cores; None if negative or too fine."""
+    """Return millicores of a number of cores; None if negative or too small."""
     if not 0 <= cpus <= MAX_AMOUNT / MILLICORES_PER_CPU:
         return None
     millicores = round(cpus * MILLICORES_PER_CPU)
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reader of the operators' text: builds the cell and checks it as a whole."""
+"""Parser of the configuration text: validates it and builds a `text.Cell`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 _PART = re.compile(r"\.([^.\[]+)|\[([0-9]+)\]")
 _GOT = re.compile(r", got (.*)$")
 
-# The words of fields whose fault msgspec describes without naming the valid ones.
+# Valid values of the fields for which the message of msgspec does not list them.
 _VALID_VALUES = {
     "kind": tuple(job.Kind),
     "class": tuple(job.JobClass),
@@ -34,20 +34,19 @@
     "start": ("apply", "submit"),
 }
 
-
-# A text with many faults is usually one mistake repeated; the first ones show it.
+# Many errors are usually one mistake repeated; the first ones show it.
 MAX_FAULTS = 100
 
 
 class FaultCollector:
-    """Collect what is wrong with a text."""
+    """Collect validation errors with their lines."""
 
     def __init__(self, document: syntax.Document) -> None:
         self._document = document
         self.found: list[errors.Invalid] = []
 
     def add(self, path: syntax.Path, value: object, expected: str, reason: str) -> None:
-        """Record a fault at a path of the text."""
+        """Record an error at a path of the configuration."""
         self.found.append(
             errors.Invalid(
                 reason=reason,
@@ -60,7 +59,7 @@
 
 
 def parse(source: str) -> text.Cell | errors.Invalid:
-    """Return the cell that a text declares, or its first fault."""
+    """Return the declared cell, or the first validation error."""
     match parse_all(source):
         case text.Cell() as cell:
             return cell
@@ -69,9 +68,9 @@
 
 
 def parse_all(source: str) -> text.Cell | list[errors.Invalid]:
-    """Return the cell that a text declares, or its faults in the order of lines.
+    """Return the declared cell, or its validation errors in the order of lines.
 
-    An empty text is the cell before the first configuration, without any entry.
+    An empty text is the state before the first configuration: a cell without entries.
     """
     if not source:
         return text.Cell()
@@ -85,11 +84,16 @@
 
 
 def read_cell(document: syntax.Document) -> tuple[text.Cell, list[errors.Invalid]]:
-    """Return the cell and the faults; with faults the cell is incomplete."""
+    """Return the cell and its errors; with errors the cell is incomplete."""
     faults = FaultCollector(document)
     root = document.value
     if not isinstance(root, dict):
-        faults.add((), root, "a mapping with the key `cell`", "not a cell")
+        faults.add(
+            (),
+            root,
+            "a mapping with the key `cell`",
+            "the configuration is not a mapping",
+        )
         return text.Cell(), faults.found
     for key in root:
         if key not in TOP_LEVEL:
@@ -127,7 +131,9 @@
     if entries is None:
         return
     if not isinstance(entries, dict):
-        faults.add((section,), entries, "a mapping of names", "not a section")
+        faults.add(
+            (section,), entries, "a mapping of names", "the section is not a mapping"
+        )
         return
     for name, entry in entries.items():
         path = (section, name)
@@ -141,7 +147,7 @@
     if isinstance(name, str) and model.NAME.fullmatch(name):
         return True
     expected = "1 to 63 lower case letters, digits and hyphens"
-    reason = "name missing" if name is None else "not a name"
+    reason = "name missing" if name is None else "invalid name"
     faults.add(path, name, expected, reason)
     return False
 
@@ -149,7 +155,7 @@
 def _convert(
     entry: object, kind: type[model.Model], path: syntax.Path, faults: FaultCollector
 ) -> model.Model | None:
-    """Return the validated entry, or record the fault at the field it lies in."""
+    """Return the validated entry, or record the error at the field that caused it."""
     try:
         return msgspec.convert(entry, kind)
     except msgspec.ValidationError as error:
@@ -168,7 +174,7 @@
         value = unknown[1]
         fields = ", ".join(field.encode_name for field in msgspec.structs.fields(kind))
         message = f"one of {fields}" if len(inner) == 1 else "a field of this entry"
-    reason = "unknown field" if unknown else "not valid"
+    reason = "unknown field" if unknown else "invalid value"
     if "missing required" in message:
         reason, value = "field missing", ""
     expected = _GOT.sub("", message).removeprefix("Expected ").replace("`", "")
@@ -203,8 +209,8 @@
         faults: FaultCollector,
     ) -> None:
         self._models = models
-        # Names with faulty entries count, so that one fault is not reported for
-        # every use of the name.
+        # Includes the names of invalid entries, so that one error is not reported again
+        # for every reference to the name.
         self._declared = declared
         self._faults = faults
 
@@ -256,7 +262,7 @@
                 (*path, "objective"),
                 entry.objective,
                 "a percentage above 0 and below 100",
-                "impossible objective",
+                "invalid objective",
             )
         classes = dict(self._class_rules((*path, "classes"), entry.classes, timeout))
         default = entry.default_class or next(iter(classes), job.JobClass.CHECK)
@@ -303,7 +309,7 @@
         return text.ClassRule(timeout, rule.max_waiting, rule.idempotent, within)
 
     def job(self, name: str, entry: model.Job) -> text.JobTemplate:
-        """Return a job template; what it names must exist."""
+        """Return a job template; all entries that it refers to must exist."""
         path = ("jobs", name)
         self._check_reference("teams", (*path, "team"), entry.team)
         self._check_reference("queues", (*path, "queue"), entry.queue)
@@ -359,7 +365,7 @@
         seconds = model.read_seconds(quantity)
         if seconds is None:
             expected = "a positive time such as 90 s, 20 min or 2 h"
-            self._faults.add(path, quantity, expected, "impossible time")
+            self._faults.add(path, quantity, expected, "invalid duration")
         return seconds or 1.0
 
     def _amounts(
@@ -371,7 +377,7 @@
                 (*path, "cpus"),
                 amounts.cpus,
                 "cores, in steps of 0.001",
-                "impossible size",
+                "invalid size",
             )
         memory = model.read_memory(amounts.memory)
         if memory is None:
@@ -379,6 +385,6 @@
                 (*path, "memory"),
                 amounts.memory,
                 "such as 512 MiB or 8 GiB",
-                "impossible size",
+                "invalid size",
             )
         return resources.Resources(cpus or 0, memory or 0, amounts.accelerators)
--- a/toucanspring/configuration/records.py
+++ b/toucanspring/configuration/records.py
@@ -65,7 +65,7 @@
 
 
 class DocumentRow(NamedTuple):
-    """Name the row of a document and the type of its value."""
+    """Row key of a document and the type of its value."""
 
     key: str
     kind: type[ConfigVersion] | type[Keys] | type[Zones]
@@ -79,7 +79,7 @@
 
 
 class KeyInfo(msgspec.Struct, frozen=True):
-    """Describe a granted key without its secret."""
+    """Granted key without its secret."""
 
     id: str
     team: str
@@ -87,7 +87,7 @@
 
 
 class GrantedKey(msgspec.Struct, frozen=True):
-    """Hold a new key; its secret is shown only once."""
+    """New key; its secret is shown only once."""
 
     id: str
     team: str
@@ -105,7 +105,7 @@
 
 
 def decode(kind: type, value: bytes) -> object | errors.Malformed:
-    """Return the record of a type in a row value; an empty value is the default."""
+    """Decode a row value as a type; an empty value gives the default record."""
     if not value and kind is not Head:
         return kind()
     if not value:
@@ -117,12 +117,12 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key of a configuration version; padded, so that scans are in order."""
+    """Return the row key of a version, zero-padded so that scans are in order."""
     return f"{HISTORY}{version:010d}"
 
 
 def new_change_id() -> str:
-    """Return an ID that recognises a change after its answer was lost."""
+    """Return an ID by which a change is recognised after its answer was lost."""
     return secrets.token_hex(8)
 
 
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -1,8 +1,8 @@
-"""YAML of the operators' text, read into plain values with line numbers.
+"""YAML reader that returns plain values with line numbers.
 
-Only the core of YAML is accepted: anchors, aliases and tags are refused, because
-a short text with aliases expands to an arbitrarily large one. Plain scalars follow
-the YAML 1.2 core schema, so that `no` is a name and not a truth value.
+Only a subset of YAML is accepted: anchors, aliases and tags are rejected, because a
+short text with aliases can expand to an arbitrarily large value. Plain scalars follow
+the YAML 1.2 core schema, so that `no` is a string and not a boolean.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 from toucanspring import errors
 
-# The text travels in one peer frame and one table row of at most 1 MiB.
+# The text must fit in one peer frame and in one table row, which holds up to 1 MiB.
 MAX_TEXT_BYTES = 512 * 1024
 MAX_DEPTH = 12
 MAX_SHOWN_CHARACTERS = 80
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Hold the plain value of a text and the 1-based line of each path in it."""
+    """Value of a text with the 1-based line of each path in it."""
 
     value: object
     lines: dict[Path, int]
@@ -40,7 +40,7 @@
 
 
 class _ReadError(Exception):
-    """Carry the failure out of the recursive reader."""
+    """Raised in the recursive reader to return a failure."""
 
     def __init__(self, failure: errors.Invalid) -> None:
         super().__init__(failure.reason)
@@ -48,12 +48,12 @@
 
 
 def format_path(path: Path) -> str:
-    """Return a path in the form `teams.rep-checks.share`."""
+    """Return a path in dotted form, such as `teams.rep-checks.share`."""
     return ".".join(str(part) for part in path)
 
 
 def shorten(value: object) -> str:
-    """Return a value in printable form, cut to a length fit for messages."""
+    """Return a value in printable form, truncated for use in messages."""
     text = value if isinstance(value, str) else repr(value)
     text = "".join(character if character.isprintable() else "?" for character in text)
     if len(text) > MAX_SHOWN_CHARACTERS:
@@ -62,11 +62,11 @@
 
 
 def read(source: str) -> Document | errors.Invalid:
-    """Read a text; the failure names the line at which it breaks YAML or a limit."""
+    """Read a YAML text; a failure names the line of the error."""
     size = len(source.encode("utf-8", "surrogatepass"))
     if size > MAX_TEXT_BYTES:
         return errors.Invalid(
-            reason="the text is oversized",
+            reason="the text is too large",
             line=1,
             value=f"{size} bytes",
             expected=f"at most {MAX_TEXT_BYTES} bytes",
@@ -90,7 +90,7 @@
         )
         problem = getattr(error, "problem", None) or getattr(error, "reason", None)
         return errors.Invalid(
-            reason=f"not YAML: {problem or 'unreadable'}",
+            reason=f"invalid YAML: {problem or 'unreadable'}",
             line=mark.line + 1 if mark else 1,
             expected="a YAML text",
         )
--- a/toucanspring/configuration/text.py
+++ b/toucanspring/configuration/text.py
@@ -1,4 +1,4 @@
-"""Operators' text: the cell it declares, differences between texts, job templates."""
+"""Configured cell, differences between configurations, and specs of their jobs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AvailabilityZone:
-    """Name an availability zone and the region it belongs to."""
+    """Availability zone and the region it belongs to."""
 
     name: str
     region: str = ""
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """Name an organisation; `host` marks the operator of the cell."""
+    """Organisation; `host` marks the operator of the cell."""
 
     name: str
     host: bool = False
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Team:
-    """Hold a team's share (a positive weight) and its ceiling in the whole cell."""
+    """Team with its share (a positive weight) and its ceiling in the whole cell."""
 
     name: str
     organisation: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queue:
-    """Say for which team a queue accepts work; an `open` one needs no key."""
+    """Queue of a team; an `open` one accepts work without a key."""
 
     name: str
     team: str
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassRule:
-    """Limit requests of one class; times are in seconds.
+    """Limits on requests of one class; times are in seconds.
 
-    `idempotent` is the operators' word on the class; None leaves it to the caller.
+    `idempotent` applies to all requests of the class; None leaves it to the caller.
     A request is good when it is answered within `within_seconds`.
     """
 
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """Describe a service; `objective` is the percentage of requests to be good."""
+    """Service; `objective` is the percentage of requests that must be good."""
 
     name: str
     queue: str
@@ -84,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobTemplate:
-    """Describe a job; `after` holds names of templates, `run` numbers its starts."""
+    """Configured job; `after` holds names of templates, `run` numbers its starts."""
 
     name: str
     team: str
@@ -108,13 +108,13 @@
 
     @property
     def starts_on_apply(self) -> bool:
-        """Return whether the job starts once the text is accepted."""
+        """Return whether the job starts when the configuration is applied."""
         return self.start == "apply"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cell:
-    """Hold everything that one operators' text declares, by name."""
+    """All entries of one configuration, by name."""
 
     name: str = ""
     availability_zones: dict[str, AvailabilityZone] = dataclasses.field(
@@ -140,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Added:
-    """An entry that only the new text has."""
+    """Entry that only the new configuration has."""
 
     section: str
     name: str
@@ -149,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Removed:
-    """An entry that only the old text has."""
+    """Entry that only the old configuration has."""
 
     section: str
     name: str
@@ -158,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changed:
-    """An entry with fields of other values: field -> (old, new)."""
+    """Entry with changed fields: field -> (old, new)."""
 
     section: str
     name: str
@@ -169,7 +169,7 @@
 
 
 def diff(old: Cell, new: Cell) -> list[Change]:
-    """Return what changes from one cell to another, by section and name."""
+    """Return the changes from one cell to another, by section and name."""
     changes: list[Change] = []
     for field in ("name", "largest_task"):
         values = getattr(old, field), getattr(new, field)
@@ -196,16 +196,16 @@
 
 
 def apply_id(template: JobTemplate) -> str:
-    """Return the ID of the job that acceptance of the text starts.
+    """Return the ID of a job that starts when the configuration is applied.
 
-    It depends on the name and the run number only, so that every process that
-    submits it names the same job, and an edit of other fields starts nothing.
+    It depends on the name and the run number only, so that every process submits the
+    job under the same ID, and an edit of other fields starts nothing.
     """
     return f"{APPLY_PREFIX}.{template.name}.{template.run}"
 
 
 def jobs_to_start(old: Cell, new: Cell) -> list[JobTemplate]:
-    """Return the templates that acceptance of the new text starts, in its order."""
+    """Return the templates that start when `new` is applied, in their order."""
     known = {apply_id(item) for item in old.jobs.values() if item.starts_on_apply}
     return [
         item
@@ -223,7 +223,7 @@
     """Return the job of a template.
 
     `overrides` replaces fields of `job.JobSpec`. Without an override of `after`, a
-    dependency that starts on acceptance has its own ID there, any other one the ID
+    dependency with `start: apply` is referred to by its `apply_id`, any other one by
     `<job_id>.<name>`, under which `job_specs` submits it.
     """
     fields = {
