--- a/test/test_survey.py
+++ b/test/test_survey.py
@@ -55,7 +55,7 @@
         # Guards against an outage of the store that looks like a complete list.
         self.store.tables.down = True
         [first, *_] = survey.describe(self.core)["not_attached"]
-        self.assertIn("not known: down", first["reason"])
+        self.assertIn("partition is unknown: down", first["reason"])
         self.store.vms.list = lambda: errors.Unavailable(reason="no list")
         found = survey.describe(self.core)
         self.assertEqual([], found["not_attached"])
--- a/toucanspring/reporting/budgets.py
+++ b/toucanspring/reporting/budgets.py
@@ -1,10 +1,10 @@
 """Service `budgets`: keeps the counts of error budgets in the table service.
 
-Each run of a process is one writer with one row, which it rewrites with its closed
-minutes. Rows of runs that have ended are folded into the row of a live writer in one
-transaction, so each count is in exactly one row. Minutes are those of the writer's wall
-clock and matter only for the report: whether a count was written is decided by row
-versions alone.
+Each run of a process is one writer with one row, which it replaces to add the minutes
+that are complete. Rows of runs that have ended are folded into the row of a live writer
+in one transaction, so each count is in exactly one row. Minutes are taken from the wall
+clock of the writer and matter only for reports: whether a count was written is decided
+by row versions alone.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 log = logbook.Logger(__name__)
 
 PREFIX = "burn/"
-# 9 processes make 0.075 writes a second, 128 make 1.1. A process that is killed loses
-# up to 192 s: an interval with its jitter, and the minute that was open before it.
+# 9 processes make 0.075 writes per second, 128 make 1.1. A process that is killed loses
+# up to 192 s of counts: an interval with its jitter and the minute open before it.
 WRITE_INTERVAL_S = 120.0
+# Interval while it is unknown whether the last write took effect.
 IN_DOUBT_RETRY_S = 10.0
 FOLD_INTERVAL_S = 3600.0
-# The owner of partition 0 folds rows without news for this long. A writer that was only
-# idle begins another row.
+# The owner of partition 0 folds rows whose counts are this old. A writer that was only
+# idle starts a new row after that.
 INACTIVE_MINUTES = 360
 TOMBSTONE_MINUTES = 1440
 ROWS_PER_FOLD = 20
@@ -45,9 +46,9 @@
 class Row(msgspec.Struct, frozen=True):
     """Row `burn/<process>/<writer>`; writer and sequence make each value unique.
 
-    A row that was folded stays for a day as a marker without counts, with the minute
-    of the fold: a first write that arrives late would otherwise find no row and take
-    effect again.
+    A folded row stays for a day as a tombstone without counts, with the minute of the
+    fold in `ended`: without it, a delayed first write would find no row and take effect
+    again.
     """
 
     writer: str
@@ -58,11 +59,11 @@
 
 
 class Export(msgspec.Struct, frozen=True):
-    """Hold all counts that a live process knows; `minute` is now by its clock.
+    """All counts known to a live process; `minute` is the current one by its clock.
 
     `sequence` is that of the row last known to be written. `doubtful` counts were sent
-    to the store without an answer. `lost` requests were dropped, because they may be in
-    another row.
+    to the store, which did not answer. `lost` requests were dropped, because they may
+    already be counted in another row.
     """
 
     minute: int
@@ -77,14 +78,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """Hold one transaction until it is known whether it took effect."""
+    """Transaction that is kept until it is known whether it took effect."""
 
     row: Row
     value: bytes
     checks: dict[str, int]
     tombstones: dict[str, bytes]
     deletes: list[str]
-    new_counts: burn.Counts  # what was unwritten before
+    new_counts: burn.Counts  # unwritten before this attempt
     in_doubt: bool = False  # may have taken effect, or may still do so
 
 
@@ -117,13 +118,14 @@
 ) -> list[list[burn.Sample]]:
     """Return the samples of the cell, each count once.
 
-    The rows must be read before the exports are asked for: a row that is folded in
-    between is then in both, and named as folded by the export.
+    The rows must be read before the exports are requested: the counts of a row that is
+    folded in between are then in both, and the export lists that row in `folded`.
     """
     rows, exports = list(rows), list(exports)
     skipped = {name for part in (*rows, *exports) for name in part.folded}
     known = {export.writer: export.sequence for export in exports}
-    # A row ahead of its writer holds the doubtful counts, and rows folded with them.
+    # A row with a later sequence than its export includes the doubtful counts and the
+    # rows folded in the same write.
     ahead = {row.writer for row in rows if row.sequence > known.get(row.writer, -1)}
     found = [
         burn.samples(row.series, minute)
@@ -139,7 +141,7 @@
 
 
 class Service:
-    """Own the row of this run and what is not written yet."""
+    """Manage the row of this run and the counts that are not written yet."""
 
     def __init__(
         self,
@@ -164,11 +166,11 @@
         self._begin_row()
 
     def start(self) -> None:
-        """Write closed minutes from time to time."""
+        """Start to write complete minutes periodically."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Write what is left; gives up soon if the store does not answer."""
+        """Write all remaining counts; gives up after `STOP_LIMIT_S`."""
         if self._greenlet is not None:
             self._greenlet.kill()
             self._greenlet = None
@@ -195,7 +197,7 @@
         )
 
     def write(self, include_open: bool = False) -> None:
-        """Write the closed minutes, or settle whether the last write took effect."""
+        """Settle the last write if it is in doubt, then write the complete minutes."""
         if self._attempt is not None:
             self._settle(self._attempt)
         if self._attempt is not None or not self._confirm_row():
@@ -228,7 +230,7 @@
         return int(self._wall_clock() // 60)
 
     def _run(self) -> None:
-        # Spread, so that processes that start together do not write together.
+        # A random delay, so that processes that start together do not write together.
         gevent.sleep(self._rng.uniform(0, WRITE_INTERVAL_S))
         while True:
             try:
@@ -244,20 +246,20 @@
         self._version = 0
 
     def _confirm_row(self) -> bool:
-        """Begin another row if a process that thought this one ended has folded it."""
+        """Start a new row if another process has folded the present one."""
         if not self._may_be_folded:
             return True
         rows = self._tables.read([self._key])
         if isinstance(rows, errors.Failure):
             return False
         if rows[self._key].version != self._version:
-            log.info("the error budgets of this process were folded into others")
+            log.info("another process folded the error budget row of this process")
             self._begin_row()
         self._may_be_folded = False
         return True
 
     def _rows_to_fold(self, minute: int) -> dict[str, tuple[int, Row]]:
-        """Return rows whose writers have ended, as far as can be told."""
+        """Return the rows whose writers have probably ended."""
         fold_all = (
             self._clock() >= self._fold_all_at
             and 0 in self._kernel.find("claims").owned()
@@ -286,8 +288,8 @@
         return age >= INACTIVE_MINUTES or key.startswith(self._prefix)
 
     def _plan(self, folded: dict[str, tuple[int, Row]], minute: int) -> Attempt:
-        # Merging in one go held requests up for 52 ms at 100 pairs of service and team,
-        # with pauses for 17 ms.
+        # Without pauses, merging delayed requests by 52 ms at 100 pairs of service and
+        # team; with pauses, by 17 ms.
         counts = burn.Counts(self._row.series, pause=lambda: gevent.sleep(0))
         counts.add(self._unwritten.series())
         names = list(self._row.folded)
@@ -311,7 +313,7 @@
 
     def _send(self, attempt: Attempt) -> None:
         was_in_doubt = attempt.in_doubt
-        attempt.in_doubt = True  # also if this greenlet ends during the call
+        attempt.in_doubt = True  # also if this greenlet is killed during the call
         result = self._tables.transact(
             attempt.checks,
             {**attempt.tombstones, self._key: attempt.value},
@@ -323,23 +325,23 @@
             case errors.Ambiguous():
                 log.debug("error budgets: {}", result.reason)
             case _ if was_in_doubt:
-                pass  # the earlier call decides
+                pass  # the earlier call may still have taken effect
             case _:
                 self._roll_back(attempt)
                 self._may_be_folded = isinstance(result, errors.Conflict)
 
     def _settle(self, attempt: Attempt) -> None:
-        """Find out whether an attempt took effect, and repeat it if it did not.
+        """Read back whether an attempt took effect, and retry it if it did not.
 
-        The repetition has the same checks, so only one of the two can take effect.
+        The retry has the same checks, so only one of the two can take effect.
         """
         rows = self._tables.read(list(attempt.checks))
         if isinstance(rows, errors.Failure):
             return
         others = attempt.checks.keys() - {self._key}
         if any(rows[key].version != attempt.checks[key] for key in others):
-            # They changed with this attempt or against it. The own row, read after
-            # that, tells which.
+            # They were changed by this attempt or by another process. A later read of
+            # the own row shows which.
             own = self._tables.read([self._key])
             if isinstance(own, errors.Failure):
                 return
@@ -353,9 +355,11 @@
         elif row.version == self._version:
             self._send(attempt)
         else:
-            # The process that folded the row may have read it with or without them.
+            # Another process folded the row, with or without this attempt's counts.
             self._lost += attempt.new_counts.requests()
-            log.warning("{} requests are lost to error budgets", self._lost)
+            log.warning(
+                "{} requests so far were dropped from error budgets", self._lost
+            )
             self._attempt = None
             self._begin_row()
 
@@ -367,5 +371,5 @@
     def _roll_back(self, attempt: Attempt) -> None:
         self._attempt = None
         self._unwritten.add(attempt.new_counts.series())
-        # Its folded rows, if any, are looked for again.
+        # Search again for the rows that the attempt was to fold.
         self._fold_own = True
--- a/toucanspring/reporting/burn.py
+++ b/toucanspring/reporting/burn.py
@@ -1,8 +1,8 @@
-"""Error budgets: how fast services and teams use up the failures they may have.
+"""Error budgets: burn rates and alerts of services and teams.
 
 A budget is the fraction of requests that may be bad under the service's objective.
-A burn rate of 1 uses it up exactly within the budget period; a fast burn is worth
-waking someone, a slow burn a ticket.
+A burn rate of 1 uses it up exactly within the budget period. A fast burn should page
+someone, a slow burn should open a ticket.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 BUCKET_S = 60
 BUDGET_PERIOD_S = 3 * 86400
-# Each alert needs its rate over a long and a short window: the long one proves that
-# much budget is gone, the short one that it still goes on.
+# An alert fires if its rate is reached over a long and a short window: the long one
+# shows that much of the budget is used, the short one that the burn continues.
 FAST_WINDOWS_S = (3600, 300)
 FAST_RATE = 14.4  # uses a third of the budget of 3 days in 100 minutes
 SLOW_WINDOWS_S = (6 * 3600, 1800)
 SLOW_RATE = 6.0
 WINDOWS_S = (300, 1800, 3600, 6 * 3600, BUDGET_PERIOD_S)
 
-# Lengths of stored buckets and the age from which they are used, in minutes. The
-# windows of up to an hour are made of whole minutes; at the edge of the longer ones a
-# bucket is counted by its middle, an error of 5 min in 6 h and of 30 min in 3 days.
+# Lengths of stored buckets and the age from which they are used, in minutes. Windows of
+# up to an hour consist of single minutes. At the edge of longer windows a bucket counts
+# by its middle, an error of 5 min in 6 h and of 30 min in 3 days.
 BUCKET_SPANS = ((60, 370), (10, 65))
-# A day more than the budget period: a clock that is wrong by less deletes nothing that
-# a report needs.
+# The budget period and a day, so that a clock that is wrong by less than a day deletes
+# nothing that a report needs.
 RETENTION_MINUTES = BUDGET_PERIOD_S // 60 + 1440
 
 Key = tuple[str, str]  # service, team
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """Count the requests of one minute."""
+    """Requests of one minute."""
 
     start: int  # in units of `BUCKET_S`
     good: int = 0
@@ -46,7 +46,7 @@
 
 
 class Recorder:
-    """Count good and bad requests of this process; times are monotonic seconds."""
+    """Counter of good and bad requests by minute; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._buckets: dict[Key, collections.deque[Bucket]] = {}
@@ -76,7 +76,7 @@
         ]
 
     def take(self, now: float, include_open: bool = False) -> list[Sample]:
-        """Remove and return the closed buckets, on request also the present one."""
+        """Remove and return the complete buckets, optionally with the current one."""
         current = int(now // BUCKET_S)
         taken: list[Sample] = []
         for (service, team), buckets in list(self._buckets.items()):
@@ -90,7 +90,7 @@
 
 
 class Series(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the buckets `(start, span, good, bad)` of a service and team.
+    """Buckets `(start, span, good, bad)` of a service and team.
 
     `start` and `span` are in minutes; `start` counts from the Unix epoch.
     """
@@ -101,11 +101,11 @@
 
 
 class Counts:
-    """Sum good and bad requests by service, team and minutes of a wall clock.
+    """Good and bad requests by service, team and minutes of a wall clock.
 
-    Buckets grow longer with age, so that the counts of three days stay small. `pause`
-    is called after each service and team, so that long work can let others run; the
-    counts must not be changed during a pause.
+    Old buckets are merged into longer ones, so that the counts of three days stay
+    small. `pause` is called after each service and team, so that other greenlets can
+    run; the counts must not be changed during a pause.
     """
 
     def __init__(
@@ -121,14 +121,14 @@
         return bool(self._buckets)
 
     def add(self, series: Iterable[Series]) -> None:
-        """Include other counts."""
+        """Add stored counts."""
         for each in series:
             for start, span, good, bad in each.buckets:
                 self._add((each.service, each.team), start, span, good, bad)
             self._pause()
 
     def add_samples(self, samples: Iterable[Sample], minute: int) -> None:
-        """Include single minutes whose age is counted back from `minute`."""
+        """Add samples of single minutes; their age is relative to `minute`."""
         for service, team, age, good, bad in samples:
             self._add((service, team), minute - int(age), 1, good, bad)
 
@@ -144,7 +144,7 @@
         return found
 
     def merged(self, minute: int) -> Counts:
-        """Return a copy with old buckets merged, and those out of use left out."""
+        """Return a copy with old buckets merged and expired ones dropped."""
         found = Counts(pause=self._pause)
         for key, buckets in self._buckets.items():
             for (start, span), (good, bad) in buckets.items():
@@ -175,7 +175,7 @@
 
 
 def _merge(start: int, span: int, minute: int) -> tuple[int, int]:
-    """Return the longest bucket that this one belongs to at its age."""
+    """Return start and span of the longest bucket for this one at its age."""
     for longer, age in BUCKET_SPANS:
         whole = start - start % longer
         if span < longer and minute - (whole + longer) >= age:
@@ -184,7 +184,7 @@
 
 
 def samples(series: Iterable[Series], minute: int) -> list[Sample]:
-    """Return stored counts by age; a long bucket has the age of its middle."""
+    """Return stored counts as samples; a bucket has the age of its middle."""
     return [
         (each.service, each.team, minute - start - (span - 1) / 2, good, bad)
         for each in series
@@ -194,7 +194,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """Count the requests of a window; `rate` is the burn rate."""
+    """Requests within a window; `rate` is the burn rate."""
 
     seconds: int
     good: int
@@ -204,7 +204,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """State the use of one budget; `left` is the unused fraction, below 0 if overspent.
+    """Use of one budget; `left` is the unused fraction, negative if overspent.
 
     `alert` is `fast`, `slow` or empty. `team` is empty for the service as a whole.
     `history` is the fraction of bad requests by hour, the latest last.
@@ -220,7 +220,7 @@
 
 
 def burn_rate(good: int, bad: int, objective: float) -> float:
-    """Return the rate at which a budget is used; the objective is a percentage."""
+    """Return the burn rate of a budget; the objective is a percentage."""
     total = good + bad
     return 0.0 if not total else bad / total / (1 - objective / 100)
 
@@ -234,7 +234,9 @@
         for service, team, age, good, bad in export:
             if service not in objectives or age * BUCKET_S >= BUDGET_PERIOD_S:
                 continue
-            age = max(age, 0)  # counted by a clock ahead of this one
+            age = max(
+                age, 0
+            )  # negative if counted by a clock that is ahead of this one
             for key in ((service, ""), (service, team)):
                 bucket = counts.setdefault(key, {}).setdefault(age, [0, 0])
                 bucket[0] += good
--- a/toucanspring/reporting/deliveries.py
+++ b/toucanspring/reporting/deliveries.py
@@ -1,4 +1,4 @@
-"""Delivery of events in order, apart from the task that publishes them."""
+"""Ordered delivery of events outside of the greenlet that publishes them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delivery:
-    """Pair an event with what is set once all listeners have handled it."""
+    """Event to deliver; `done` is set once all listeners have handled it."""
 
     occurrence: object
     done: event.Event
 
 
 class Deliveries:
-    """Own the greenlet in which listeners handle the events of one service."""
+    """Run the greenlet in which listeners handle the events of one service."""
 
     def __init__(self, core: kernel.Kernel) -> None:
         self._kernel = core
@@ -31,7 +31,7 @@
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Deliver nothing more."""
+        """Stop without delivering queued events."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
--- a/toucanspring/reporting/event_buffer.py
+++ b/toucanspring/reporting/event_buffer.py
@@ -1,7 +1,7 @@
-"""Bounded buffer of events, folded by minute and divided into segments.
+"""Bounded buffer of events, aggregated by minute and divided into segments.
 
-A segment is what one row holds. The image in memory is complete, and a write replaces
-the whole row, so a repeated write or a lost answer never doubles an entry.
+One row stores one segment. Memory holds the complete segment and a write replaces the
+whole row, so neither a retry nor a lost answer duplicates an entry.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from toucanspring.reporting import event_kinds
 
 SEGMENT_BYTES = 8 * 1024
-# Bounds what a process writes in an hour, and with the retention its rows: 96 hours
-# of 64 KiB are 6 MiB. Urgent events may use as much again.
+# Limits what a process writes per hour and, with the retention, its rows: 96 hours of
+# 64 KiB are 6 MiB. Urgent events may use the same amount in addition.
 MAX_BYTES_PER_HOUR = 64 * 1024
-# Bounds the memory during an outage of the store.
+# Limits the memory during an outage of the store; doubled for urgent events.
 MAX_BUFFERED_BYTES = 512 * 1024
-# Entries of a minute that keep their subjects; further ones count by kind and cause.
+# Entries per minute that keep their subjects; later ones are counted by kind and cause.
 ENTRIES_PER_MINUTE = 200
-# A written segment stays for this long, so that a reader who saw its row too early
-# still gets it from the process. It also outlasts the minute of its last entry.
+# A written segment is kept for this long, so that a reader that scanned the rows before
+# the write still gets it from the process. Longer than the minute of its last entry.
 WRITTEN_RETENTION_S = 120.0
 HOUR_S = 3600
 
 
 class Entry(msgspec.Struct, array_like=True):
-    """Hold equal events of one minute; times are Unix seconds."""
+    """Equal events of one minute; times are Unix seconds."""
 
     number: int
     first: float
@@ -38,9 +38,9 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Segment:
-    """Hold the entries of one row.
+    """Entries of one row.
 
-    `version` is that of the row as last known; with `in_doubt` it must be read again.
+    `version` is the last known row version; if `in_doubt`, it must be read again.
     """
 
     hour: int
@@ -54,7 +54,7 @@
 
 
 class Buffer:
-    """Fold events into the entries of the present minute.
+    """Aggregate events into the entries of the current minute.
 
     Times are Unix seconds, except in `drop_written`.
     """
@@ -70,7 +70,7 @@
         self._hour_bytes = 0
 
     def add(self, event: event_kinds.Event, wall: float) -> None:
-        """Take in an event, or count it as lost beyond the bounds."""
+        """Add an event, or count it as lost if the buffer is full."""
         minute = int(wall // 60)
         if minute != self._minute:
             self._minute = minute
@@ -95,7 +95,7 @@
         return [segment for segment in self.segments if segment.unwritten]
 
     def drop_written(self, now: float) -> None:
-        """Forget segments that were written long enough ago; the last stays open."""
+        """Drop segments that were written long enough ago, but never the last one."""
         self.segments = [
             segment
             for segment in self.segments[:-1]
@@ -118,7 +118,9 @@
         ):
             self.lost += 1
             if self.segments:
-                self.segments[-1].unwritten = True  # its row states what was lost
+                self.segments[
+                    -1
+                ].unwritten = True  # its row has the number of lost events
             return
         segment = self._open_segment(hour, size)
         segment.entries.append(entry)
--- a/toucanspring/reporting/event_kinds.py
+++ b/toucanspring/reporting/event_kinds.py
@@ -1,9 +1,9 @@
-"""What a process did by itself, as typed events for operators.
+"""Typed events for operators about the automatic actions of a process.
 
-An event states where it happened by subjects: worker, rack, zone, job, partition,
-process or service. Equal events of one minute are folded into one entry with a count;
-`SUMMED` names the fields that are added up then, and `LATEST` those of which the last
-value stays. All other fields tell events apart.
+An event names its subjects: worker, rack, zone, job, partition, process or service.
+Equal events of one minute are folded into one entry with a count; `SUMMED` names the
+fields that are added up and `LATEST` those that keep the last value. Events that differ
+in any other field are separate entries.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     "former",
     "service",
 )
-# Stands for the subjects of entries that were folded to bound their number.
+# Replaces the subjects of events that are folded to limit the number of entries.
 ANY = "*"
 
 
@@ -40,7 +40,7 @@
 
     SUMMED: ClassVar[tuple[str, ...]] = ()
     LATEST: ClassVar[tuple[str, ...]] = ()
-    # Written at once, since the process may end soon.
+    # Written soon, since the process may end.
     URGENT: ClassVar[bool] = False
 
 
@@ -81,7 +81,7 @@
 
 
 class OwnershipEnded(Event, frozen=True):
-    """Another process claimed a partition that this one still held."""
+    """Another process claimed a partition that this one still owned."""
 
     partition: int
     epoch: int
@@ -89,9 +89,9 @@
 
 
 class OwnershipExtended(Event, frozen=True):
-    """A majority promised to claim nothing, so ownership goes on without the store."""
+    """A majority promised not to claim, so ownership continues without the store."""
 
-    partitions: int  # held at that moment
+    partitions: int  # owned at that time
     URGENT: ClassVar[bool] = True
     LATEST: ClassVar[tuple[str, ...]] = ("partitions",)
 
@@ -114,7 +114,7 @@
 
 
 class ProcessPaused(Event, frozen=True):
-    """A round of this process came late, so the process did not run for a time."""
+    """A periodic task of this process was late, so the process was suspended."""
 
     seconds: float
     URGENT: ClassVar[bool] = True
@@ -138,7 +138,7 @@
 
 
 class WorkerLost(Event, frozen=True):
-    """The lease and the stop grace of a worker have ended; `tasks` were on it."""
+    """The lease and the stop grace of a worker have expired; `tasks` were on it."""
 
     worker: str
     zone: str
@@ -175,19 +175,19 @@
 
 
 class WorkerProbed(Event, frozen=True):
-    """A quarantined worker got one task as a trial."""
+    """A quarantined worker got one trial task."""
 
     worker: str
 
 
 class WorkerReleased(Event, frozen=True):
-    """A quarantined worker ran its trial well and is used again."""
+    """A quarantined worker completed its trial task and is used again."""
 
     worker: str
 
 
 class WorkerAvoided(Event, frozen=True):
-    """A job stays away from a worker on which its tasks fail, if others can run it."""
+    """A job avoids a worker on which its tasks fail, if others can run it."""
 
     job: str
     worker: str
@@ -196,14 +196,14 @@
 
 
 class RackAvoided(Event, frozen=True):
-    """A job stays away from a rack, since it fails on several of its workers."""
+    """A job avoids a rack, since its tasks fail on several of the rack's workers."""
 
     job: str
     rack: str
 
 
 class WorkersMoved(Event, frozen=True):
-    """Workers went to another partition."""
+    """Workers were assigned to another partition."""
 
     workers: tuple[str, ...]
     partition: int
@@ -213,7 +213,7 @@
 class TasksStopped(Event, frozen=True):
     """Running tasks of a job were stopped; `mode` is `checkpoint` or `kill`.
 
-    `for_job` is the job that got the room.
+    `for_job` is the job that got the resources.
     """
 
     job: str
@@ -225,7 +225,7 @@
 
 
 class TasksThrottled(Event, frozen=True):
-    """Tasks of a job got a limit on their processors, being above their size."""
+    """Tasks of a job that use more CPU than they requested are limited."""
 
     job: str
     worker: str
@@ -234,14 +234,14 @@
 
 
 class ThrottlesLifted(Event, frozen=True):
-    """Tasks of a job may use all the processors they want again."""
+    """The CPU limits on tasks of a job are removed."""
 
     job: str
     worker: str
 
 
 class GangRequeued(Event, frozen=True):
-    """The members of a gang were stopped, to be queued together again."""
+    """The members of a gang were stopped and queued together again."""
 
     job: str
     members: int  # that were running
@@ -250,7 +250,7 @@
 
 
 class ZoneTakenOut(Event, frozen=True):
-    """A zone went out of service with so many workers and tasks of a partition."""
+    """A zone went out of service with `workers` and `tasks` of a partition."""
 
     zone: str
     partition: int
@@ -260,7 +260,7 @@
 
 
 class ZoneReturned(Event, frozen=True):
-    """A zone is in service again; so many tasks were stopped to leave it."""
+    """A zone is in service again; `tasks_left` tasks had been stopped to leave."""
 
     zone: str
     partition: int
@@ -277,7 +277,7 @@
 
 
 class RequestsRefused(Event, frozen=True):
-    """Requests to a service were refused as overload."""
+    """Requests to a service were rejected because of overload."""
 
     service: str
     job_class: str
@@ -293,13 +293,13 @@
 
 
 def fold_key(event: Event) -> tuple[object, ...]:
-    """Return what two events have in common if they can be folded."""
+    """Return the key that events have in common if they can be folded."""
     kind = type(event)
     return kind, *(getattr(event, name) for name in _key_fields(kind))
 
 
 def fold(earlier: Event, later: Event) -> Event:
-    """Return one event for two with the same key."""
+    """Fold two events with the same key into one."""
     changes = {name: getattr(later, name) for name in later.LATEST}
     for name in later.SUMMED:
         changes[name] = getattr(earlier, name) + getattr(later, name)
@@ -307,7 +307,7 @@
 
 
 def without_subjects(event: Event) -> Event:
-    """Return an event that stands for all subjects of its kind."""
+    """Return a copy of an event without its subjects."""
     changes: dict[str, object] = {}
     for name in event.__struct_fields__:
         if name in SUBJECTS and name not in event.SUMMED + event.LATEST:
--- a/toucanspring/reporting/event_rows.py
+++ b/toucanspring/reporting/event_rows.py
@@ -1,4 +1,4 @@
-"""Rows of events in the table service, and what a reader joins them with."""
+"""Rows of events in the table service, and their merge with live entries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
-    """Hold a stored entry; the event may be of a kind that this version lacks."""
+    """Stored entry; its event may be of a kind unknown to this release."""
 
     number: int
     first: float
@@ -58,13 +58,13 @@
 def encode(
     process: str, writer: str, lost: int, entries: list[event_buffer.Entry]
 ) -> bytes:
-    """Return entries in the form of a row."""
+    """Encode entries as the value of a row."""
     fields = {"process": process, "writer": writer, "lost": lost, "entries": entries}
     return msgspec.msgpack.encode(fields)
 
 
 def decode(body: bytes) -> Row | errors.Malformed:
-    """Return the entries in a row or in the answer of a process."""
+    """Decode the value of a row or the answer of a process."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
@@ -74,7 +74,7 @@
 def read(client: tables.TableClient, since: float) -> list[Row] | errors.Failure:
     """Return the rows with entries since a Unix time."""
     found: list[Row] = []
-    # An hour more, since each hour is that of its writer's clock.
+    # Starts an hour earlier, since keys have the hour of their writer's clock.
     after = _prefix_of(int(since // event_buffer.HOUR_S) - 1)
     while True:
         page = client.scan(PREFIX, after, PAGE_ROWS)
@@ -92,9 +92,10 @@
 
 
 def remove_old(client: tables.TableClient, wall: float) -> int | errors.Failure:
-    """Delete rows out of the retention; return how many.
+    """Delete rows outside of the retention; return their number.
 
-    Rows of clocks that are far ahead are deleted as well, or they would stay for ever.
+    Also deletes rows whose hour is too far in the future, written by a wrong clock,
+    which would otherwise never expire.
     """
     hour = int(wall // event_buffer.HOUR_S)
     oldest = _prefix_of(hour - RETENTION_HOURS)
@@ -119,8 +120,8 @@
 def join(rows: Iterable[Row], live: Iterable[Row]) -> list[dict[str, object]]:
     """Return each entry once, sorted by time.
 
-    The rows must be read before the live processes are asked: an entry that is in
-    both is taken from the process, whose count is later.
+    The rows must be read before the live processes are queried: an entry that is in
+    both is taken from the process, whose count is more recent.
     """
     entries: dict[tuple[str, int], dict[str, object]] = {}
     for row in [*rows, *live]:
@@ -138,7 +139,7 @@
 
 
 def count_lost(rows: Iterable[Row]) -> int:
-    """Return the events that writers have dropped, by their latest statements."""
+    """Return the number of events that writers have dropped, as last reported."""
     lost: dict[str, int] = {}
     for row in rows:
         lost[row.writer] = max(lost.get(row.writer, 0), row.lost)
--- a/toucanspring/reporting/events.py
+++ b/toucanspring/reporting/events.py
@@ -1,7 +1,7 @@
-"""Service `events`: keeps what processes did by themselves in the table service.
+"""Service `events`: stores the automatic actions of processes in the table service.
 
-Everything published as a kind of `event_kinds` goes into a bounded buffer, which is
-written in batches. Nothing waits for a write; an outage of the store delays it.
+All published events of `event_kinds` go into a bounded buffer, which is written in
+batches. Publishers never wait for a write; an outage of the store only delays it.
 """
 
 from __future__ import annotations
@@ -26,12 +26,13 @@
 log = logbook.Logger(__name__)
 
 WRITE_INTERVAL_S = 30.0
-# Collects the events of one cause, such as the loss of a rack, into one write.
+# Delay of a write, so that it includes all events of one cause, such as a lost rack.
 BATCH_DELAY_S = 1.0
-# Urgent events are written this long after the last write, so within 5 s in all.
+# Urgent events wait at most this long after the last write, thus 5 s in total.
 URGENT_INTERVAL_S = 3.5
 RETRY_S = 5.0
-# Old rows are looked for; the first time sooner, since processes may live shortly.
+# Old rows are deleted at this interval, and first after a shorter delay, since a
+# process may not run for long.
 CLEANUP_INTERVAL_S = 3600.0
 FIRST_CLEANUP_DELAY_S = 600.0
 STOP_LIMIT_S = 3.0
@@ -40,7 +41,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Hold entries and what is missing.
+    """Entries and the reasons why the list may be incomplete.
 
     `missing` names processes that did not answer; `store_missing` says why rows were
     not read; `lost` events were dropped by their processes.
@@ -53,7 +54,7 @@
 
 
 class Service:
-    """Own the buffer of this process and its rows."""
+    """Manage the buffer of this process and its rows."""
 
     def __init__(
         self,
@@ -72,19 +73,19 @@
         self._written_at = -math.inf
         self._cleanup_at = clock() + FIRST_CLEANUP_DELAY_S
         self._changed = gevent.event.Event()
-        # A reader may scan all rows, so there is one at a time.
+        # A report may scan all rows, so only one runs at a time.
         self._read_lock = gevent.lock.BoundedSemaphore()
         self._greenlet: gevent.Greenlet | None = None
         for kind in event_kinds.KINDS:
             core.subscribe(kind, self.record)
 
     def start(self) -> None:
-        """Answer other processes and write from time to time."""
+        """Serve other processes and write periodically."""
         self._kernel.find("peers").handle("events", self._serve)
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Write what is left; gives up soon if the store does not answer."""
+        """Write all remaining events; gives up after `STOP_LIMIT_S`."""
         if self._greenlet is not None:
             self._greenlet.kill()
             self._greenlet = None
@@ -92,7 +93,7 @@
             self.write()
 
     def record(self, event: event_kinds.Event) -> None:
-        """Take in an event; never waits."""
+        """Add an event to the buffer without waiting."""
         self._buffer.add(event, self._wall_clock())
         interval_s = URGENT_INTERVAL_S if event.URGENT else WRITE_INTERVAL_S
         due = max(self._clock() + BATCH_DELAY_S, self._written_at + interval_s)
@@ -111,7 +112,7 @@
         self._buffer.drop_written(self._clock())
 
     def export(self) -> bytes:
-        """Return the entries in memory, in the form of a row."""
+        """Return the entries in memory, encoded as a row."""
         entries = [
             entry for segment in self._buffer.segments for entry in segment.entries
         ]
@@ -156,11 +157,11 @@
                 self._due = self._clock() + RETRY_S
 
     def _write_segment(self, segment: event_buffer.Segment) -> bool:
-        """Replace the row of a segment; return whether it certainly was."""
+        """Replace the row of a segment; return whether that is confirmed."""
         key = event_rows.key_of(self._process, self._writer, segment)
         if segment.in_doubt:
-            # Nobody else writes this key, so any other version is an earlier image of
-            # this segment, or the row was removed.
+            # No other process writes this key, so another version is an earlier write
+            # of this segment, or the row was deleted.
             rows = self._tables.read([key])
             if isinstance(rows, errors.Failure):
                 return False
@@ -168,7 +169,7 @@
         value = event_rows.encode(
             self._process, self._writer, self._buffer.lost, segment.entries
         )
-        segment.unwritten = False  # what arrives during the call sets it again
+        segment.unwritten = False  # events added during the call set it again
         segment.in_doubt = True
         written = False
         try:
@@ -191,7 +192,7 @@
             event_rows.remove_old(self._tables, self._wall_clock())
 
     def _collect_live(self) -> tuple[list[event_rows.Row], list[str]]:
-        """Return what live processes hold, and the processes that did not answer."""
+        """Return the entries of live processes, and those that did not answer."""
         membership = self._kernel.find("membership")
         peers = self._kernel.find("peers")
         others = sorted(set(membership.members()) - {self._process})
--- a/toucanspring/reporting/page.py
+++ b/toucanspring/reporting/page.py
@@ -14,7 +14,7 @@
 LINE_HEIGHT = 90
 AXIS_HEIGHT = 40
 LEGEND_HEIGHT = 30
-# Blue and orange of the Okabe-Ito palette, which colour-blind readers tell apart.
+# Blue and orange of the Okabe-Ito palette, distinguishable for colour-blind readers.
 COLOURS = ("#0072b2", "#d55e00")
 
 STYLE = """
@@ -43,7 +43,7 @@
 
 
 def missing_data(value: dict) -> list[str]:
-    """Return what a report does not contain, one line for each reason."""
+    """Return one line for each reason why a report is incomplete."""
     found = []
     if value["missing"]:
         found.append("without: " + ", ".join(value["missing"]))
@@ -126,7 +126,7 @@
 
 
 def table(header: list[str], rows: list[list[str]]) -> str:
-    """Return an HTML table; numbers are set to the right, alerts in colour."""
+    """Return an HTML table; numbers are right-aligned, alerts coloured."""
     head = "".join(f'<th scope="col">{html.escape(name)}</th>' for name in header)
     lines = []
     for row in rows:
@@ -219,7 +219,7 @@
     names = [f"{item['team']} {item['class']}" for item in value["jobs"]]
     tasks = [item["tasks"] for item in value["jobs"]]
     ages = [item["oldest_s"] for item in value["jobs"]]
-    # Two plots: a bar of tasks and a bar of seconds have no common axis.
+    # Two plots, since tasks and seconds have no common axis.
     plots = (
         bars(
             "Waiting tasks",
--- a/toucanspring/reporting/report.py
+++ b/toucanspring/reporting/report.py
@@ -1,7 +1,7 @@
 """Reports for operators: shares of teams, waiting work, error budgets.
 
-Each process contributes what it counts (`collect`); the process that was asked joins
-the contributions (`build`).
+Each process returns its own counts (`collect`); the process that serves the request
+merges the contributions (`build`).
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from toucanspring.scheduling import summary
 
 NAMES = ("share", "waiting", "burn")
-# A partition that loads its log answers late; the report does without it.
+# Partitions that do not answer in time, such as while loading their log, are left out.
 ASK_LIMIT_S = 1.0
 
 
 class Contribution(msgspec.Struct):
-    """Hold what one process contributes to a report."""
+    """Contribution of one process to a report."""
 
     summary: summary.Summary | None = None
     requests: dict[str, dict[str, int]] = {}
@@ -36,12 +36,12 @@
 
 
 def encode(part: Contribution) -> bytes:
-    """Return a contribution as bytes for a peer."""
+    """Encode a contribution for a peer."""
     return msgspec.msgpack.encode(part)
 
 
 def decode(body: bytes) -> Contribution | errors.Malformed:
-    """Return the contribution of a peer."""
+    """Decode the contribution of a peer."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
@@ -73,7 +73,7 @@
 
 
 def read_store(core: kernel.Kernel, name: str) -> list[budgets.Row] | errors.Failure:
-    """Return what the store holds for a report; to be read before the other parts."""
+    """Return the stored rows for a report; call it before requesting contributions."""
     if name != "burn":
         return []
     rows = budgets.read_rows(core.find("store").tables)
@@ -122,9 +122,9 @@
 
 
 def _shares(cell: text.Cell, joined: summary.Summary) -> list[dict[str, object]]:
-    """Return the use of each team next to what its share entitles it to.
+    """Return the use of each team and the fraction its share entitles it to.
 
-    The entitlement counts all teams; a team whose neighbours are idle may use more.
+    The entitlement is relative to all teams; a team may use more while others are idle.
     """
     total = sum(team.share for team in cell.teams.values()) or 1.0
     rows = []
--- a/toucanspring/reporting/survey.py
+++ b/toucanspring/reporting/survey.py
@@ -1,4 +1,4 @@
-"""Workers of the cell for operators, with those that no owner names."""
+"""Workers of the cell for operators, with those that no owner reports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerStatus:
-    """Describe a worker for operators."""
+    """Status of a worker as shown to operators."""
 
     worker: str
     partition: int
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerSurvey:
-    """Hold the workers that owners named, and why other partitions are missing."""
+    """Workers that owners report, and the failures of partitions without an answer."""
 
     workers: list[WorkerStatus]
     silent: dict[int, errors.Failure]
@@ -42,7 +42,7 @@
     free: Mapping[str, resources.Resources],
     is_leaving: Callable[[str], bool],
 ) -> list[WorkerStatus]:
-    """Return the workers that the owner of a partition has streams to, or wants."""
+    """Return the workers that the owner of a partition has links to."""
     statuses = []
     for worker, link in sorted(links.items()):
         known = facts.get(worker)
@@ -62,19 +62,19 @@
 
 
 def describe(core: kernel.Kernel) -> dict[str, object]:
-    """Return the workers that owners name, and what is missing with the reason.
+    """Return the workers that owners report, and the missing ones with the reason.
 
-    `not_attached` has the workers of the VM list that no owner names. `unchecked` says
-    why the list could not be compared, and is empty if it was.
+    `not_attached` has the workers of the VM list that no owner reports. `unchecked` is
+    the reason why the list could not be compared, or empty.
     """
     found: WorkerSurvey = core.find("partitions").workers()
-    # Read after the answers: a worker that is new in between shows as not attached.
+    # Read after the answers, so that a new worker is listed as not attached.
     listed = core.find("store").vms.list()
     named = {status.worker for status in found.workers}
     absent = []
     unchecked = ""
     if isinstance(listed, errors.Failure):
-        unchecked = f"the VM list was not read: {listed.reason}"
+        unchecked = f"the VM list could not be read: {listed.reason}"
     else:
         absent = [
             vm for vm in listed if vm.role is vms.Role.WORKER and vm.id not in named
@@ -109,7 +109,7 @@
 ) -> dict[str, object]:
     partition = None
     if isinstance(assigned, errors.Failure):
-        reason = f"its partition is not known: {assigned.reason}"
+        reason = f"its partition is unknown: {assigned.reason}"
     elif vm.id not in assigned:
         reason = "not assigned to a partition yet"
     else:
