--- a/toucanspring/commands/apply.py
+++ b/toucanspring/commands/apply.py
@@ -19,9 +19,9 @@
     wait: bool = False,
     wait_s: float = 60.0,
 ) -> console.Result:
-    """Put an operators' text into force.
+    """Apply a configuration.
 
-    :param path: file with the text, or `-` for the standard input
+    :param path: file with the configuration, or `-` for the standard input
     :param base: version that the change is based on; by default the one in force now
     :param wait: wait until every live process has the version in force
     :param wait_s: limit on that wait in seconds
@@ -45,7 +45,7 @@
         value |= {"confirmed": confirmed, "unreachable": unreachable}
         lines.append(f"confirmed by {len(confirmed)} processes")
         if unreachable:
-            lines.append("not reached: " + ", ".join(unreachable))
+            lines.append("unreachable: " + ", ".join(unreachable))
     return console.Result(value, "\n".join(lines))
 
 
@@ -63,7 +63,7 @@
         case errors.Conflict(current_version=current) if (
             connection.answer_was_lost and current == given + 1
         ):
-            # The try whose answer was lost may be what is in force now.
+            # The attempt whose answer was lost may have taken effect.
             version, source_in_force = source.fetch(connection)
             if version == current and source_in_force == content:
                 return version
@@ -73,7 +73,7 @@
 def _wait(
     connection: client.Client, version: int, limit_s: float
 ) -> tuple[list[str], list[str]]:
-    """Return who confirmed a version and who cannot be reached."""
+    """Return the processes that confirmed a version, and the unreachable ones."""
     deadline = time.monotonic() + limit_s
     progress = console.Progress()
     while True:
--- a/toucanspring/commands/diff.py
+++ b/toucanspring/commands/diff.py
@@ -7,10 +7,10 @@
 def run(
     context: console.Context, path: str, *, against: str | None = None
 ) -> console.Result:
-    """Show what a text would change.
+    """Show what a configuration would change.
 
-    :param path: file with the new text, or `-` for the standard input
-    :param against: file to compare with instead of the text in force
+    :param path: file with the new configuration, or `-` for the standard input
+    :param against: file to compare with instead of the configuration in force
     """
     _, new = source.parse(path)
     if against is None:
--- a/toucanspring/commands/events.py
+++ b/toucanspring/commands/events.py
@@ -18,7 +18,7 @@
     kind: str = "",
     subject: str = "",
 ) -> console.Result:
-    """Show what the cell did by itself, and why.
+    """Show the automatic actions of the cell, with their causes.
 
     :param since: how far back, such as 30m, 2h or 4d
     :param kind: only this kind, such as worker_lost
@@ -40,7 +40,7 @@
         shown.append(f"{value['omitted']} earlier entries are not shown")
     if value["missing"]:
         names = ", ".join(value["missing"])
-        shown.append(f"without what is not written yet of: {names}")
+        shown.append(f"without unwritten events of: {names}")
     if value["store_missing"]:
         shown.append(f"without written events: {value['store_missing']}")
     if value["lost"]:
@@ -49,13 +49,13 @@
 
 
 def show_time(seconds: float) -> str:
-    """Return a time of day with its date."""
+    """Return date and time in UTC."""
     moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S")
 
 
 def show_detail(item: dict) -> str:
-    """Return the fields that only this kind has."""
+    """Return the fields that are not common to all kinds."""
     return " ".join(
         f"{name}={_show_value(value)}"
         for name, value in item.items()
@@ -77,7 +77,7 @@
     if found is None:
         raise console.CommandError(
             errors.Invalid(
-                reason="not a duration",
+                reason="invalid duration",
                 path="since",
                 value=text,
                 expected="such as 30m, 2h or 4d",
--- a/toucanspring/commands/explain.py
+++ b/toucanspring/commands/explain.py
@@ -7,7 +7,7 @@
 
 
 def run(context: console.Context, job_id: str) -> console.Result:
-    """Say why a job waits, or why it ran where it did.
+    """Explain why a job waits, or why it ran where it did.
 
     :param job_id: job ID
     """
--- a/toucanspring/commands/key.py
+++ b/toucanspring/commands/key.py
@@ -8,11 +8,11 @@
 
 
 def grant(context: console.Context, team: str) -> console.Result:
-    """Grant a key to a team; its secret is shown this once.
+    """Grant a key to a team; its secret is shown only once.
 
     :param team: name of the team
     """
-    # Not repeated after a lost answer: the first try may have granted a key.
+    # Not retried after a lost answer, since the first attempt may have granted a key.
     answer = context.client.call(
         "POST",
         "/v1/keys",
--- a/toucanspring/commands/partitions.py
+++ b/toucanspring/commands/partitions.py
@@ -10,7 +10,7 @@
 
 
 def show(context: console.Context) -> console.Result:
-    """Show the number of partitions, and what is left of former numbers."""
+    """Show the number of partitions, and work that is left from former numbers."""
     value = console.unwrap(context.client.get(TARGET, operator=True)).json()
     lines = [f"{value['partitions']} partitions (generation {value['generation']})"]
     if value["former"]:
@@ -34,7 +34,7 @@
         operator=True,
     )
     if isinstance(found, errors.Conflict) and context.client.answer_was_lost:
-        # The conflict may be with this change, made by the call before.
+        # The conflict may be with this change, committed by an earlier attempt.
         again = console.unwrap(context.client.get(TARGET, operator=True)).json()
         if again["partitions"] == number:
             return _changed(again)
--- a/toucanspring/commands/status.py
+++ b/toucanspring/commands/status.py
@@ -58,6 +58,6 @@
     versions = value["versions"]
     shown += (
         f"\nconfiguration {versions['config']}, keys {versions['keys']}, "
-        f"zones {versions['zones']}, view {'fresh' if value['fresh'] else 'old'}"
+        f"zones {versions['zones']}, view {'fresh' if value['fresh'] else 'stale'}"
     )
     return console.Result(value, shown)
--- a/toucanspring/commands/story.py
+++ b/toucanspring/commands/story.py
@@ -11,11 +11,11 @@
 
 
 def run(_context: console.Context, request_id: str, *logs: str) -> console.Result:
-    """Print what the logs of several processes say of one request, in order of time.
+    """Print the log lines of several processes about one request, in order of time.
 
     A line may have a prefix before its JSON object; its last word names the process.
-    All lines of the job that the request was about are shown, and changes of the
-    coordinator while it was open.
+    All lines of the job of the request are shown, and changes of the coordinator while
+    the job was open.
 
     :param request_id: ID of the job or of one request, as the caller sent it
     :param logs: files with the output of the processes
@@ -34,7 +34,7 @@
     story = select(entries, request_id)
     if not story:
         raise console.CommandError(
-            errors.NotFound(reason=f"no line names {request_id}")
+            errors.NotFound(reason=f"no log line mentions {request_id}")
         )
     return console.Result(story, "\n".join(show(entry) for entry in story))
 
@@ -75,18 +75,18 @@
 
 
 def job_of(entry: dict) -> str:
-    """Return the job that a request was about, by its field or the end of its path."""
+    """Return the job of a request, by its field or the end of its path."""
     return str(entry.get("job") or entry.get("path", "").rpartition("/")[2])
 
 
 def mentions(entry: dict, ids: set[str]) -> bool:
-    """Return whether an entry is about one of some IDs."""
+    """Return whether a field of an entry contains one of the IDs."""
     fields = [str(value) for key, value in entry.items() if key not in HIDDEN]
     return any(name and name in field for name in ids for field in fields)
 
 
 def show(entry: dict) -> str:
-    """Return an entry as one line; of the starts of many jobs it keeps all."""
+    """Return an entry as one line, not shortened even if it lists many jobs."""
     detail = " ".join(
         f"{key}={value}"
         for key, value in entry.items()
--- a/toucanspring/commands/submit.py
+++ b/toucanspring/commands/submit.py
@@ -21,16 +21,16 @@
 ) -> console.Result:
     """Submit a job of the configuration.
 
-    :param name: name of the job in the operators' text
+    :param name: name of the job in the configuration
     :param id: job ID; submitting the same content again under it starts nothing
-    :param tasks: number of tasks instead of the one in the text
-    :param payload: payload instead of the one in the text
+    :param tasks: number of tasks instead of the configured one
+    :param payload: payload instead of the configured one
     :param after: IDs of jobs that must be done first
     :param zones: availability zones to run in
     :param wait: wait until the job has ended
     """
-    # The ID is chosen here, so that a repeated call after a lost answer cannot
-    # start a second job.
+    # The client chooses the ID, so that a retry after a lost answer cannot start a
+    # second job.
     item: dict[str, object] = {
         "id": id or f"{name}-{secrets.token_hex(6)}",
         "template": name,
--- a/toucanspring/commands/validate.py
+++ b/toucanspring/commands/validate.py
@@ -6,9 +6,9 @@
 
 
 def run(_context: console.Context, path: str) -> console.Result:
-    """Check an operators' text without an endpoint.
+    """Check a configuration without an endpoint.
 
-    :param path: file with the text, or `-` for the standard input
+    :param path: file with the configuration, or `-` for the standard input
     """
     cell = reader.parse_all(source.read(path))
     if isinstance(cell, text.Cell):
--- a/toucanspring/commands/workers.py
+++ b/toucanspring/commands/workers.py
@@ -55,7 +55,7 @@
     ]
     header = ("NOT ATTACHED", "ZONE", "RACK", "PARTITION", "LISTED AS", "REASON")
     return (
-        f"\n{len(rows)} workers of the VM list are named by no owner:\n"
+        f"\n{len(rows)} workers of the VM list are not reported by any owner:\n"
         + console.table(header, rows)
     )
 
--- a/toucanspring/plugins/__init__.py
+++ b/toucanspring/plugins/__init__.py
@@ -1,4 +1,4 @@
-"""Named plugins that listen to kernel events.
+"""Plugins that subscribe to events of the kernel.
 
 A plugin is a module of this package with a function `attach(kernel)`, which
 subscribes to events such as `effects.JobFinished`, `claims.PartitionAcquired`,
@@ -21,11 +21,11 @@
 
 
 def load(wanted: str, core: kernel.Kernel) -> None | errors.Invalid:
-    """Attach the plugins of a list of names separated by commas."""
+    """Attach the plugins in a comma-separated list of names."""
     for name in filter(None, (part.strip() for part in wanted.split(","))):
         if name not in names():
             return errors.Invalid(
-                reason=f"no plugin {name}",
+                reason=f"unknown plugin {name}",
                 path="plugins",
                 value=name,
                 expected="one of " + ", ".join(names()),
--- a/toucanspring/terminal/__init__.py
+++ b/toucanspring/terminal/__init__.py
@@ -1,1 +1,1 @@
-"""What the files of the command line share."""
+"""Modules shared by the commands of the command line."""
--- a/toucanspring/terminal/client.py
+++ b/toucanspring/terminal/client.py
@@ -13,13 +13,13 @@
 DEFAULT_PORT = 8080
 CONNECT_TIMEOUT_S = 3.0
 MAX_ANSWER_BYTES = 1 << 26
-# Failures after which another process may do better; none of them had an effect.
+# Failures without an effect, after which the next endpoint is tried.
 FAILOVER_ERRORS = (errors.NotRun, errors.Unavailable, errors.Overloaded, errors.Fenced)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a successful answer."""
+    """Successful response."""
 
     status: int
     headers: dict[str, str]
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """Locate one endpoint; `secure` means HTTPS."""
+    """Host and port of an endpoint; `secure` means HTTPS."""
 
     host: str
     port: int
@@ -40,7 +40,7 @@
 
 
 def parse_endpoint(text: str) -> EndpointAddress | errors.Invalid:
-    """Return the place of `host`, `host:port`, `http://...` or `https://...`."""
+    """Parse `host`, `host:port`, `http://...` or `https://...`."""
     expected = "host:port, http://host:port or https://host:port"
     parts = urllib.parse.urlsplit(text if "//" in text else f"//{text}", "http")
     try:
@@ -54,17 +54,17 @@
         or not port
     ):
         return errors.Invalid(
-            reason="not an endpoint", path="endpoints", value=text, expected=expected
+            reason="invalid endpoint", path="endpoints", value=text, expected=expected
         )
     return EndpointAddress(parts.hostname, port, parts.scheme == "https")
 
 
 def create_tls_context(ca_file: str) -> object | errors.Invalid:
-    """Return a TLS context that accepts certificates of the authorities in a file.
+    """Return a TLS context that trusts the certificate authorities in a file.
 
-    Without a file, those of the host are accepted.
+    Without a file, it trusts those of the host.
     """
-    from gevent import ssl  # costs memory and time, and most calls need none
+    from gevent import ssl  # costs memory and time; most calls use no TLS
 
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # checks chain and host name
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -75,10 +75,10 @@
             context.load_default_certs()
     except OSError as error:
         return errors.Invalid(
-            reason=f"not read: {error.strerror or error}",
+            reason=f"cannot be read: {error.strerror or error}",
             path="ca_file",
             value=ca_file,
-            expected="a PEM file with certificates of authorities",
+            expected="a PEM file with CA certificates",
         )
     return context
 
@@ -109,7 +109,7 @@
         self._operator_key = operator_key
         self._operator = operator
         self._timeout_s = timeout_s
-        self.answer_was_lost = False  # in the last call, before it was repeated
+        self.answer_was_lost = False  # by any endpoint during the last call
 
     def close(self) -> None:
         """Close all connections."""
@@ -129,14 +129,14 @@
         operator: bool = False,
         repeatable: bool = True,
     ) -> Answer | errors.Failure:
-        """Call one endpoint after the other until one gives an answer.
+        """Call the endpoints in turn until one answers.
 
-        After a lost answer the call goes to the next endpoint only if it is
-        `repeatable`, otherwise the result is `Ambiguous`. The endpoint that answered
-        is asked first from then on.
+        After a lost answer the call is retried at the next endpoint only if it is
+        `repeatable`, otherwise the result is `Ambiguous`. Later calls start with the
+        endpoint that answered.
         """
         sent = self._headers(operator) | (headers or {})
-        last: errors.Failure = errors.Unavailable(reason="no endpoint")
+        last: errors.Failure = errors.Unavailable(reason="no endpoint is set")
         lost: errors.Ambiguous | None = None
         self.answer_was_lost = False
         for endpoint in list(self._endpoints):
@@ -180,4 +180,6 @@
         fields = msgspec.json.decode(reply.body)["error"]
         return errors.from_dict(fields)
     except (msgspec.DecodeError, KeyError, TypeError):
-        return errors.Malformed(reason=f"the endpoint answered {reply.status}")
+        return errors.Malformed(
+            reason=f"unexpected response with status {reply.status}"
+        )
--- a/toucanspring/terminal/console.py
+++ b/toucanspring/terminal/console.py
@@ -39,13 +39,13 @@
     errors.Timeout: EXIT_TIMEOUT,
     errors.Failure: EXIT_FAILURE,
 }
-# Interval of progress lines when the error output is no terminal.
+# Interval of progress lines when the error output is not a terminal.
 LINE_INTERVAL_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """Hold what each command gets besides its own parameters."""
+    """Arguments that every command gets in addition to its own parameters."""
 
     client: client.Client
     json: bool
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """Hold what a command prints: `value` as JSON or `text` for people."""
+    """Output of a command: `value` for JSON, `text` for plain output."""
 
     value: object
     text: str
@@ -62,7 +62,7 @@
 
 
 class CommandError(Exception):
-    """End a command with a failure; `detail` is printed after it for people."""
+    """Ends a command with a failure; plain output also has `detail`."""
 
     def __init__(self, failure: errors.Failure, detail: str = "") -> None:
         super().__init__(failure.reason)
@@ -71,21 +71,21 @@
 
 
 def unwrap(result: object) -> object:
-    """Return a result, or end the command if it is a failure."""
+    """Return a result, or raise `CommandError` if it is a failure."""
     if isinstance(result, errors.Failure):
         raise CommandError(result)
     return result
 
 
 def exit_code(failure: errors.Failure) -> int:
-    """Return the exit code of a failure type or of its base."""
+    """Return the exit code of the type of a failure, or of its base type."""
     return next(
         EXIT_CODES[kind] for kind in type(failure).__mro__ if kind in EXIT_CODES
     )
 
 
 def table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return rows under a header in aligned columns; numbers to the right."""
+    """Return rows under a header in aligned columns; numbers are right-aligned."""
     cells = [list(header), *([_show(cell) for cell in row] for row in rows)]
     if len(cells) == 1:
         return "none"
@@ -112,7 +112,7 @@
         case float():
             return f"{cell:.2f}"
     text = str(cell)
-    # Names come from other people; control characters must not reach the terminal.
+    # Names come from other users; control characters must not reach the terminal.
     return "".join(char if char.isprintable() else "?" for char in text)
 
 
@@ -135,7 +135,7 @@
 
 
 class Progress:
-    """Show on the error output that a long wait goes on."""
+    """Show the progress of a long wait on the error output."""
 
     def __init__(self, output: TextIO | None = None) -> None:
         self._output = output or sys.stderr
@@ -144,7 +144,7 @@
         self._width = 0
 
     def show(self, text: str) -> None:
-        """Replace the progress line, or add one now and then without a terminal."""
+        """Replace the progress line; without a terminal, add one per interval."""
         if self._is_terminal:
             self._output.write("\r" + text.ljust(self._width))
             self._width = len(text)
@@ -161,7 +161,7 @@
 
 
 def print_result(result: Result, as_json: bool) -> None:
-    """Print what a command found to the standard output."""
+    """Print the result of a command to the standard output."""
     if as_json:
         print(msgspec.json.encode(result.value, order="deterministic").decode())
     elif result.text:
@@ -181,7 +181,7 @@
 
 
 def describe(failure: errors.Failure) -> str:
-    """Return one line with all that a failure says."""
+    """Return one line with all details of a failure."""
     match failure:
         case errors.Invalid():
             place = f"line {failure.line}: " if failure.line else ""
--- a/toucanspring/terminal/source.py
+++ b/toucanspring/terminal/source.py
@@ -1,4 +1,4 @@
-"""Operators' texts in files, as the command line reads and compares them."""
+"""Configuration files, as the command line reads and compares them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def parse(path: str) -> tuple[str, text.Cell]:
-    """Return the text of a file and its cell, or end the command with its faults."""
+    """Return the text of a file and its cell, or raise its validation errors."""
     source = read(path)
     cell = reader.parse_all(source)
     if isinstance(cell, list):
@@ -42,7 +42,7 @@
 
 
 def show_faults(path: str, faults: Iterable[errors.Invalid]) -> str:
-    """Return one line for each fault."""
+    """Return one line for each validation error."""
     return "\n".join(f"{path}: {console.describe(fault)}" for fault in faults)
 
 
@@ -80,7 +80,7 @@
 
 
 def _by_name(value: object) -> object:
-    """Return a value for JSON, with the parts of resources by name."""
+    """Return a value for JSON, with the amounts of resources by name."""
     if dataclasses.is_dataclass(value) or isinstance(value, resources.Resources):
         names = type(value).__match_args__
         return {name: _by_name(getattr(value, name)) for name in names}
