--- a/toucanspring/commands/status.py
+++ b/toucanspring/commands/status.py
@@ -58,6 +58,6 @@
     versions = value["versions"]
     shown += (
         f"\nconfiguration {versions['config']}, keys {versions['keys']}, "
-        f"zones {versions['zones']}, view {'fresh' if value['fresh'] else 'stale'}"
+        f"zones {versions['zones']}, view {'fresh' if value['fresh'] else 'old'}"
     )
     return console.Result(value, shown)
