--- a/test/test_budgets.py
+++ b/test/test_budgets.py
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """Run the service of one process on a shared fake store, with its own clocks."""
+    """Service of one process with its own clocks, on a shared fake store."""
 
     def __init__(self, name, shared, offset_s=0.0):
         self.tables = shared.client()
@@ -64,7 +64,7 @@
         return Process(name, self.shared, **options)
 
     def total(self, *answering, reader=None):
-        """Return the requests that a report counts, by the clock of the first."""
+        """Return the requests in a report, by the clock of the first process."""
         reader = reader or answering[0]
         rows = report.read_store(reader.core, "burn")
         exports = [each.service.export() for each in answering]
@@ -72,13 +72,13 @@
         found = budgets.join(rows, exports, minute)
         return sum(good + bad for part in found for *_, good, bad in part)
 
-    def filled(self):
+    def rows_with_counts(self):
         """Return how many rows hold counts."""
         rows = [budgets._decoder.decode(row.value) for row in self.shared.rows.values()]
         return sum(bool(row.series) for row in rows)
 
     def test_counts_survive_the_replacement_of_all_processes(self):
-        # Guards against windows of 6 hours and 3 days that forget with the VMs.
+        # Guards against windows of 6 hours and 3 days that lose counts with their VMs.
         for name in ("p1", "p2"):
             former = self.process(name)
             former.count(90, 10)
@@ -98,7 +98,8 @@
         self.assertEqual([0, 0, 0, 210, 210], counts)
 
     def test_a_repeated_write_counts_once(self):
-        # Guards against a lost answer whose write is repeated, or arrives late.
+        # Guards against double counts by a write that is retried after a lost answer
+        # or takes effect late.
         for fault in ("lose", "drop", "late"):
             process = self.process(fault)
             process.count(10)
@@ -136,7 +137,7 @@
         process.service.write()
         self.assertEqual(20, self.total(self.process("reader")))
 
-    def test_a_slow_store_holds_neither_requests_nor_the_stop(self):
+    def test_a_slow_store_delays_neither_requests_nor_the_stop(self):
         self.patch(budgets, "STOP_LIMIT_S", 0.05)
         process = self.process()
         process.count(10)
@@ -151,30 +152,30 @@
         writing.kill()
 
     def test_rows_of_ended_runs_are_folded_into_one(self):
-        # Guards against rows that pile up with each restart, and against counts
-        # that are in two rows.
+        # Guards against rows that accumulate with each restart, and against counts that
+        # are in two rows.
         for number in range(3):
             run = self.process("p1")
             run.now = 60.0 * number
             run.count(10)
             run.service.stop()
-        self.assertEqual(1, self.filled())
+        self.assertEqual(1, self.rows_with_counts())
         gone = self.process("gone")
         gone.count(7)
         gone.service.stop()
-        keeper = self.process("p2")
-        keeper.claims.partitions = {0: 1}
-        keeper.now = 7 * 3600.0
-        keeper.service.write()
-        self.assertEqual(1, self.filled())
-        self.assertEqual(37, self.total(keeper))
+        owner = self.process("p2")
+        owner.claims.partitions = {0: 1}
+        owner.now = 7 * 3600.0
+        owner.service.write()
+        self.assertEqual(1, self.rows_with_counts())
+        self.assertEqual(37, self.total(owner))
         self.assertEqual(37, self.total(self.process("reader")))
-        keeper.now += 25 * 3600.0
+        owner.now += 25 * 3600.0
         for _ in range(2):
-            keeper.service.write()
-        self.assertEqual([keeper.key()], list(self.shared.rows))
+            owner.service.write()
+        self.assertEqual([owner.key()], list(self.shared.rows))
         version = self.shared.version
-        keeper.service.write()  # without news
+        owner.service.write()  # without changes
         self.assertEqual(version, self.shared.version)
 
     def test_a_row_folded_too_early_is_counted_once(self):
@@ -191,7 +192,7 @@
             successor.service.write()
             paused.count(10)
             if not in_doubt:
-                # The report between the fold and its notice.
+                # A report after the fold, which the paused process has not noticed yet.
                 self.assertEqual(25, self.total(successor, paused))
             for _ in range(3):
                 paused.service.write()
@@ -201,14 +202,14 @@
             self.shared.rows.clear()
 
     def test_random_faults_neither_double_nor_lose_counts(self):
-        # Guards against interleavings of lost answers, late effects, folds of live
-        # writers and restarts that no other test plays.
+        # Guards against lost or double counts under interleavings of lost answers, late
+        # writes, folds of live writers and restarts, which no other test covers.
         exact = 0
         for seed in range(60):
             rng = random.Random(seed)
             lost = 0
             self.shared = fake_tables.FakeTables()
-            # Clocks that disagree move counts in time and change no sum.
+            # Different clocks move counts in time but change no sum.
             offsets = [rng.uniform(-7200, 7200) for _ in range(3)]
             live = [self.process(f"p{n}", offset_s=offsets[n]) for n in range(3)]
             ended = []
@@ -235,7 +236,7 @@
                         each.tables.drop.clear()
                         each.tables.late.clear()
                         each.service.stop()
-                        # What a run still holds at its end is gone with it, or may be.
+                        # Counts left in memory are lost; those in doubt may be.
                         left = each.service.export()
                         counted -= burn.Counts(left.unwritten).requests()
                         lost += burn.Counts(left.doubtful).requests() + left.lost
@@ -244,8 +245,8 @@
                         live[number] = self.process(
                             f"p{number}", offset_s=offsets[number]
                         )
-                # Doubtful counts of a folded writer are left out until it gives them
-                # up as lost; lost ones may have been folded.
+                # Doubtful counts of a folded writer are not in the total until it has
+                # given them up as lost; lost ones may have been folded.
                 exports = [each.service.export() for each in live]
                 doubt = sum(burn.Counts(each.doubtful).requests() for each in exports)
                 least = counted - lost - doubt - sum(each.lost for each in exports)
@@ -270,15 +271,15 @@
         former = self.process("former")
         former.count(5)
         former.service.stop()
-        keeper = self.process("keeper")
-        keeper.claims.partitions = {0: 1}
-        keeper.now = 7 * 3600.0
-        rows = report.read_store(keeper.core, "burn")
-        keeper.service.write()
-        found = budgets.join(rows, [keeper.service.export()], 0)
+        owner = self.process("owner")
+        owner.claims.partitions = {0: 1}
+        owner.now = 7 * 3600.0
+        rows = report.read_store(owner.core, "burn")
+        owner.service.write()
+        found = budgets.join(rows, [owner.service.export()], 0)
         self.assertEqual(5, sum(good for part in found for *_, good, _ in part))
 
-    def test_old_counts_grow_coarse_and_leave(self):
+    def test_old_counts_are_merged_and_expire(self):
         process = self.process()
         sizes = []
         for _ in range(5 * 24):
@@ -289,7 +290,7 @@
             sizes.append(len(row.value))
         [series] = process.service.export().written
         kept = sum(good for _, _, good, _ in series.buckets)
-        # An hour leaves as a whole.
+        # Buckets of an hour expire as a whole.
         self.assertTrue(
             burn.RETENTION_MINUTES - 60 <= kept < burn.RETENTION_MINUTES, kept
         )
--- a/test/test_burn.py
+++ b/test/test_burn.py
@@ -19,16 +19,16 @@
         return recorder
 
     def test_a_burst_that_has_ended_raises_no_fast_alert(self):
-        # Guards against waking someone for a fault that is already over.
+        # Guards against paging someone for a failure that has already ended.
         burst = [(3000, 0, 300)]
-        over = self.record([*burst, (100, 1000, 0)])
-        still = self.record([*burst, (100, 800, 200)])
-        for recorder, alert in ((over, ""), (still, "fast")):
+        ended = self.record([*burst, (100, 1000, 0)])
+        ongoing = self.record([*burst, (100, 800, 200)])
+        for recorder, alert in ((ended, ""), (ongoing, "fast")):
             budgets = burn.evaluate([recorder.export(NOW)], {"desk": 99.0})
             self.assertEqual(alert, find(budgets).alert)
 
     def test_exports_of_all_processes_add_up(self):
-        # Guards against a report that shows one process for the whole cell.
+        # Guards against a report on the cell that has the counts of one process only.
         parts = [self.record([(10, 90, 10)]), self.record([(10, 100, 0)])]
         budgets = burn.evaluate([part.export(NOW) for part in parts], {"desk": 95.0})
         for budget in (find(budgets), find(budgets, "reps")):
--- a/test/test_cli.py
+++ b/test/test_cli.py
@@ -53,7 +53,7 @@
         return str(path)
 
     def test_exit_codes_and_types_of_failures(self):
-        # Guards against scripts that take a failure for success.
+        # Guards against scripts that treat a failure as success.
         example = str(edge_fakes.ROOT / "examples" / "kernhalde.yaml")
         faulty = self.write(edge_fakes.KERNHALDE.replace("share: 5", "share: 0"))
         self.partitions.submit([job.JobSpec(id="a", name="a", team="labels")])
@@ -93,7 +93,7 @@
         self.core.register("handover", service)
 
     def test_a_lost_answer_to_a_change_of_the_number_is_settled(self):
-        # Guards against a conflict of the repeated call with its first attempt.
+        # Guards against a retry that reports a conflict with its own first attempt.
         rows = [{"partitions": number, "generation": number} for number in (2, 5)]
         answers = [client.Answer(200, {}, json.dumps(row).encode()) for row in rows]
         connection = types.SimpleNamespace(
@@ -112,7 +112,7 @@
         self.assertEqual("NotFound", json.loads(failures)["error"]["type"])
 
     def test_every_command_has_help_without_the_keys(self):
-        # Guards against keys from the environment that the help shows as defaults.
+        # Guards against help that shows keys from the environment as defaults.
         for name, entry in cli.COMMANDS.items():
             inner = [[name, each] for each in entry] if isinstance(entry, dict) else []
             for arguments in inner or [[name]]:
@@ -132,13 +132,13 @@
         self.assertIn("based on version 1", failures)
 
     def test_apply_after_a_lost_answer_recognises_its_own_change(self):
-        # Guards against an operator who is told of a conflict with themselves.
+        # Guards against a conflict reported for the operator's own change.
         path = self.write(edge_fakes.KERNHALDE + "# changed\n")
-        plain = exchange.Endpoint.call
+        original_call = exchange.Endpoint.call
         lost = []
 
         def call(endpoint, method, *arguments, **options):
-            reply = plain(endpoint, method, *arguments, **options)
+            reply = original_call(endpoint, method, *arguments, **options)
             if method == "PUT" and not lost and isinstance(reply, exchange.Reply):
                 lost.append(reply.status)
                 return errors.Ambiguous(reason="the answer was lost")
@@ -152,10 +152,10 @@
         self.assertIn("version 2 is in force", output)
 
     def test_a_key_is_not_granted_twice_after_a_lost_answer(self):
-        plain = exchange.Endpoint.call
+        original_call = exchange.Endpoint.call
 
         def call(endpoint, method, *arguments, **options):
-            plain(endpoint, method, *arguments, **options)
+            original_call(endpoint, method, *arguments, **options)
             return errors.Ambiguous(reason="the answer was lost")
 
         self.patch(exchange.Endpoint, "call", call)
@@ -193,7 +193,7 @@
         self.assertEqual(4, code, failures)
 
     def test_wait_ends_with_the_outcome_of_the_jobs(self):
-        # Guards against a nightly script that goes on after a failed job.
+        # Guards against a nightly script that continues after a failed job.
         for state, expected in (("done", 0), ("failed", 9), ("unknown", 8)):
             outcome = job.Outcome(job.State(state), "why")
             status = effects.JobStatus("a", "a", "desk", {state: 1}, outcome, {})
@@ -241,36 +241,38 @@
         self.assertEqual((256_000, 250_500), (old["cpus"], new["cpus"]))
 
     def test_reports_without_content_say_so(self):
-        # Guards against a bare `none` that does not say what is absent.
+        # Guards against an empty table shown only as `none`.
         self.assertEqual(
             "no tasks wait\n\nno requests wait\n", self.run_cli("report", "waiting")[1]
         )
         self.assertIn("no requests were counted", self.run_cli("report", "burn")[1])
 
     def test_https_endpoints_are_checked(self):
-        # Guards against keys sent to whoever answers at the address.
-        made = certificates.Certificates(self)
-        core = edge_fakes.build(http_certificate=made.certificate, http_key=made.key)
+        # Guards against keys sent to a server without a trusted certificate.
+        issued = certificates.Certificates(self)
+        core = edge_fakes.build(
+            http_certificate=issued.certificate, http_key=issued.key
+        )
         core.start()
         self.addCleanup(core.stop)
         port = core.find("gateway").port
-        plain, own = f"127.0.0.1:{port}", f"https://127.0.0.1:{port}"
-        foreign = certificates.Certificates(self).ca_file
+        plain_http, own = f"127.0.0.1:{port}", f"https://127.0.0.1:{port}"
+        other_ca_file = certificates.Certificates(self).ca_file
         for expected, endpoint, ca_file in (
-            (0, own, made.ca_file),
-            (0, f"{UNUSED},{own}", made.ca_file),
+            (0, own, issued.ca_file),
+            (0, f"{UNUSED},{own}", issued.ca_file),
             (7, own, ""),
-            (7, own, foreign),
-            (7, f"https://localhost:{port}", made.ca_file),
+            (7, own, other_ca_file),
+            (7, f"https://localhost:{port}", issued.ca_file),
             (3, own, "/nothing/there.pem"),
-            (8, plain, ""),
+            (8, plain_http, ""),
         ):
             options = ["--endpoints", endpoint, "--ca-file", ca_file]
             code, _, failures = self.run_cli("zone", "list", *options)
             self.assertEqual(expected, code, (endpoint, ca_file, failures))
         environment = {
             "TOUCANSPRING_ENDPOINTS": own,
-            "TOUCANSPRING_CA_FILE": made.ca_file,
+            "TOUCANSPRING_CA_FILE": issued.ca_file,
         }
         path = self.write(edge_fakes.KERNHALDE + "# changed\n")
         code, _, failures = self.run_cli("apply", path, "--wait", **environment)
@@ -284,11 +286,13 @@
         ]
         connection = client.Client(addresses, "", edge_fakes.OPERATOR_KEY, "", 5.0)
         asked = []
-        plain = exchange.Endpoint.call
+        original_call = exchange.Endpoint.call
         self.patch(
             exchange.Endpoint,
             "call",
-            lambda endpoint, *rest: asked.append(endpoint) or plain(endpoint, *rest),
+            lambda endpoint, *rest: (
+                asked.append(endpoint) or original_call(endpoint, *rest)
+            ),
         )
         for _ in range(3):
             connection.get("/v1/zones", operator=True)
--- a/test/test_documents.py
+++ b/test/test_documents.py
@@ -52,18 +52,18 @@
     def test_of_two_operators_one_gets_a_conflict_with_both_versions(self):
         cell = self.start(2)
         results = []
-        rivals = [
+        appliers = [
             gevent.spawn(lambda p=p: results.append(p.documents.apply(str(p), 0, "x")))
             for p in cell
         ]
-        gevent.joinall(rivals)
+        gevent.joinall(appliers)
         (conflict,) = [r for r in results if isinstance(r, errors.Conflict)]
         self.assertIn(1, results)
         self.assertEqual((1, 0), (conflict.current_version, conflict.given_version))
 
     def test_an_unchanged_text_keeps_its_version_and_a_stale_one_conflicts(self):
-        # Guards against versions without a change, and against a check of versions
-        # that the same text gets around.
+        # Guards against new versions without a change, and against a version check that
+        # is skipped if the text is the same.
         (process,) = self.start(1)
         for expected, text in ((0, "one"), (1, "one"), (1, "two"), (2, "two")):
             version = process.documents.apply(text, expected, "operator")
@@ -74,7 +74,7 @@
         self.assertEqual(2, len(process.documents.history()))
 
     def test_a_lost_answer_does_not_apply_a_change_twice(self):
-        # Guards against a second version, a second key or a false conflict.
+        # Guards against a retry that adds another version or key or reports a conflict.
         (process,) = self.start(1)
         service, client = process.documents, process.client
         for failure in (client.lose, client.drop):
@@ -151,7 +151,7 @@
 
     def test_a_process_without_the_store_follows_its_peers(self):
         # Guards against a process that serves an old view, and against one that stops
-        # although its peers vouch for its view.
+        # although its peers confirm its view.
         cell = self.start(3)
         cell[2].client.down = True
         self.assertEqual(1, cell[0].documents.apply("one", 0, "operator"))
@@ -195,7 +195,7 @@
         self.assertEqual(freshness.Versions(), service.versions())
 
     def test_a_configuration_that_is_invalid_here_is_not_confirmed(self):
-        # Guards against a process of an older release that claims to follow.
+        # Guards against an older release that confirms a text which it cannot parse.
         cell = self.start(2)
         cell[1].documents._parse = lambda _source: errors.Invalid(reason="unknown")
         self.assertEqual(1, cell[0].documents.apply("new", 0, "operator"))
@@ -207,8 +207,8 @@
 class SimulatedChangesTest(testtools.TestCase):
     """Random failures while operators change the configuration."""
 
-    def disturb(self, rng):
-        """Take the store away from some members, and cut or restart others."""
+    def inject_failures(self, rng):
+        """Disconnect some members from the store, and partition or restart others."""
         nodes = list(self.cell.nodes.values())
         for node in nodes:
             node.client.down = node.paused = False
@@ -258,21 +258,21 @@
             late = [
                 (version, at)
                 for version, at in self.accepted
-                # The limit on the age, by a slow clock, and one step.
+                # The maximum age by a slow clock, and one simulation step.
                 if version > own and self.cell.now - at > 1.5 * 1.024 + 0.1
             ]
             self.assertEqual([], late, f"{node.name} goes on with {own}")
 
     def test_no_process_goes_on_without_an_accepted_change(self):
-        # Guards against a majority without the store that goes on with an old view
-        # while a minority with the store changes it, and against forgetful restarts.
+        # Guards against a majority without the store that keeps using an old view while
+        # a minority with the store changes it, and against restarts that lose state.
         handler = logbook.NullHandler()
         handler.push_application()
         self.addCleanup(handler.pop_application)
         self.patch(documents, "RETRY_S", 0)
         self.patch(changes, "LIMIT_S", 0)
         accepted = self.extended = 0
-        # With lists of only the recent members, seeds 31, 35 and 38 fail.
+        # If member rows list only the recent members, seeds 31, 35 and 38 fail.
         for seed in range(28, 40):
             self.addDetail("seed", content.text_content(str(seed)))
             rng = random.Random(seed)
@@ -280,7 +280,7 @@
             self.stored, self.accepted = [], []
             self.cell.run(6, self.check)
             while self.cell.now < 60:
-                self.disturb(rng)
+                self.inject_failures(rng)
                 for _ in range(3):
                     for node in rng.sample(list(self.cell.nodes.values()), 3):
                         self.change(node)
--- a/test/test_event_buffer.py
+++ b/test/test_event_buffer.py
@@ -37,7 +37,7 @@
         self.assertEqual(0.3, throttled.event.fraction)
 
     def test_a_burst_over_many_jobs_keeps_its_count(self):
-        # Guards against memory and rows that grow with the jobs of a burst.
+        # Guards against memory and rows that grow with the number of jobs in a burst.
         for number in range(5000):
             self.buffer.add(stopped(job=f"job-{number}"), START)
         entries = self.entries()
@@ -73,7 +73,7 @@
         buffered = sum(segment.size for segment in self.buffer.segments)
         self.assertTrue(buffered <= 2 * event_buffer.MAX_BUFFERED_BYTES)
         self.assertTrue(self.buffer.lost > 0)
-        # Guards against a loss that no row ever states.
+        # Guards against a number of lost events that is never written.
         for segment in self.buffer.segments:
             segment.unwritten = False
         self.buffer.add(lost(), START + 3600 * 51)
@@ -92,7 +92,7 @@
 
 class EventKindsTest(testtools.TestCase):
     def test_folded_fields_exist(self):
-        # Guards against a misspelt name, which would make every event an entry.
+        # Guards against a misspelt name, with which no events would be folded.
         for kind in event_kinds.KINDS:
             folded = set(kind.SUMMED + kind.LATEST)
             self.assertEqual(set(), folded - set(kind.__struct_fields__), kind)
--- a/test/test_events.py
+++ b/test/test_events.py
@@ -10,7 +10,7 @@
 
 
 class Peers:
-    """Answer calls by the services of the other processes."""
+    """Peers that answer calls by the services of the other processes."""
 
     def __init__(self):
         self.services = {}
@@ -56,7 +56,7 @@
         )
         peers.services[name] = self.service
 
-    def lose(self, worker, zone="z0"):
+    def lose_worker(self, worker, zone="z0"):
         self.core.publish(event_kinds.WorkerLost(worker, zone, "r0", 2, 1))
 
     def write(self):
@@ -82,9 +82,9 @@
 
     def test_the_record_outlives_the_process(self):
         former, reader = self.process("p1"), self.process("p2")
-        former.lose("w1")
+        former.lose_worker("w1")
         former.write()
-        former.lose("w2")
+        former.lose_worker("w2")
         former.service.stop()
         del self.peers.services["p1"]
         report = reader.service.report(3600.0)
@@ -94,29 +94,30 @@
 
     def test_unwritten_entries_are_asked_for_and_each_is_shown_once(self):
         one, two = self.process("p1"), self.process("p2")
-        one.lose("w1")
+        one.lose_worker("w1")
         one.write()
         one.now += 1
-        one.lose("w2")
+        one.lose_worker("w2")
         two.now += 2
-        two.lose("w3")
+        two.lose_worker("w3")
         self.assertEqual(["w1", "w2", "w3"], self.workers(two))
         self.assertEqual(["w1", "w2", "w3"], self.workers(one))
 
     def test_lost_answers_make_no_entry_twice(self):
-        # Guards against a write that took effect, or does so late, and is repeated.
+        # Guards against double entries by a write that is retried although it took
+        # effect, or takes effect late.
         for fault in ("lose", "drop", "late"):
             process = self.process(fault)
-            process.lose("w1")
+            process.lose_worker("w1")
             key = event_rows.key_of(
                 fault, process.service._writer, process.service._buffer.segments[0]
             )
             getattr(process.tables, fault)[key] = 1
             process.write()
-            process.lose("w1")
+            process.lose_worker("w1")
             process.write()
             process.tables.deliver_late()
-            process.lose("w2")
+            process.lose_worker("w2")
             for _ in range(2):
                 process.write()
             self.peers.services.clear()
@@ -132,7 +133,7 @@
     def test_an_outage_delays_and_does_not_lose(self):
         process = self.process()
         process.tables.down = True
-        process.lose("w1")
+        process.lose_worker("w1")
         process.write()
         self.assertEqual(events.RETRY_S, process.due_s())
         report = process.service.report(3600.0)
@@ -145,21 +146,21 @@
 
     def test_urgent_events_are_written_soon_and_others_rarely(self):
         process = self.process()
-        process.lose("w1")
+        process.lose_worker("w1")
         self.assertTrue(process.due_s() <= 2.0)
         process.write()
         process.core.publish(event_kinds.WorkerQuarantined("w2"))
         self.assertEqual(events.WRITE_INTERVAL_S, process.due_s())
-        process.lose("w3")
+        process.lose_worker("w3")
         self.assertTrue(process.due_s() <= 4.0)
 
     def test_a_write_under_way_keeps_what_arrives_meanwhile(self):
         process = self.process()
-        process.lose("w1")
+        process.lose_worker("w1")
         process.tables.delay_s = 0.001
         writing = gevent.spawn(process.write)
         gevent.sleep(0)
-        process.lose("w2")
+        process.lose_worker("w2")
         writing.join()
         process.write()
         self.peers.services.clear()
@@ -168,7 +169,7 @@
 
     def test_a_process_killed_during_a_write_leaves_it_unwritten(self):
         process = self.process()
-        process.lose("w1")
+        process.lose_worker("w1")
         process.tables.delay_s = 30.0
         writing = gevent.spawn(process.write)
         gevent.sleep(0)
@@ -179,8 +180,8 @@
 
     def test_entries_are_selected_by_kind_and_subject(self):
         process = self.process()
-        process.lose("w1", zone="z1")
-        process.lose("w2", zone="z2")
+        process.lose_worker("w1", zone="z1")
+        process.lose_worker("w2", zone="z2")
         process.core.publish(event_kinds.WorkersMoved(("w1", "w3"), 2, 0))
         report = process.service.report
         self.assertEqual(2, len(report(3600.0, "worker_lost").events))
@@ -189,12 +190,12 @@
         self.assertEqual(3, len(report(3600.0, subject="partition:2").events))
         self.assertEqual(3, len(report(3600.0, subject="p1").events))
 
-    def test_rows_leave_after_the_retention(self):
+    def test_rows_are_deleted_after_the_retention(self):
         process = self.process()
-        process.lose("w1")
+        process.lose_worker("w1")
         process.write()
         process.now = 3600.0 * (event_rows.RETENTION_HOURS - 1)
-        process.lose("w2")
+        process.lose_worker("w2")
         process.write()
         wall = START + process.now + 2 * 3600.0
         self.assertEqual(1, event_rows.remove_old(process.tables, wall))
--- a/test/test_page.py
+++ b/test/test_page.py
@@ -5,7 +5,7 @@
 
 from toucanspring.reporting import page
 
-# The text's rules allow no such names; a page must not depend on that.
+# The configuration rejects such names, but a page must not rely on that.
 NAME = """<script>alert("x")</script>&'"""
 VALUES = {
     "share": {
@@ -50,7 +50,7 @@
         # Guards against a name that breaks the page or runs as a script.
         for name in VALUES:
             shown = self.render(name)
-            # Well-formed XML but for the declaration and the only void element.
+            # Well-formed XML except for the doctype and the only void element.
             body = shown.removeprefix("<!doctype html>\n")
             body = body.replace('<meta charset="utf-8">', "")
             found = {each.tag for each in ElementTree.fromstring(body).iter()}
@@ -61,7 +61,7 @@
                 self.assertNotIn(reference, shown)
 
     def test_each_plot_has_an_axis_with_quantity_and_unit(self):
-        # Guards against bars whose scale nobody can read.
+        # Guards against plots without a readable scale.
         for name, labels in (
             ("share", ["part of the cell by the scarcest resource, %"]),
             ("waiting", ["waiting tasks", "waiting time, s"]),
--- a/test/test_survey.py
+++ b/test/test_survey.py
@@ -38,7 +38,7 @@
         )
 
     def test_each_worker_of_the_vm_list_is_named_with_a_reason(self):
-        # Guards against a short list after a takeover that looks complete.
+        # Guards against an incomplete list after a takeover that looks complete.
         found = survey.describe(self.core)
         self.assertEqual(["w0"], [each.worker for each in found["workers"]])
         self.assertEqual(
--- a/test/test_text.py
+++ b/test/test_text.py
@@ -152,7 +152,7 @@
     @SETTINGS
     @hypothesis.given(strategies.text(max_size=400))
     def test_any_text_gives_a_cell_or_faults(self, source):
-        # Guards against an exception that reaches the operator as "internal error".
+        # Guards against an exception, which the operator would see as "internal error".
         result = reader.parse(source)
         self.assertIsInstance(result, text.Cell | errors.Invalid)
 
