--- a/toucanspring/reporting/burn.py
+++ b/toucanspring/reporting/burn.py
@@ -234,9 +234,8 @@
         for service, team, age, good, bad in export:
             if service not in objectives or age * BUCKET_S >= BUDGET_PERIOD_S:
                 continue
-            age = max(
-                age, 0
-            )  # negative if counted by a clock that is ahead of this one
+            # Negative if counted by a clock that is ahead of this one.
+            age = max(age, 0)
             for key in ((service, ""), (service, team)):
                 bucket = counts.setdefault(key, {}).setdefault(age, [0, 0])
                 bucket[0] += good
--- a/toucanspring/reporting/event_buffer.py
+++ b/toucanspring/reporting/event_buffer.py
@@ -118,9 +118,8 @@
         ):
             self.lost += 1
             if self.segments:
-                self.segments[
-                    -1
-                ].unwritten = True  # its row has the number of lost events
+                # Its row has the number of lost events.
+                self.segments[-1].unwritten = True
             return
         segment = self._open_segment(hour, size)
         segment.entries.append(entry)
--- a/toucanspring/reporting/event_kinds.py
+++ b/toucanspring/reporting/event_kinds.py
@@ -260,7 +260,7 @@
 
 
 class ZoneReturned(Event, frozen=True):
-    """A zone is in service again; `tasks_left` tasks had been stopped to leave."""
+    """A zone is in service again; `tasks_left` tasks were stopped to evacuate it."""
 
     zone: str
     partition: int
