--- a/toucanspring/commands/apply.py
+++ b/toucanspring/commands/apply.py
@@ -30,18 +30,18 @@
     version, old_source = source.fetch(context.client)
     old = reader.parse(old_source)
     changes = text.diff(old, new) if isinstance(old, text.Cell) else []
-    given = version if base is None else base
-    applied = _put(context.client, new_source, given)
+    base_version = version if base is None else base
+    applied = _put(context.client, new_source, base_version)
     lines = [source.show_changes(changes), f"version {applied} is in force"]
-    if applied == given:
+    if applied == base_version:
         lines = [f"unchanged: version {applied} is in force"]
     value: dict[str, object] = {
         "version": applied,
-        "unchanged": applied == given,
+        "unchanged": applied == base_version,
         "changes": source.changes_value(changes),
     }
     if wait:
-        confirmed, unreachable = _wait(context.client, applied, wait_s)
+        confirmed, unreachable = _wait_until_confirmed(context.client, applied, wait_s)
         value |= {"confirmed": confirmed, "unreachable": unreachable}
         lines.append(f"confirmed by {len(confirmed)} processes")
         if unreachable:
@@ -49,19 +49,19 @@
     return console.Result(value, "\n".join(lines))
 
 
-def _put(connection: client.Client, content: str, given: int) -> int:
+def _put(connection: client.Client, content: str, base_version: int) -> int:
     result = connection.call(
         "PUT",
         "/v1/config",
         content.encode(),
-        {"If-Match": f'"{given}"', "Content-Type": "application/yaml"},
+        {"If-Match": f'"{base_version}"', "Content-Type": "application/yaml"},
         operator=True,
     )
     match result:
         case client.Answer():
             return result.json()["version"]
         case errors.Conflict(current_version=current) if (
-            connection.answer_was_lost and current == given + 1
+            connection.answer_was_lost and current == base_version + 1
         ):
             # The attempt whose answer was lost may have taken effect.
             version, source_in_force = source.fetch(connection)
@@ -70,7 +70,7 @@
     raise console.CommandError(result)
 
 
-def _wait(
+def _wait_until_confirmed(
     connection: client.Client, version: int, limit_s: float
 ) -> tuple[list[str], list[str]]:
     """Return the processes that confirmed a version, and the unreachable ones."""
@@ -83,13 +83,15 @@
         value = answer.json()
         found, unreachable = value["processes"], value["unreachable"]
         missing = sorted(
-            name for name, has in found.items() if not has and name not in unreachable
+            name
+            for name, is_confirmed in found.items()
+            if not is_confirmed and name not in unreachable
         )
         if not missing:
             progress.end()
-            return sorted(name for name, has in found.items() if has), [
-                name for name in unreachable if not found[name]
-            ]
+            return sorted(
+                name for name, is_confirmed in found.items() if is_confirmed
+            ), [name for name in unreachable if not found[name]]
         progress.show(
             f"version {version}: {len(found) - len(missing)} of {len(found)} confirmed"
         )
--- a/toucanspring/commands/events.py
+++ b/toucanspring/commands/events.py
@@ -8,7 +8,7 @@
 from toucanspring.terminal import console
 
 UNITS_S = {"s": 1, "m": 60, "h": 3600, "d": 86400}
-COMMON = ("time", "last", "count", "process", "kind")
+COMMON_FIELDS = ("time", "last", "count", "process", "kind")
 
 
 def run(
@@ -25,8 +25,8 @@
     :param subject: only about this worker, job, zone, rack, process or service;
         partition:2 names a partition
     """
-    wanted = {"since": _seconds(since), "kind": kind, "subject": subject}
-    query = urllib.parse.urlencode({name: v for name, v in wanted.items() if v})
+    filters = {"since": _seconds(since), "kind": kind, "subject": subject}
+    query = urllib.parse.urlencode({name: v for name, v in filters.items() if v})
     reply = context.client.get(f"/v1/events?{query}", operator=True)
     value = console.unwrap(reply).json()
     rows = [
@@ -59,7 +59,7 @@
     return " ".join(
         f"{name}={_show_value(value)}"
         for name, value in item.items()
-        if name not in COMMON and value not in ("", [])
+        if name not in COMMON_FIELDS and value not in ("", [])
     )
 
 
--- a/toucanspring/commands/report.py
+++ b/toucanspring/commands/report.py
@@ -22,7 +22,7 @@
     value = console.unwrap(
         context.client.get(f"/v1/reports/{name}", operator=True)
     ).json()
-    shown = SHOW[name](value)
+    shown = FORMATTERS[name](value)
     shown = "\n".join([shown, *page.missing_data(value)])
     if html is not None:
         try:
@@ -89,4 +89,4 @@
     return console.table(header, rows)
 
 
-SHOW = {"share": _show_share, "waiting": _show_waiting, "burn": _show_burn}
+FORMATTERS = {"share": _show_share, "waiting": _show_waiting, "burn": _show_burn}
--- a/toucanspring/commands/story.py
+++ b/toucanspring/commands/story.py
@@ -7,7 +7,7 @@
 from toucanspring import errors
 from toucanspring.terminal import console
 
-HIDDEN = ("time", "level", "logger", "message")
+HIDDEN_FIELDS = ("time", "level", "logger", "message")
 
 
 def run(_context: console.Context, request_id: str, *logs: str) -> console.Result:
@@ -58,11 +58,11 @@
     ids = {request_id}
     for entry in entries:
         if entry.get("request") == request_id:
-            ids.add(job_of(entry))
-    own = [entry for entry in entries if mentions(entry, ids)]
-    if not own:
+            ids.add(get_job_id(entry))
+    matching = [entry for entry in entries if mentions(entry, ids)]
+    if not matching:
         return []
-    first, last = str(own[0]["time"]), str(own[-1]["time"])
+    first, last = str(matching[0]["time"]), str(matching[-1]["time"])
     return [
         entry
         for entry in entries
@@ -74,14 +74,14 @@
     ]
 
 
-def job_of(entry: dict) -> str:
+def get_job_id(entry: dict) -> str:
     """Return the job of a request, by its field or the end of its path."""
     return str(entry.get("job") or entry.get("path", "").rpartition("/")[2])
 
 
 def mentions(entry: dict, ids: set[str]) -> bool:
     """Return whether a field of an entry contains one of the IDs."""
-    fields = [str(value) for key, value in entry.items() if key not in HIDDEN]
+    fields = [str(value) for key, value in entry.items() if key not in HIDDEN_FIELDS]
     return any(name and name in field for name in ids for field in fields)
 
 
@@ -90,6 +90,6 @@
     detail = " ".join(
         f"{key}={value}"
         for key, value in entry.items()
-        if key not in (*HIDDEN, "process")
+        if key not in (*HIDDEN_FIELDS, "process")
     )
     return f"{entry['time']} {entry['process']} {entry['message']} {detail}"
--- a/toucanspring/commands/wait.py
+++ b/toucanspring/commands/wait.py
@@ -21,24 +21,24 @@
     started = time.monotonic()
     progress = console.Progress()
     open_jobs = list(jobs)
-    found: dict[str, dict[str, object]] = {}
-    pause = FIRST_POLL_S
+    statuses: dict[str, dict[str, object]] = {}
+    pause_s = FIRST_POLL_S
     while True:
         for job_id in open_jobs:
-            found[job_id] = status.fetch(context.client, job_id)
-        open_jobs = [job_id for job_id in open_jobs if not found[job_id]["outcome"]]
+            statuses[job_id] = status.fetch(context.client, job_id)
+        open_jobs = [job_id for job_id in open_jobs if not statuses[job_id]["outcome"]]
         if not open_jobs:
             break
-        waited = time.monotonic() - started
-        progress.show(_describe(found, open_jobs, waited))
-        if limit_s and waited >= limit_s:
+        waited_s = time.monotonic() - started
+        progress.show(_describe(statuses, open_jobs, waited_s))
+        if limit_s and waited_s >= limit_s:
             progress.end()
             names = ", ".join(open_jobs)
             raise console.CommandError(errors.Timeout(reason=f"not ended yet: {names}"))
-        gevent.sleep(pause)
-        pause = min(LONGEST_POLL_S, pause * 1.5)
+        gevent.sleep(pause_s)
+        pause_s = min(LONGEST_POLL_S, pause_s * 1.5)
     progress.end()
-    items = [found[job_id] for job_id in jobs]
+    items = [statuses[job_id] for job_id in jobs]
     states = {item["outcome"]["state"] for item in items}
     code = 0
     if states - {"done"}:
@@ -48,10 +48,10 @@
     return console.Result({"jobs": items}, status.show(items), code)
 
 
-def _describe(found: dict, open_jobs: list[str], waited_s: float) -> str:
+def _describe(statuses: dict, open_jobs: list[str], waited_s: float) -> str:
     counts: dict[str, int] = {}
     for job_id in open_jobs:
-        for state, count in found[job_id]["counts"].items():
+        for state, count in statuses[job_id]["counts"].items():
             counts[state] = counts.get(state, 0) + count
     tasks = ", ".join(f"{count} {state}" for state, count in counts.items())
     return f"{len(open_jobs)} jobs open after {console.seconds(waited_s)}: {tasks}"
--- a/toucanspring/configuration/changes.py
+++ b/toucanspring/configuration/changes.py
@@ -200,22 +200,22 @@
     read in time.
     """
     deadline = clock() + LIMIT_S
-    lost: errors.Ambiguous | None = None
+    ambiguous: errors.Ambiguous | None = None
     while True:
         result = _attempt(client, change, in_force())
         match result:
             case InEffect(document=document):
                 return document
             case errors.Ambiguous():
-                lost = result
+                ambiguous = result
             case errors.Conflict(key=records.HEAD):
                 result = errors.Unavailable(reason="too many concurrent changes")
-            case errors.Unavailable() if lost is not None:
+            case errors.Unavailable() if ambiguous is not None:
                 pass
             case _:
                 return result
         if clock() + RETRY_S > deadline:
-            return lost or result
+            return ambiguous or result
         gevent.sleep(RETRY_S)
 
 
--- a/toucanspring/configuration/checks.py
+++ b/toucanspring/configuration/checks.py
@@ -83,22 +83,22 @@
             continue
         visiting[start] = None
         while stack:
-            name, rest = stack[-1]
-            following = next(rest, None)
-            if following is None:
+            name, dependencies = stack[-1]
+            dependency = next(dependencies, None)
+            if dependency is None:
                 finished.add(name)
                 del visiting[name]
                 stack.pop()
-            elif following in visiting:
+            elif dependency in visiting:
                 names = list(visiting)
-                cycle = [*names[names.index(following) :], following]
-                index = cell.jobs[name].after.index(following)
+                cycle = [*names[names.index(dependency) :], dependency]
+                index = cell.jobs[name].after.index(dependency)
                 faults.add(
                     ("jobs", name, "after", index),
                     " -> ".join(cycle),
                     "dependencies without a cycle",
                     "dependency cycle",
                 )
-            elif following not in finished:
-                visiting[following] = None
-                stack.append((following, iter(cell.jobs[following].after)))
+            elif dependency not in finished:
+                visiting[dependency] = None
+                stack.append((dependency, iter(cell.jobs[dependency].after)))
--- a/toucanspring/configuration/confirmation.py
+++ b/toucanspring/configuration/confirmation.py
@@ -45,7 +45,7 @@
     def processes(self, name: str, version: int) -> set[str]:
         """Return the processes that have a version of a document in force."""
         confirmed = self.by_process(name, version)
-        return {process for process, done in confirmed.items() if done}
+        return {process for process, is_confirmed in confirmed.items() if is_confirmed}
 
     def wait(self, name: str, version: int) -> errors.Ambiguous | None:
         """Wait until enough members have a stored version in force.
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -21,8 +21,8 @@
 TOP_LEVEL = ("cell", "limits", *SECTION_MODELS)
 
 _PATH = re.compile(r" - at `\$(.*)`$")
-_PART = re.compile(r"\.([^.\[]+)|\[([0-9]+)\]")
-_GOT = re.compile(r", got (.*)$")
+_PATH_PART = re.compile(r"\.([^.\[]+)|\[([0-9]+)\]")
+_GOT_VALUE = re.compile(r", got (.*)$")
 
 # Valid values of the fields for which the message of msgspec does not list them.
 _VALID_VALUES = {
@@ -160,31 +160,33 @@
         return msgspec.convert(entry, kind)
     except msgspec.ValidationError as error:
         message = str(error)
-    inner: list[str | int] = []
+    inner_path: list[str | int] = []
     value = entry
     if match := _PATH.search(message):
         message = message[: match.start()]
-        for key, index in _PART.findall(match[1]):
+        for key, index in _PATH_PART.findall(match[1]):
             part = key or int(index)
-            inner.append(part)
-            value = _item(value, part)
+            inner_path.append(part)
+            value = _get_item(value, part)
     unknown = re.search(r"unknown field `(.*)`", message)
     if unknown:
-        inner.append(unknown[1])
+        inner_path.append(unknown[1])
         value = unknown[1]
         fields = ", ".join(field.encode_name for field in msgspec.structs.fields(kind))
-        message = f"one of {fields}" if len(inner) == 1 else "a field of this entry"
+        message = (
+            f"one of {fields}" if len(inner_path) == 1 else "a field of this entry"
+        )
     reason = "unknown field" if unknown else "invalid value"
     if "missing required" in message:
         reason, value = "field missing", ""
-    expected = _GOT.sub("", message).removeprefix("Expected ").replace("`", "")
-    if inner and inner[-1] in _VALID_VALUES:
-        expected = "one of " + ", ".join(_VALID_VALUES[inner[-1]])
-    faults.add((*path, *inner), value, expected, reason)
+    expected = _GOT_VALUE.sub("", message).removeprefix("Expected ").replace("`", "")
+    if inner_path and inner_path[-1] in _VALID_VALUES:
+        expected = "one of " + ", ".join(_VALID_VALUES[inner_path[-1]])
+    faults.add((*path, *inner_path), value, expected, reason)
     return None
 
 
-def _item(value: object, part: str | int) -> object:
+def _get_item(value: object, part: str | int) -> object:
     try:
         return value[part]
     except (KeyError, IndexError, TypeError):
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -138,19 +138,19 @@
     while not isinstance(key := next(events), yaml.MappingEndEvent):
         if not isinstance(key, yaml.ScalarEvent):
             raise _read_error(key, path, "a compound key", "a plain name as key")
-        inner = (*path, key.value)
+        key_path = (*path, key.value)
         if key.value in entries:
             raise _ReadError(
                 errors.Invalid(
                     reason="duplicate key",
-                    path=format_path(inner),
+                    path=format_path(key_path),
                     line=key.start_mark.line + 1,
                     value=shorten(key.value),
-                    expected=f"one entry (the first is on line {lines[inner]})",
+                    expected=f"one entry (the first is on line {lines[key_path]})",
                 )
             )
-        lines[inner] = key.start_mark.line + 1
-        entries[key.value] = _read_node(next(events), events, inner, lines)
+        lines[key_path] = key.start_mark.line + 1
+        entries[key.value] = _read_node(next(events), events, key_path, lines)
     return entries
 
 
--- a/toucanspring/reporting/budgets.py
+++ b/toucanspring/reporting/budgets.py
@@ -292,18 +292,18 @@
         # team; with pauses, by 17 ms.
         counts = burn.Counts(self._row.series, pause=lambda: gevent.sleep(0))
         counts.add(self._unwritten.series())
-        names = list(self._row.folded)
+        folded_writers = list(self._row.folded)
         tombstones = {}
         for key, (_, row) in folded.items():
             counts.add(row.series)
             if not row.ended:
-                names += [*row.folded, row.writer]
+                folded_writers += [*row.folded, row.writer]
                 tombstone = Row(row.writer, -1, [], [], max(1, minute))
                 tombstones[key] = _encode(tombstone)
         row = Row(
             self._row.writer,
             self._row.sequence + 1,
-            names[-KEPT_FOLDED:],
+            folded_writers[-KEPT_FOLDED:],
             counts.merged(minute).series(),
         )
         checks = {key: version for key, (version, _) in folded.items()}
@@ -338,8 +338,8 @@
         rows = self._tables.read(list(attempt.checks))
         if isinstance(rows, errors.Failure):
             return
-        others = attempt.checks.keys() - {self._key}
-        if any(rows[key].version != attempt.checks[key] for key in others):
+        other_keys = attempt.checks.keys() - {self._key}
+        if any(rows[key].version != attempt.checks[key] for key in other_keys):
             # They were changed by this attempt or by another process. A later read of
             # the own row shows which.
             own = self._tables.read([self._key])
--- a/toucanspring/reporting/event_buffer.py
+++ b/toucanspring/reporting/event_buffer.py
@@ -69,25 +69,25 @@
         self._hour = 0
         self._hour_bytes = 0
 
-    def add(self, event: event_kinds.Event, wall: float) -> None:
+    def add(self, event: event_kinds.Event, wall_time: float) -> None:
         """Add an event, or count it as lost if the buffer is full."""
-        minute = int(wall // 60)
+        minute = int(wall_time // 60)
         if minute != self._minute:
             self._minute = minute
             self._index = {}
         key = event_kinds.fold_key(event)
-        full = len(self._index) >= ENTRIES_PER_MINUTE and not event.URGENT
-        if full and key not in self._index:
+        is_full = len(self._index) >= ENTRIES_PER_MINUTE and not event.URGENT
+        if is_full and key not in self._index:
             event = event_kinds.without_subjects(event)
             key = event_kinds.fold_key(event)
         found = self._index.get(key)
         if found is None:
-            self._append(key, event, wall)
+            self._append(key, event, wall_time)
             return
         segment, entry = found
         entry.event = event_kinds.fold(entry.event, event)
         entry.count += 1
-        entry.last = wall
+        entry.last = wall_time
         segment.unwritten = True
 
     def unwritten(self) -> list[Segment]:
@@ -103,12 +103,12 @@
         ] + self.segments[-1:]
 
     def _append(
-        self, key: tuple[object, ...], event: event_kinds.Event, wall: float
+        self, key: tuple[object, ...], event: event_kinds.Event, wall_time: float
     ) -> None:
-        hour = int(wall // HOUR_S)
+        hour = int(wall_time // HOUR_S)
         if hour != self._hour:
             self._hour, self._hour_bytes = hour, 0
-        entry = Entry(self._numbers, wall, wall, 1, event)
+        entry = Entry(self._numbers, wall_time, wall_time, 1, event)
         size = len(msgspec.msgpack.encode(entry))
         factor = 2 if event.URGENT else 1
         buffered = sum(segment.size for segment in self.segments)
--- a/toucanspring/reporting/event_rows.py
+++ b/toucanspring/reporting/event_rows.py
@@ -80,10 +80,10 @@
         page = client.scan(PREFIX, after, PAGE_ROWS)
         if isinstance(page, errors.Failure):
             return page
-        for keyed in page:
-            row = decode(keyed.value)
+        for stored in page:
+            row = decode(stored.value)
             if isinstance(row, errors.Failure):
-                log.error("row {}: {}", keyed.key, row.reason)
+                log.error("row {}: {}", stored.key, row.reason)
             else:
                 found.append(row)
         if len(page) < PAGE_ROWS:
@@ -91,13 +91,13 @@
         after = page[-1].key
 
 
-def remove_old(client: tables.TableClient, wall: float) -> int | errors.Failure:
+def remove_old(client: tables.TableClient, wall_time: float) -> int | errors.Failure:
     """Delete rows outside of the retention; return their number.
 
     Also deletes rows whose hour is too far in the future, written by a wrong clock,
     which would otherwise never expire.
     """
-    hour = int(wall // event_buffer.HOUR_S)
+    hour = int(wall_time // event_buffer.HOUR_S)
     oldest = _prefix_of(hour - RETENTION_HOURS)
     removed = 0
     for after, limit in (("", oldest), (_prefix_of(hour + RETENTION_HOURS), "")):
--- a/toucanspring/reporting/page.py
+++ b/toucanspring/reporting/page.py
@@ -70,21 +70,21 @@
     """
     if not rows:
         return "<p>Nothing to show.</p>"
-    top = max(max(values) for _, values, _ in rows) or 1.0
+    maximum = max(max(values) for _, values, _ in rows) or 1.0
     height = LEGEND_HEIGHT + ROW_HEIGHT * len(rows)
     parts = [_legend(legend)]
     for index, (label, values, shown) in enumerate(rows):
         y = index * ROW_HEIGHT + LEGEND_HEIGHT
         parts.append(_text(0, y + 20, label))
         for bar_index, value in enumerate(values):
-            length = max(0.0, value) / top * PLOT_WIDTH
+            length = max(0.0, value) / maximum * PLOT_WIDTH
             parts.append(
                 f'<rect x="{LABEL_WIDTH}" y="{y + bar_index * BAR_HEIGHT}" '
                 f'width="{length:.1f}" height="{BAR_HEIGHT - 2}" '
                 f'fill="{COLOURS[bar_index]}"/>'
             )
         parts.append(_text(LABEL_WIDTH + PLOT_WIDTH + 8, y + 20, shown))
-    ticks = (show(0.0), show(top / 2), show(top))
+    ticks = (show(0.0), show(maximum / 2), show(maximum))
     parts.append(_horizontal_axis(height, ticks, axis))
     return _svg(title, height + AXIS_HEIGHT, "".join(parts))
 
@@ -93,11 +93,11 @@
     """Return a plot of fractions by hour, the latest last, with a line at `limit`."""
     if len(values) < 2:
         return ""
-    top = max([*values, limit]) or 1.0
+    maximum = max([*values, limit]) or 1.0
     step = PLOT_WIDTH / (len(values) - 1)
 
     def y_of(value: float) -> float:
-        return LINE_HEIGHT - value / top * (LINE_HEIGHT - 10)
+        return LINE_HEIGHT - value / maximum * (LINE_HEIGHT - 10)
 
     points = " ".join(
         f"{LABEL_WIDTH + index * step:.1f},{y_of(value):.1f}"
@@ -112,9 +112,9 @@
         LINE_HEIGHT + AXIS_HEIGHT,
         _text(0, LINE_HEIGHT / 2, label)
         + _text(0, LINE_HEIGHT / 2 + 16, "bad requests, %")
-        + _text(LABEL_WIDTH - 4, y_of(top) + 4, _percent(top), "end")
+        + _text(LABEL_WIDTH - 4, y_of(maximum) + 4, _percent(maximum), "end")
         + _text(LABEL_WIDTH - 4, LINE_HEIGHT + 4, "0%", "end")
-        + f'<line x1="{LABEL_WIDTH}" x2="{LABEL_WIDTH}" y1="{y_of(top):.1f}" '
+        + f'<line x1="{LABEL_WIDTH}" x2="{LABEL_WIDTH}" y1="{y_of(maximum):.1f}" '
         f'y2="{LINE_HEIGHT}" stroke="#222"/>'
         f'<line x1="{LABEL_WIDTH}" x2="{end}" y1="{y:.1f}" y2="{y:.1f}" '
         f'stroke="{COLOURS[1]}" stroke-dasharray="4 3"/>'
--- a/toucanspring/reporting/report.py
+++ b/toucanspring/reporting/report.py
@@ -66,10 +66,10 @@
         result = event.AsyncResult()
         owned.post(inbox.Ask(lambda decider: decider.summary(now), result))
         results.append(result)
-    joined = summary.Summary()
+    merged = summary.Summary()
     for result in gevent.wait(results, timeout=ASK_LIMIT_S):
-        joined.add(result.get())
-    return joined
+        merged.add(result.get())
+    return merged
 
 
 def read_store(core: kernel.Kernel, name: str) -> list[budgets.Row] | errors.Failure:
@@ -89,15 +89,15 @@
     stored: list[budgets.Row] | errors.Failure = (),
 ) -> dict[str, object]:
     """Return a report from the contributions of all processes and of the store."""
-    joined = summary.Summary()
+    merged = summary.Summary()
     for part in parts:
         if part.summary is not None:
-            joined.add(part.summary)
+            merged.add(part.summary)
     match name:
         case "share":
-            return {"teams": _shares(cell, joined)}
+            return {"teams": _shares(cell, merged)}
         case "waiting":
-            return {"jobs": _waiting_jobs(joined), "requests": _waiting_requests(parts)}
+            return {"jobs": _waiting_jobs(merged), "requests": _waiting_requests(parts)}
     return _budgets(cell, parts, stored)
 
 
@@ -121,7 +121,7 @@
     }
 
 
-def _shares(cell: text.Cell, joined: summary.Summary) -> list[dict[str, object]]:
+def _shares(cell: text.Cell, merged: summary.Summary) -> list[dict[str, object]]:
     """Return the use of each team and the fraction its share entitles it to.
 
     The entitlement is relative to all teams; a team may use more while others are idle.
@@ -129,9 +129,9 @@
     total = sum(team.share for team in cell.teams.values()) or 1.0
     rows = []
     for team in cell.teams.values():
-        used = joined.use.get(team.name, resources.ZERO)
+        used = merged.use.get(team.name, resources.ZERO)
         entitled = team.share / total
-        fraction = used.dominant(joined.capacity)
+        fraction = used.dominant(merged.capacity)
         rows.append(
             {
                 "team": team.name,
@@ -148,7 +148,7 @@
     return rows
 
 
-def _waiting_jobs(joined: summary.Summary) -> list[dict[str, object]]:
+def _waiting_jobs(merged: summary.Summary) -> list[dict[str, object]]:
     return [
         {
             "team": team,
@@ -156,19 +156,19 @@
             "tasks": entry.tasks,
             "oldest_s": entry.oldest_s,
         }
-        for team, classes in sorted(joined.waiting.items())
+        for team, classes in sorted(merged.waiting.items())
         for job_class, entry in sorted(classes.items())
     ]
 
 
 def _waiting_requests(parts: list[Contribution]) -> list[dict[str, object]]:
-    joined: dict[tuple[str, str], int] = {}
+    merged: dict[tuple[str, str], int] = {}
     for part in parts:
         for service, classes in part.requests.items():
             for job_class, count in classes.items():
                 key = (service, job_class)
-                joined[key] = joined.get(key, 0) + count
+                merged[key] = merged.get(key, 0) + count
     return [
         {"service": service, "class": job_class, "requests": count}
-        for (service, job_class), count in sorted(joined.items())
+        for (service, job_class), count in sorted(merged.items())
     ]
--- a/toucanspring/reporting/survey.py
+++ b/toucanspring/reporting/survey.py
@@ -70,23 +70,23 @@
     found: WorkerSurvey = core.find("partitions").workers()
     # Read after the answers, so that a new worker is listed as not attached.
     listed = core.find("store").vms.list()
-    named = {status.worker for status in found.workers}
-    absent = []
+    reported = {status.worker for status in found.workers}
+    missing = []
     unchecked = ""
     if isinstance(listed, errors.Failure):
         unchecked = f"the VM list could not be read: {listed.reason}"
     else:
-        absent = [
-            vm for vm in listed if vm.role is vms.Role.WORKER and vm.id not in named
+        missing = [
+            vm for vm in listed if vm.role is vms.Role.WORKER and vm.id not in reported
         ]
-    assigned = _read_assignment(core) if absent else {}
+    assigned = _read_assignment(core) if missing else {}
     return {
         "workers": found.workers,
         "silent_partitions": [
             {"partition": number, "reason": failure.reason or failure.kind}
             for number, failure in sorted(found.silent.items())
         ],
-        "not_attached": [_describe(vm, assigned, found.silent) for vm in absent],
+        "not_attached": [_describe(vm, assigned, found.silent) for vm in missing],
         "unchecked": unchecked,
     }
 
--- a/toucanspring/terminal/client.py
+++ b/toucanspring/terminal/client.py
@@ -135,13 +135,13 @@
         `repeatable`, otherwise the result is `Ambiguous`. Later calls start with the
         endpoint that answered.
         """
-        sent = self._headers(operator) | (headers or {})
+        all_headers = self._headers(operator) | (headers or {})
         last: errors.Failure = errors.Unavailable(reason="no endpoint is set")
-        lost: errors.Ambiguous | None = None
+        ambiguous: errors.Ambiguous | None = None
         self.answer_was_lost = False
         for endpoint in list(self._endpoints):
             reply = endpoint.call(
-                method, target, body, sent, self._timeout_s, MAX_ANSWER_BYTES
+                method, target, body, all_headers, self._timeout_s, MAX_ANSWER_BYTES
             )
             match reply:
                 case exchange.Reply():
@@ -153,11 +153,11 @@
                 case errors.Ambiguous():
                     if not repeatable:
                         return reply
-                    last = lost = reply
+                    last = ambiguous = reply
                     self.answer_was_lost = True
                 case _:
                     last = reply
-        return lost or last
+        return ambiguous or last
 
     def _prefer(self, endpoint: exchange.Endpoint) -> None:
         self._endpoints.remove(endpoint)
--- a/toucanspring/terminal/source.py
+++ b/toucanspring/terminal/source.py
@@ -64,8 +64,8 @@
                 lines.append(f"- {section}.{name}")
             case text.Changed(section, name, fields):
                 lines += [
-                    f"~ {section}.{_joined(name, field)}: "
-                    f"{_plain(old)} -> {_plain(new)}"
+                    f"~ {section}.{_join_path(name, field)}: "
+                    f"{_format_value(old)} -> {_format_value(new)}"
                     for field, (old, new) in fields.items()
                 ]
     return "\n".join(lines) or "no changes"
@@ -74,24 +74,24 @@
 def changes_value(changes: list[text.Change]) -> list[dict[str, object]]:
     """Return the changes between two cells for JSON."""
     return [
-        {"change": type(change).__name__.lower(), **_by_name(change)}
+        {"change": type(change).__name__.lower(), **_to_builtins(change)}
         for change in changes
     ]
 
 
-def _by_name(value: object) -> object:
+def _to_builtins(value: object) -> object:
     """Return a value for JSON, with the amounts of resources by name."""
     if dataclasses.is_dataclass(value) or isinstance(value, resources.Resources):
         names = type(value).__match_args__
-        return {name: _by_name(getattr(value, name)) for name in names}
+        return {name: _to_builtins(getattr(value, name)) for name in names}
     if isinstance(value, dict):
-        return {name: _by_name(each) for name, each in value.items()}
+        return {name: _to_builtins(each) for name, each in value.items()}
     if isinstance(value, list | tuple):
-        return [_by_name(each) for each in value]
+        return [_to_builtins(each) for each in value]
     return msgspec.to_builtins(value)
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, resources.Resources):
         return (
             f"cpus {value.cpus / 1000:g}, memory {value.memory} MiB, "
@@ -100,5 +100,5 @@
     return msgspec.json.encode(value).decode()
 
 
-def _joined(name: str, field: str) -> str:
+def _join_path(name: str, field: str) -> str:
     return name if name == field else f"{name}.{field}"
