--- a/test/test_event_buffer.py
+++ b/test/test_event_buffer.py
@@ -37,7 +37,7 @@
         self.assertEqual(0.3, throttled.event.fraction)
 
     def test_a_burst_over_many_jobs_keeps_its_count(self):
-        # Guards against memory and rows that grow with the jobs of a burst.
+        # Guards against memory and rows that grow with the number of jobs in a burst.
         for number in range(5000):
             self.buffer.add(stopped(job=f"job-{number}"), START)
         entries = self.entries()
@@ -57,7 +57,7 @@
                 moment = START - START % 3600 + 60 * minute
                 self.buffer.add(stopped(job=f"job-{number}"), moment)
         size = sum(segment.size for segment in self.buffer.segments)
-        self.assertTrue(size <= event_buffer.HOUR_BYTES)
+        self.assertTrue(size <= event_buffer.MAX_BYTES_PER_HOUR)
         kept = sum(entry.count for entry in self.entries())
         total = 59 * event_buffer.ENTRIES_PER_MINUTE
         self.assertEqual(total, kept + self.buffer.lost)
@@ -70,10 +70,10 @@
             for number in range(1000):
                 moment = START + 3600 * hour + number
                 self.buffer.add(lost(number), moment)
-        held = sum(segment.size for segment in self.buffer.segments)
-        self.assertTrue(held <= 2 * event_buffer.HELD_BYTES)
+        buffered = sum(segment.size for segment in self.buffer.segments)
+        self.assertTrue(buffered <= 2 * event_buffer.MAX_BUFFERED_BYTES)
         self.assertTrue(self.buffer.lost > 0)
-        # Guards against a loss that no row ever states.
+        # Guards against a number of lost events that is never written.
         for segment in self.buffer.segments:
             segment.unwritten = False
         self.buffer.add(lost(), START + 3600 * 51)
@@ -84,15 +84,15 @@
             self.buffer.add(lost(number), START)
         for segment in self.buffer.segments:
             segment.unwritten, segment.written_at = False, 5.0
-        self.buffer.drop_written(5.0 + event_buffer.KEPT_S - 1)
+        self.buffer.drop_written(5.0 + event_buffer.WRITTEN_RETENTION_S - 1)
         self.assertEqual(300, len(self.entries()))
-        self.buffer.drop_written(5.0 + event_buffer.KEPT_S)
+        self.buffer.drop_written(5.0 + event_buffer.WRITTEN_RETENTION_S)
         self.assertEqual(1, len(self.buffer.segments))
 
 
 class EventKindsTest(testtools.TestCase):
     def test_folded_fields_exist(self):
-        # Guards against a misspelt name, which would make every event an entry.
+        # Guards against a misspelt name, with which no events would be folded.
         for kind in event_kinds.KINDS:
             folded = set(kind.SUMMED + kind.LATEST)
             self.assertEqual(set(), folded - set(kind.__struct_fields__), kind)
--- a/test/test_survey.py
+++ b/test/test_survey.py
@@ -38,7 +38,7 @@
         )
 
     def test_each_worker_of_the_vm_list_is_named_with_a_reason(self):
-        # Guards against a short list after a takeover that looks complete.
+        # Guards against an incomplete list after a takeover that looks complete.
         found = survey.describe(self.core)
         self.assertEqual(["w0"], [each.worker for each in found["workers"]])
         self.assertEqual(
@@ -55,7 +55,7 @@
         # Guards against an outage of the store that looks like a complete list.
         self.store.tables.down = True
         [first, *_] = survey.describe(self.core)["not_attached"]
-        self.assertIn("not known: down", first["reason"])
+        self.assertIn("partition is unknown: down", first["reason"])
         self.store.vms.list = lambda: errors.Unavailable(reason="no list")
         found = survey.describe(self.core)
         self.assertEqual([], found["not_attached"])
--- a/toucanspring/commands/events.py
+++ b/toucanspring/commands/events.py
@@ -8,7 +8,7 @@
 from toucanspring.terminal import console
 
 UNITS_S = {"s": 1, "m": 60, "h": 3600, "d": 86400}
-COMMON = ("time", "last", "count", "process", "kind")
+COMMON_FIELDS = ("time", "last", "count", "process", "kind")
 
 
 def run(
@@ -18,15 +18,15 @@
     kind: str = "",
     subject: str = "",
 ) -> console.Result:
-    """Show what the cell did by itself, and why.
+    """Show the automatic actions of the cell, with their causes.
 
     :param since: how far back, such as 30m, 2h or 4d
     :param kind: only this kind, such as worker_lost
     :param subject: only about this worker, job, zone, rack, process or service;
         partition:2 names a partition
     """
-    wanted = {"since": _seconds(since), "kind": kind, "subject": subject}
-    query = urllib.parse.urlencode({name: v for name, v in wanted.items() if v})
+    filters = {"since": _seconds(since), "kind": kind, "subject": subject}
+    query = urllib.parse.urlencode({name: v for name, v in filters.items() if v})
     reply = context.client.get(f"/v1/events?{query}", operator=True)
     value = console.unwrap(reply).json()
     rows = [
@@ -40,7 +40,7 @@
         shown.append(f"{value['omitted']} earlier entries are not shown")
     if value["missing"]:
         names = ", ".join(value["missing"])
-        shown.append(f"without what is not written yet of: {names}")
+        shown.append(f"without unwritten events of: {names}")
     if value["store_missing"]:
         shown.append(f"without written events: {value['store_missing']}")
     if value["lost"]:
@@ -49,17 +49,17 @@
 
 
 def show_time(seconds: float) -> str:
-    """Return a time of day with its date."""
+    """Return date and time in UTC."""
     moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S")
 
 
 def show_detail(item: dict) -> str:
-    """Return the fields that only this kind has."""
+    """Return the fields that are not common to all kinds."""
     return " ".join(
         f"{name}={_show_value(value)}"
         for name, value in item.items()
-        if name not in COMMON and value not in ("", [])
+        if name not in COMMON_FIELDS and value not in ("", [])
     )
 
 
@@ -75,9 +75,9 @@
 def _seconds(text: str) -> int:
     found = re.fullmatch(r"(\d{1,7})([smhd])", text)
     if found is None:
-        raise console.Failed(
+        raise console.CommandError(
             errors.Invalid(
-                reason="not a duration",
+                reason="invalid duration",
                 path="since",
                 value=text,
                 expected="such as 30m, 2h or 4d",
--- a/toucanspring/commands/report.py
+++ b/toucanspring/commands/report.py
@@ -22,14 +22,14 @@
     value = console.unwrap(
         context.client.get(f"/v1/reports/{name}", operator=True)
     ).json()
-    shown = SHOW[name](value)
-    shown = "\n".join([shown, *page.gaps(value)])
+    shown = FORMATTERS[name](value)
+    shown = "\n".join([shown, *page.missing_data(value)])
     if html is not None:
         try:
             pathlib.Path(html).write_text(page.render(name, value), encoding="utf-8")
         except OSError as error:
             reason = f"{html}: {error.strerror}"
-            raise console.Failed(errors.Refused(reason=reason)) from None
+            raise console.CommandError(errors.Refused(reason=reason)) from None
     return console.Result(value, shown)
 
 
@@ -89,4 +89,4 @@
     return console.table(header, rows)
 
 
-SHOW = {"share": _show_share, "waiting": _show_waiting, "burn": _show_burn}
+FORMATTERS = {"share": _show_share, "waiting": _show_waiting, "burn": _show_burn}
--- a/toucanspring/commands/story.py
+++ b/toucanspring/commands/story.py
@@ -7,15 +7,15 @@
 from toucanspring import errors
 from toucanspring.terminal import console
 
-HIDDEN = ("time", "level", "logger", "message")
+HIDDEN_FIELDS = ("time", "level", "logger", "message")
 
 
 def run(_context: console.Context, request_id: str, *logs: str) -> console.Result:
-    """Print what the logs of several processes say of one request, in order of time.
+    """Print the log lines of several processes about one request, in order of time.
 
     A line may have a prefix before its JSON object; its last word names the process.
-    All lines of the job that the request was about are shown, and changes of the
-    coordinator while it was open.
+    All lines of the job of the request are shown, and changes of the coordinator while
+    the job was open.
 
     :param request_id: ID of the job or of one request, as the caller sent it
     :param logs: files with the output of the processes
@@ -27,11 +27,15 @@
                 entries += [entry for line in file if (entry := read_line(line, name))]
         except OSError as error:
             reason = f"cannot read {name}: {error.strerror}"
-            raise console.Failed(errors.Invalid(reason=reason, path=name)) from error
+            raise console.CommandError(
+                errors.Invalid(reason=reason, path=name)
+            ) from error
     entries.sort(key=lambda entry: str(entry["time"]))
     story = select(entries, request_id)
     if not story:
-        raise console.Failed(errors.NotFound(reason=f"no line names {request_id}"))
+        raise console.CommandError(
+            errors.NotFound(reason=f"no log line mentions {request_id}")
+        )
     return console.Result(story, "\n".join(show(entry) for entry in story))
 
 
@@ -51,18 +55,18 @@
 
 def select(entries: list[dict], request_id: str) -> list[dict]:
     """Return the entries of a job and the takeovers between the first and the last."""
-    about = {request_id}
+    ids = {request_id}
     for entry in entries:
         if entry.get("request") == request_id:
-            about.add(job_of(entry))
-    own = [entry for entry in entries if names(entry, about)]
-    if not own:
+            ids.add(get_job_id(entry))
+    matching = [entry for entry in entries if mentions(entry, ids)]
+    if not matching:
         return []
-    first, last = str(own[0]["time"]), str(own[-1]["time"])
+    first, last = str(matching[0]["time"]), str(matching[-1]["time"])
     return [
         entry
         for entry in entries
-        if names(entry, about)
+        if mentions(entry, ids)
         or (
             entry["message"] in ("seat_taken", "seat_left", "worker_lost")
             and first <= str(entry["time"]) <= last
@@ -70,22 +74,22 @@
     ]
 
 
-def job_of(entry: dict) -> str:
-    """Return the job that a request was about, by its field or the end of its path."""
+def get_job_id(entry: dict) -> str:
+    """Return the job of a request, by its field or the end of its path."""
     return str(entry.get("job") or entry.get("path", "").rpartition("/")[2])
 
 
-def names(entry: dict, about: set[str]) -> bool:
-    """Return whether an entry is about one of some IDs."""
-    fields = [str(value) for key, value in entry.items() if key not in HIDDEN]
-    return any(name and name in field for name in about for field in fields)
+def mentions(entry: dict, ids: set[str]) -> bool:
+    """Return whether a field of an entry contains one of the IDs."""
+    fields = [str(value) for key, value in entry.items() if key not in HIDDEN_FIELDS]
+    return any(name and name in field for name in ids for field in fields)
 
 
 def show(entry: dict) -> str:
-    """Return an entry as one line; of the starts of many jobs it keeps all."""
+    """Return an entry as one line, not shortened even if it lists many jobs."""
     detail = " ".join(
         f"{key}={value}"
         for key, value in entry.items()
-        if key not in (*HIDDEN, "process")
+        if key not in (*HIDDEN_FIELDS, "process")
     )
     return f"{entry['time']} {entry['process']} {entry['message']} {detail}"
--- a/toucanspring/configuration/checks.py
+++ b/toucanspring/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operators' text that concern several of its entries at once."""
+"""Validation rules that involve several entries of the configuration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from toucanspring.configuration import model, syntax, text
 
 
-class Faults(Protocol):
-    """Collect what is wrong with a text."""
+class FaultCollector(Protocol):
+    """Collector of validation errors."""
 
     def add(self, path: syntax.Path, value: object, expected: str, reason: str) -> None:
-        """Record a fault at a path of the text."""
+        """Record an error at a path of the configuration."""
 
 
-def check_jobs(cell: text.Cell, faults: Faults) -> None:
+def check_jobs(cell: text.Cell, faults: FaultCollector) -> None:
     """Check jobs against teams, queues, the largest worker and one another."""
     for template in cell.jobs.values():
         path = ("jobs", template.name)
@@ -41,25 +41,28 @@
 
 
 def _check_size(
-    cell: text.Cell, template: text.JobTemplate, path: syntax.Path, faults: Faults
+    cell: text.Cell,
+    template: text.JobTemplate,
+    path: syntax.Path,
+    faults: FaultCollector,
 ) -> None:
     demand = template.demand
     if demand.cpus <= 0 or demand.memory <= 0:
-        faults.add(path, _show(demand), "cpus and memory above 0", "impossible size")
+        faults.add(path, _show(demand), "cpus and memory above 0", "invalid size")
         return
     if cell.largest_task is not None and not demand.fits(cell.largest_task):
         expected = f"at most {_show(cell.largest_task)}"
         faults.add(path, _show(demand), expected, "larger than the largest worker")
     ceiling = cell.teams[template.team].ceiling
     gang = template.kind is job.Kind.GANG
-    together = demand.times(template.task_count) if gang else demand
-    if not together.fits(ceiling):
-        what = "gang" if gang else "task"
+    total = demand.times(template.task_count) if gang else demand
+    if not total.fits(ceiling):
+        unit = "gang" if gang else "task"
         faults.add(
             path,
-            _show(together),
+            _show(total),
             f"at most {_show(ceiling)}",
-            f"the {what} exceeds the ceiling of team {template.team}",
+            f"the {unit} exceeds the ceiling of team {template.team}",
         )
 
 
@@ -70,32 +73,32 @@
     )
 
 
-def _check_cycles(cell: text.Cell, faults: Faults) -> None:
+def _check_cycles(cell: text.Cell, faults: FaultCollector) -> None:
     """Record each job that depends on itself, once per cycle found."""
     finished: set[str] = set()
     for start in cell.jobs:
-        trail: dict[str, None] = {}
+        visiting: dict[str, None] = {}
         stack = [(start, iter(cell.jobs[start].after))]
         if start in finished:
             continue
-        trail[start] = None
+        visiting[start] = None
         while stack:
-            name, rest = stack[-1]
-            following = next(rest, None)
-            if following is None:
+            name, dependencies = stack[-1]
+            dependency = next(dependencies, None)
+            if dependency is None:
                 finished.add(name)
-                del trail[name]
+                del visiting[name]
                 stack.pop()
-            elif following in trail:
-                names = list(trail)
-                cycle = [*names[names.index(following) :], following]
-                index = cell.jobs[name].after.index(following)
+            elif dependency in visiting:
+                names = list(visiting)
+                cycle = [*names[names.index(dependency) :], dependency]
+                index = cell.jobs[name].after.index(dependency)
                 faults.add(
                     ("jobs", name, "after", index),
                     " -> ".join(cycle),
                     "dependencies without a cycle",
                     "dependency cycle",
                 )
-            elif following not in finished:
-                trail[following] = None
-                stack.append((following, iter(cell.jobs[following].after)))
+            elif dependency not in finished:
+                visiting[dependency] = None
+                stack.append((dependency, iter(cell.jobs[dependency].after)))
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reader of the operators' text: builds the cell and checks it as a whole."""
+"""Parser of the configuration text: validates it and builds a `text.Cell`."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 TOP_LEVEL = ("cell", "limits", *SECTION_MODELS)
 
 _PATH = re.compile(r" - at `\$(.*)`$")
-_PART = re.compile(r"\.([^.\[]+)|\[([0-9]+)\]")
-_GOT = re.compile(r", got (.*)$")
+_PATH_PART = re.compile(r"\.([^.\[]+)|\[([0-9]+)\]")
+_GOT_VALUE = re.compile(r", got (.*)$")
 
-# The words of fields whose fault msgspec describes without naming the valid ones.
-_WORDS = {
+# Valid values of the fields for which the message of msgspec does not list them.
+_VALID_VALUES = {
     "kind": tuple(job.Kind),
     "class": tuple(job.JobClass),
     "default_class": tuple(job.JobClass),
@@ -34,24 +34,23 @@
     "start": ("apply", "submit"),
 }
 
-
-# A text with many faults is usually one mistake repeated; the first ones show it.
+# Many errors are usually one mistake repeated; the first ones show it.
 MAX_FAULTS = 100
 
 
-class Faults:
-    """Collect what is wrong with a text."""
+class FaultCollector:
+    """Collect validation errors with their lines."""
 
     def __init__(self, document: syntax.Document) -> None:
         self._document = document
         self.found: list[errors.Invalid] = []
 
     def add(self, path: syntax.Path, value: object, expected: str, reason: str) -> None:
-        """Record a fault at a path of the text."""
+        """Record an error at a path of the configuration."""
         self.found.append(
             errors.Invalid(
                 reason=reason,
-                path=syntax.show(path),
+                path=syntax.format_path(path),
                 line=self._document.line(path),
                 value=syntax.shorten(value),
                 expected=expected,
@@ -60,7 +59,7 @@
 
 
 def parse(source: str) -> text.Cell | errors.Invalid:
-    """Return the cell that a text declares, or its first fault."""
+    """Return the declared cell, or the first validation error."""
     match parse_all(source):
         case text.Cell() as cell:
             return cell
@@ -69,9 +68,9 @@
 
 
 def parse_all(source: str) -> text.Cell | list[errors.Invalid]:
-    """Return the cell that a text declares, or its faults in the order of lines.
+    """Return the declared cell, or its validation errors in the order of lines.
 
-    An empty text is the cell before the first configuration, without any entry.
+    An empty text is the state before the first configuration: a cell without entries.
     """
     if not source:
         return text.Cell()
@@ -85,11 +84,16 @@
 
 
 def read_cell(document: syntax.Document) -> tuple[text.Cell, list[errors.Invalid]]:
-    """Return the cell and the faults; with faults the cell is incomplete."""
-    faults = Faults(document)
+    """Return the cell and its errors; with errors the cell is incomplete."""
+    faults = FaultCollector(document)
     root = document.value
     if not isinstance(root, dict):
-        faults.add((), root, "a mapping with the key `cell`", "not a cell")
+        faults.add(
+            (),
+            root,
+            "a mapping with the key `cell`",
+            "the configuration is not a mapping",
+        )
         return text.Cell(), faults.found
     for key in root:
         if key not in TOP_LEVEL:
@@ -122,12 +126,14 @@
 
 
 def _read_section(
-    section: str, kind: type[model.Model], entries: object, faults: Faults
+    section: str, kind: type[model.Model], entries: object, faults: FaultCollector
 ) -> Iterator[tuple[str, model.Model]]:
     if entries is None:
         return
     if not isinstance(entries, dict):
-        faults.add((section,), entries, "a mapping of names", "not a section")
+        faults.add(
+            (section,), entries, "a mapping of names", "the section is not a mapping"
+        )
         return
     for name, entry in entries.items():
         path = (section, name)
@@ -137,48 +143,50 @@
                 yield name, converted
 
 
-def _check_name(path: syntax.Path, name: object, faults: Faults) -> bool:
+def _check_name(path: syntax.Path, name: object, faults: FaultCollector) -> bool:
     if isinstance(name, str) and model.NAME.fullmatch(name):
         return True
     expected = "1 to 63 lower case letters, digits and hyphens"
-    reason = "name missing" if name is None else "not a name"
+    reason = "name missing" if name is None else "invalid name"
     faults.add(path, name, expected, reason)
     return False
 
 
 def _convert(
-    entry: object, kind: type[model.Model], path: syntax.Path, faults: Faults
+    entry: object, kind: type[model.Model], path: syntax.Path, faults: FaultCollector
 ) -> model.Model | None:
-    """Return the validated entry, or record the fault at the field it lies in."""
+    """Return the validated entry, or record the error at the field that caused it."""
     try:
         return msgspec.convert(entry, kind)
     except msgspec.ValidationError as error:
         message = str(error)
-    inner: list[str | int] = []
+    inner_path: list[str | int] = []
     value = entry
     if match := _PATH.search(message):
         message = message[: match.start()]
-        for key, index in _PART.findall(match[1]):
+        for key, index in _PATH_PART.findall(match[1]):
             part = key or int(index)
-            inner.append(part)
-            value = _item(value, part)
+            inner_path.append(part)
+            value = _get_item(value, part)
     unknown = re.search(r"unknown field `(.*)`", message)
     if unknown:
-        inner.append(unknown[1])
+        inner_path.append(unknown[1])
         value = unknown[1]
         fields = ", ".join(field.encode_name for field in msgspec.structs.fields(kind))
-        message = f"one of {fields}" if len(inner) == 1 else "a field of this entry"
-    reason = "unknown field" if unknown else "not valid"
+        message = (
+            f"one of {fields}" if len(inner_path) == 1 else "a field of this entry"
+        )
+    reason = "unknown field" if unknown else "invalid value"
     if "missing required" in message:
         reason, value = "field missing", ""
-    expected = _GOT.sub("", message).removeprefix("Expected ").replace("`", "")
-    if inner and inner[-1] in _WORDS:
-        expected = "one of " + ", ".join(_WORDS[inner[-1]])
-    faults.add((*path, *inner), value, expected, reason)
+    expected = _GOT_VALUE.sub("", message).removeprefix("Expected ").replace("`", "")
+    if inner_path and inner_path[-1] in _VALID_VALUES:
+        expected = "one of " + ", ".join(_VALID_VALUES[inner_path[-1]])
+    faults.add((*path, *inner_path), value, expected, reason)
     return None
 
 
-def _item(value: object, part: str | int) -> object:
+def _get_item(value: object, part: str | int) -> object:
     try:
         return value[part]
     except (KeyError, IndexError, TypeError):
@@ -200,11 +208,11 @@
         self,
         models: dict[str, dict],
         declared: dict[str, frozenset[str]],
-        faults: Faults,
+        faults: FaultCollector,
     ) -> None:
         self._models = models
-        # Names with faulty entries count, so that one fault is not reported for
-        # every use of the name.
+        # Includes the names of invalid entries, so that one error is not reported again
+        # for every reference to the name.
         self._declared = declared
         self._faults = faults
 
@@ -224,7 +232,9 @@
     def team(self, name: str, entry: model.Team) -> text.Team:
         """Return a team; its organisation must exist and its share be positive."""
         path = ("teams", name)
-        self._known("organisations", (*path, "organisation"), entry.organisation)
+        self._check_reference(
+            "organisations", (*path, "organisation"), entry.organisation
+        )
         if not 0 < entry.share <= 1e9:
             self._faults.add(
                 (*path, "share"),
@@ -239,13 +249,13 @@
 
     def queue(self, name: str, entry: model.Queue) -> text.Queue:
         """Return a queue; its team must exist."""
-        self._known("teams", ("queues", name, "team"), entry.team)
+        self._check_reference("teams", ("queues", name, "team"), entry.team)
         return text.Queue(name, entry.team, entry.access, entry.description)
 
     def service(self, name: str, entry: model.Service) -> text.Service:
         """Return a service; its queue and its default class must exist."""
         path = ("services", name)
-        self._known("queues", (*path, "queue"), entry.queue)
+        self._check_reference("queues", (*path, "queue"), entry.queue)
         timeout = self._seconds((*path, "timeout"), entry.timeout)
         if not entry.classes:
             self._faults.add((*path, "classes"), "", "at least one class", "no classes")
@@ -254,7 +264,7 @@
                 (*path, "objective"),
                 entry.objective,
                 "a percentage above 0 and below 100",
-                "impossible objective",
+                "invalid objective",
             )
         classes = dict(self._class_rules((*path, "classes"), entry.classes, timeout))
         default = entry.default_class or next(iter(classes), job.JobClass.CHECK)
@@ -301,14 +311,14 @@
         return text.ClassRule(timeout, rule.max_waiting, rule.idempotent, within)
 
     def job(self, name: str, entry: model.Job) -> text.JobTemplate:
-        """Return a job template; what it names must exist."""
+        """Return a job template; all entries that it refers to must exist."""
         path = ("jobs", name)
-        self._known("teams", (*path, "team"), entry.team)
-        self._known("queues", (*path, "queue"), entry.queue)
+        self._check_reference("teams", (*path, "team"), entry.team)
+        self._check_reference("queues", (*path, "queue"), entry.queue)
         for index, zone in enumerate(entry.zones):
-            self._known("availability_zones", (*path, "zones", index), zone)
+            self._check_reference("availability_zones", (*path, "zones", index), zone)
         for index, other in enumerate(entry.after):
-            self._known("jobs", (*path, "after", index), other)
+            self._check_reference("jobs", (*path, "after", index), other)
         for field in ("zones", "after"):
             names = getattr(entry, field)
             if len(set(names)) < len(names):
@@ -348,7 +358,7 @@
             description=entry.description,
         )
 
-    def _known(self, section: str, path: syntax.Path, name: str) -> None:
+    def _check_reference(self, section: str, path: syntax.Path, name: str) -> None:
         if name not in self._declared[section]:
             expected = f"a name of the section {section}"
             self._faults.add(path, name, expected, "unknown name")
@@ -357,7 +367,7 @@
         seconds = model.read_seconds(quantity)
         if seconds is None:
             expected = "a positive time such as 90 s, 20 min or 2 h"
-            self._faults.add(path, quantity, expected, "impossible time")
+            self._faults.add(path, quantity, expected, "invalid duration")
         return seconds or 1.0
 
     def _amounts(
@@ -369,7 +379,7 @@
                 (*path, "cpus"),
                 amounts.cpus,
                 "cores, in steps of 0.001",
-                "impossible size",
+                "invalid size",
             )
         memory = model.read_memory(amounts.memory)
         if memory is None:
@@ -377,6 +387,6 @@
                 (*path, "memory"),
                 amounts.memory,
                 "such as 512 MiB or 8 GiB",
-                "impossible size",
+                "invalid size",
             )
         return resources.Resources(cpus or 0, memory or 0, amounts.accelerators)
--- a/toucanspring/configuration/records.py
+++ b/toucanspring/configuration/records.py
@@ -18,7 +18,7 @@
 KEYS = "keys"
 ZONES = "zones"
 # Change IDs kept in keys and zones, to recognise a change whose answer was lost.
-KEPT_CHANGES = 64
+MAX_RECENT_CHANGES = 64
 SECRET_BYTES = 24
 SECRET_PREFIX = "ts"
 
@@ -65,7 +65,7 @@
 
 
 class DocumentRow(NamedTuple):
-    """Name the row of a document and the type of its value."""
+    """Row key of a document and the type of its value."""
 
     key: str
     kind: type[ConfigVersion] | type[Keys] | type[Zones]
@@ -78,8 +78,8 @@
 }
 
 
-class KeyFacts(msgspec.Struct, frozen=True):
-    """Describe a granted key without its secret."""
+class KeyInfo(msgspec.Struct, frozen=True):
+    """Granted key without its secret."""
 
     id: str
     team: str
@@ -87,7 +87,7 @@
 
 
 class GrantedKey(msgspec.Struct, frozen=True):
-    """Hold a new key; its secret is shown only once."""
+    """New key; its secret is shown only once."""
 
     id: str
     team: str
@@ -105,7 +105,7 @@
 
 
 def decode(kind: type, value: bytes) -> object | errors.Malformed:
-    """Return the record of a type in a row value; an empty value is the default."""
+    """Decode a row value as a type; an empty value gives the default record."""
     if not value and kind is not Head:
         return kind()
     if not value:
@@ -117,12 +117,12 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key of a configuration version; padded, so that scans are in order."""
+    """Return the row key of a version, zero-padded so that scans are in order."""
     return f"{HISTORY}{version:010d}"
 
 
-def new_change() -> str:
-    """Return an ID that recognises a change after its answer was lost."""
+def new_change_id() -> str:
+    """Return an ID by which a change is recognised after its answer was lost."""
     return secrets.token_hex(8)
 
 
@@ -144,7 +144,7 @@
     return stored, GrantedKey(key_id, team, secret)
 
 
-def find_key(keys: Keys, secret: str) -> KeyFacts | errors.Forbidden:
+def find_key(keys: Keys, secret: str) -> KeyInfo | errors.Forbidden:
     """Return the key that a secret belongs to."""
     prefix, _, rest = secret.partition("_")
     key_id, _, _ = rest.partition("_")
@@ -154,4 +154,4 @@
     expected = stored.hash if stored is not None else b"\0" * len(digest)
     if stored is None or not hmac.compare_digest(digest, expected):
         return errors.Forbidden(reason="the key is unknown or was withdrawn")
-    return KeyFacts(stored.id, stored.team, stored.granted_by)
+    return KeyInfo(stored.id, stored.team, stored.granted_by)
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -1,8 +1,8 @@
-"""YAML of the operators' text, read into plain values with line numbers.
+"""YAML reader that returns plain values with line numbers.
 
-Only the core of YAML is accepted: anchors, aliases and tags are refused, because
-a short text with aliases expands to an arbitrarily large one. Plain scalars follow
-the YAML 1.2 core schema, so that `no` is a name and not a truth value.
+Only a subset of YAML is accepted: anchors, aliases and tags are rejected, because a
+short text with aliases can expand to an arbitrarily large value. Plain scalars follow
+the YAML 1.2 core schema, so that `no` is a string and not a boolean.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 from toucanspring import errors
 
-# The text travels in one peer frame and one table row of at most 1 MiB.
+# The text must fit in one peer frame and in one table row, which holds up to 1 MiB.
 MAX_TEXT_BYTES = 512 * 1024
 MAX_DEPTH = 12
 MAX_SHOWN_CHARACTERS = 80
@@ -21,13 +21,13 @@
 
 _INTEGER = re.compile(r"[-+]?[0-9]{1,18}")
 _FLOAT = re.compile(r"[-+]?(\.[0-9]+|[0-9]+(\.[0-9]*)?)([eE][-+]?[0-9]+)?")
-_WORDS = {"": None, "~": None, "null": None, "true": True, "false": False}
+_LITERALS = {"": None, "~": None, "null": None, "true": True, "false": False}
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Hold the plain value of a text and the 1-based line of each path in it."""
+    """Value of a text with the 1-based line of each path in it."""
 
     value: object
     lines: dict[Path, int]
@@ -39,21 +39,21 @@
         return self.lines.get(path, 1)
 
 
-class _Fault(Exception):
-    """Carry the failure out of the recursive reader."""
+class _ReadError(Exception):
+    """Raised in the recursive reader to return a failure."""
 
     def __init__(self, failure: errors.Invalid) -> None:
         super().__init__(failure.reason)
         self.failure = failure
 
 
-def show(path: Path) -> str:
-    """Return a path in the form `teams.rep-checks.share`."""
+def format_path(path: Path) -> str:
+    """Return a path in dotted form, such as `teams.rep-checks.share`."""
     return ".".join(str(part) for part in path)
 
 
 def shorten(value: object) -> str:
-    """Return a value in printable form, cut to a length fit for messages."""
+    """Return a value in printable form, truncated for use in messages."""
     text = value if isinstance(value, str) else repr(value)
     text = "".join(character if character.isprintable() else "?" for character in text)
     if len(text) > MAX_SHOWN_CHARACTERS:
@@ -62,11 +62,11 @@
 
 
 def read(source: str) -> Document | errors.Invalid:
-    """Read a text; the failure names the line at which it breaks YAML or a limit."""
+    """Read a YAML text; a failure names the line of the error."""
     size = len(source.encode("utf-8", "surrogatepass"))
     if size > MAX_TEXT_BYTES:
         return errors.Invalid(
-            reason="the text is oversized",
+            reason="the text is too large",
             line=1,
             value=f"{size} bytes",
             expected=f"at most {MAX_TEXT_BYTES} bytes",
@@ -81,8 +81,8 @@
         next(events)  # end of the document
         after = next(events)
         if not isinstance(after, yaml.StreamEndEvent):
-            raise _fault(after, (), "a second document", "one YAML document")
-    except _Fault as fault:
+            raise _read_error(after, (), "a second document", "one YAML document")
+    except _ReadError as fault:
         return fault.failure
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None) or getattr(
@@ -90,7 +90,7 @@
         )
         problem = getattr(error, "problem", None) or getattr(error, "reason", None)
         return errors.Invalid(
-            reason=f"not YAML: {problem or 'unreadable'}",
+            reason=f"invalid YAML: {problem or 'unreadable'}",
             line=mark.line + 1 if mark else 1,
             expected="a YAML text",
         )
@@ -101,11 +101,11 @@
     return Document(value, lines)
 
 
-def _fault(event: yaml.Event, path: Path, value: str, expected: str) -> _Fault:
-    return _Fault(
+def _read_error(event: yaml.Event, path: Path, value: str, expected: str) -> _ReadError:
+    return _ReadError(
         errors.Invalid(
             reason=f"{value} is not accepted here",
-            path=show(path),
+            path=format_path(path),
             line=event.start_mark.line + 1,
             value=shorten(value),
             expected=expected,
@@ -115,14 +115,14 @@
 
 def _read_node(event: yaml.Event, events, path: Path, lines: dict[Path, int]) -> object:
     if isinstance(event, yaml.AliasEvent) or event.anchor is not None:
-        raise _fault(event, path, "an anchor or alias", "the value itself")
+        raise _read_error(event, path, "an anchor or alias", "the value itself")
     lines.setdefault(path, event.start_mark.line + 1)
     if len(path) > MAX_DEPTH:
-        raise _fault(event, path, "deeper nesting", f"at most {MAX_DEPTH} levels")
+        raise _read_error(event, path, "deeper nesting", f"at most {MAX_DEPTH} levels")
     if event.tag is not None and not (
         isinstance(event, yaml.ScalarEvent) and event.tag == "!"
     ):
-        raise _fault(event, path, f"tag {event.tag}", "a value without a tag")
+        raise _read_error(event, path, f"tag {event.tag}", "a value without a tag")
     if isinstance(event, yaml.ScalarEvent):
         return _scalar(event.value) if event.implicit[0] else event.value
     if isinstance(event, yaml.SequenceStartEvent):
@@ -137,26 +137,26 @@
     entries: dict[str, object] = {}
     while not isinstance(key := next(events), yaml.MappingEndEvent):
         if not isinstance(key, yaml.ScalarEvent):
-            raise _fault(key, path, "a compound key", "a plain name as key")
-        inner = (*path, key.value)
+            raise _read_error(key, path, "a compound key", "a plain name as key")
+        key_path = (*path, key.value)
         if key.value in entries:
-            raise _Fault(
+            raise _ReadError(
                 errors.Invalid(
                     reason="duplicate key",
-                    path=show(inner),
+                    path=format_path(key_path),
                     line=key.start_mark.line + 1,
                     value=shorten(key.value),
-                    expected=f"one entry (the first is on line {lines[inner]})",
+                    expected=f"one entry (the first is on line {lines[key_path]})",
                 )
             )
-        lines[inner] = key.start_mark.line + 1
-        entries[key.value] = _read_node(next(events), events, inner, lines)
+        lines[key_path] = key.start_mark.line + 1
+        entries[key.value] = _read_node(next(events), events, key_path, lines)
     return entries
 
 
 def _scalar(text: str) -> object:
-    if text in _WORDS:
-        return _WORDS[text]
+    if text in _LITERALS:
+        return _LITERALS[text]
     if _INTEGER.fullmatch(text):
         return int(text)
     if _FLOAT.fullmatch(text):
--- a/toucanspring/reporting/deliveries.py
+++ b/toucanspring/reporting/deliveries.py
@@ -1,4 +1,4 @@
-"""Delivery of events in order, apart from the task that publishes them."""
+"""Ordered delivery of events outside of the greenlet that publishes them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delivery:
-    """Pair an event with what is set once all listeners have handled it."""
+    """Event to deliver; `done` is set once all listeners have handled it."""
 
     occurrence: object
     done: event.Event
 
 
 class Deliveries:
-    """Own the greenlet in which listeners handle the events of one service."""
+    """Run the greenlet in which listeners handle the events of one service."""
 
     def __init__(self, core: kernel.Kernel) -> None:
         self._kernel = core
-        self._waiting: queue.Queue = queue.Queue()
+        self._queue: queue.Queue = queue.Queue()
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -31,18 +31,18 @@
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Deliver nothing more."""
+        """Stop without delivering queued events."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     def publish(self, occurrence: object) -> event.Event:
         """Queue an event; the result is set once all listeners have handled it."""
         delivery = Delivery(occurrence, event.Event())
-        self._waiting.put(delivery)
+        self._queue.put(delivery)
         return delivery.done
 
     def _run(self) -> None:
         while True:
-            delivery = self._waiting.get()
+            delivery = self._queue.get()
             self._kernel.publish(delivery.occurrence)
             delivery.done.set()
--- a/toucanspring/reporting/event_buffer.py
+++ b/toucanspring/reporting/event_buffer.py
@@ -1,7 +1,7 @@
-"""Bounded buffer of events, folded by minute and divided into segments.
+"""Bounded buffer of events, aggregated by minute and divided into segments.
 
-A segment is what one row holds. The image in memory is complete, and a write replaces
-the whole row, so a repeated write or a lost answer never doubles an entry.
+One row stores one segment. Memory holds the complete segment and a write replaces the
+whole row, so neither a retry nor a lost answer duplicates an entry.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from toucanspring.reporting import event_kinds
 
 SEGMENT_BYTES = 8 * 1024
-# Bounds what a process writes in an hour, and with the retention its rows: 96 hours
-# of 64 KiB are 6 MiB. Urgent events may use as much again.
-HOUR_BYTES = 64 * 1024
-# Bounds the memory during an outage of the store.
-HELD_BYTES = 512 * 1024
-# Entries of a minute that keep their subjects; further ones count by kind and cause.
+# Limits what a process writes per hour and, with the retention, its rows: 96 hours of
+# 64 KiB are 6 MiB. Urgent events may use the same amount in addition.
+MAX_BYTES_PER_HOUR = 64 * 1024
+# Limits the memory during an outage of the store; doubled for urgent events.
+MAX_BUFFERED_BYTES = 512 * 1024
+# Entries per minute that keep their subjects; later ones are counted by kind and cause.
 ENTRIES_PER_MINUTE = 200
-# A written segment stays for this long, so that a reader who saw its row too early
-# still gets it from the process. It also outlasts the minute of its last entry.
-KEPT_S = 120.0
+# A written segment is kept for this long, so that a reader that scanned the rows before
+# the write still gets it from the process. Longer than the minute of its last entry.
+WRITTEN_RETENTION_S = 120.0
 HOUR_S = 3600
 
 
 class Entry(msgspec.Struct, array_like=True):
-    """Hold equal events of one minute; times are Unix seconds."""
+    """Equal events of one minute; times are Unix seconds."""
 
     number: int
     first: float
@@ -38,9 +38,9 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Segment:
-    """Hold the entries of one row.
+    """Entries of one row.
 
-    `version` is that of the row as last known; with `in_doubt` it must be read again.
+    `version` is the last known row version; if `in_doubt`, it must be read again.
     """
 
     hour: int
@@ -54,7 +54,7 @@
 
 
 class Buffer:
-    """Fold events into the entries of the present minute.
+    """Aggregate events into the entries of the current minute.
 
     Times are Unix seconds, except in `drop_written`.
     """
@@ -69,25 +69,25 @@
         self._hour = 0
         self._hour_bytes = 0
 
-    def add(self, event: event_kinds.Event, wall: float) -> None:
-        """Take in an event, or count it as lost beyond the bounds."""
-        minute = int(wall // 60)
+    def add(self, event: event_kinds.Event, wall_time: float) -> None:
+        """Add an event, or count it as lost if the buffer is full."""
+        minute = int(wall_time // 60)
         if minute != self._minute:
             self._minute = minute
             self._index = {}
         key = event_kinds.fold_key(event)
-        full = len(self._index) >= ENTRIES_PER_MINUTE and not event.URGENT
-        if full and key not in self._index:
+        is_full = len(self._index) >= ENTRIES_PER_MINUTE and not event.URGENT
+        if is_full and key not in self._index:
             event = event_kinds.without_subjects(event)
             key = event_kinds.fold_key(event)
         found = self._index.get(key)
         if found is None:
-            self._append(key, event, wall)
+            self._append(key, event, wall_time)
             return
         segment, entry = found
         entry.event = event_kinds.fold(entry.event, event)
         entry.count += 1
-        entry.last = wall
+        entry.last = wall_time
         segment.unwritten = True
 
     def unwritten(self) -> list[Segment]:
@@ -95,30 +95,31 @@
         return [segment for segment in self.segments if segment.unwritten]
 
     def drop_written(self, now: float) -> None:
-        """Forget segments that were written long enough ago; the last stays open."""
+        """Drop segments that were written long enough ago, but never the last one."""
         self.segments = [
             segment
             for segment in self.segments[:-1]
-            if segment.unwritten or now - segment.written_at < KEPT_S
+            if segment.unwritten or now - segment.written_at < WRITTEN_RETENTION_S
         ] + self.segments[-1:]
 
     def _append(
-        self, key: tuple[object, ...], event: event_kinds.Event, wall: float
+        self, key: tuple[object, ...], event: event_kinds.Event, wall_time: float
     ) -> None:
-        hour = int(wall // HOUR_S)
+        hour = int(wall_time // HOUR_S)
         if hour != self._hour:
             self._hour, self._hour_bytes = hour, 0
-        entry = Entry(self._numbers, wall, wall, 1, event)
+        entry = Entry(self._numbers, wall_time, wall_time, 1, event)
         size = len(msgspec.msgpack.encode(entry))
         factor = 2 if event.URGENT else 1
-        held = sum(segment.size for segment in self.segments)
+        buffered = sum(segment.size for segment in self.segments)
         if (
-            self._hour_bytes + size > factor * HOUR_BYTES
-            or held + size > factor * HELD_BYTES
+            self._hour_bytes + size > factor * MAX_BYTES_PER_HOUR
+            or buffered + size > factor * MAX_BUFFERED_BYTES
         ):
             self.lost += 1
             if self.segments:
-                self.segments[-1].unwritten = True  # its row states what was lost
+                # Its row has the number of lost events.
+                self.segments[-1].unwritten = True
             return
         segment = self._open_segment(hour, size)
         segment.entries.append(entry)
--- a/toucanspring/reporting/event_rows.py
+++ b/toucanspring/reporting/event_rows.py
@@ -1,4 +1,4 @@
-"""Rows of events in the table service, and what a reader joins them with."""
+"""Rows of events in the table service, and their merge with live entries."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 PAGE_ROWS = 50
 RETENTION_HOURS = 96
 ROWS_PER_REMOVAL = 50
-FILTERED = ("process", *event_kinds.SUBJECTS)
+SUBJECT_FIELDS = ("process", *event_kinds.SUBJECTS)
 
 
-class Found(msgspec.Struct, array_like=True, frozen=True):
-    """Hold a stored entry; the event may be of a kind that this version lacks."""
+class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
+    """Stored entry; its event may be of a kind unknown to this release."""
 
     number: int
     first: float
@@ -40,7 +40,7 @@
     process: str
     writer: str
     lost: int
-    entries: list[Found]
+    entries: list[StoredEntry]
 
 
 _decoder = msgspec.msgpack.Decoder(Row)
@@ -58,13 +58,13 @@
 def encode(
     process: str, writer: str, lost: int, entries: list[event_buffer.Entry]
 ) -> bytes:
-    """Return entries in the form of a row."""
+    """Encode entries as the value of a row."""
     fields = {"process": process, "writer": writer, "lost": lost, "entries": entries}
     return msgspec.msgpack.encode(fields)
 
 
 def decode(body: bytes) -> Row | errors.Malformed:
-    """Return the entries in a row or in the answer of a process."""
+    """Decode the value of a row or the answer of a process."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
@@ -74,16 +74,16 @@
 def read(client: tables.TableClient, since: float) -> list[Row] | errors.Failure:
     """Return the rows with entries since a Unix time."""
     found: list[Row] = []
-    # An hour more, since each hour is that of its writer's clock.
+    # Starts an hour earlier, since keys have the hour of their writer's clock.
     after = _prefix_of(int(since // event_buffer.HOUR_S) - 1)
     while True:
         page = client.scan(PREFIX, after, PAGE_ROWS)
         if isinstance(page, errors.Failure):
             return page
-        for keyed in page:
-            row = decode(keyed.value)
+        for stored in page:
+            row = decode(stored.value)
             if isinstance(row, errors.Failure):
-                log.error("row {}: {}", keyed.key, row.reason)
+                log.error("row {}: {}", stored.key, row.reason)
             else:
                 found.append(row)
         if len(page) < PAGE_ROWS:
@@ -91,12 +91,13 @@
         after = page[-1].key
 
 
-def remove_old(client: tables.TableClient, wall: float) -> int | errors.Failure:
-    """Delete rows out of the retention; return how many.
+def remove_old(client: tables.TableClient, wall_time: float) -> int | errors.Failure:
+    """Delete rows outside of the retention; return their number.
 
-    Rows of clocks that are far ahead are deleted as well, or they would stay for ever.
+    Also deletes rows whose hour is too far in the future, written by a wrong clock,
+    which would otherwise never expire.
     """
-    hour = int(wall // event_buffer.HOUR_S)
+    hour = int(wall_time // event_buffer.HOUR_S)
     oldest = _prefix_of(hour - RETENTION_HOURS)
     removed = 0
     for after, limit in (("", oldest), (_prefix_of(hour + RETENTION_HOURS), "")):
@@ -119,8 +120,8 @@
 def join(rows: Iterable[Row], live: Iterable[Row]) -> list[dict[str, object]]:
     """Return each entry once, sorted by time.
 
-    The rows must be read before the live processes are asked: an entry that is in
-    both is taken from the process, whose count is later.
+    The rows must be read before the live processes are queried: an entry that is in
+    both is taken from the process, whose count is more recent.
     """
     entries: dict[tuple[str, int], dict[str, object]] = {}
     for row in [*rows, *live]:
@@ -138,7 +139,7 @@
 
 
 def count_lost(rows: Iterable[Row]) -> int:
-    """Return the events that writers have dropped, by their latest statements."""
+    """Return the number of events that writers have dropped, as last reported."""
     lost: dict[str, int] = {}
     for row in rows:
         lost[row.writer] = max(lost.get(row.writer, 0), row.lost)
@@ -163,9 +164,9 @@
 
 def _is_about(item: dict[str, object], subject: str) -> bool:
     field, separator, name = subject.partition(":")
-    if separator and field in FILTERED:
+    if separator and field in SUBJECT_FIELDS:
         return _matches(item.get(field), name)
-    return any(_matches(item.get(field), subject) for field in FILTERED)
+    return any(_matches(item.get(field), subject) for field in SUBJECT_FIELDS)
 
 
 def _matches(value: object, name: str) -> bool:
--- a/toucanspring/reporting/report.py
+++ b/toucanspring/reporting/report.py
@@ -1,7 +1,7 @@
 """Reports for operators: shares of teams, waiting work, error budgets.
 
-Each process contributes what it counts (`collect`); the process that was asked joins
-the contributions (`build`).
+Each process returns its own counts (`collect`); the process that serves the request
+merges the contributions (`build`).
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 from toucanspring.scheduling import summary
 
 NAMES = ("share", "waiting", "burn")
-# A partition that loads its log answers late; the report does without it.
+# Partitions that do not answer in time, such as while loading their log, are left out.
 ASK_LIMIT_S = 1.0
 
 
-class Part(msgspec.Struct):
-    """Hold what one process contributes to a report."""
+class Contribution(msgspec.Struct):
+    """Contribution of one process to a report."""
 
     summary: summary.Summary | None = None
     requests: dict[str, dict[str, int]] = {}
     budgets: budgets.Export | None = None
 
 
-_part_decoder = msgspec.msgpack.Decoder(Part)
+_decoder = msgspec.msgpack.Decoder(Contribution)
 
 
-def encode(part: Part) -> bytes:
-    """Return a contribution as bytes for a peer."""
+def encode(part: Contribution) -> bytes:
+    """Encode a contribution for a peer."""
     return msgspec.msgpack.encode(part)
 
 
-def decode(body: bytes) -> Part | errors.Malformed:
-    """Return the contribution of a peer."""
+def decode(body: bytes) -> Contribution | errors.Malformed:
+    """Decode the contribution of a peer."""
     try:
-        return _part_decoder.decode(body)
+        return _decoder.decode(body)
     except msgspec.MsgspecError as error:
         return errors.Malformed(reason=str(error))
 
 
-def collect(core: kernel.Kernel, name: str) -> Part:
+def collect(core: kernel.Kernel, name: str) -> Contribution:
     """Return the contribution of this process to a report."""
     if name == "burn":
-        return Part(budgets=core.find("budgets").export())
-    part = Part(summary=_summarise_owned(core))
+        return Contribution(budgets=core.find("budgets").export())
+    part = Contribution(summary=_summarise_owned(core))
     if name == "waiting":
         part.requests = core.find("requests").waiting()
     return part
@@ -66,14 +66,14 @@
         result = event.AsyncResult()
         owned.post(inbox.Ask(lambda decider: decider.summary(now), result))
         results.append(result)
-    joined = summary.Summary()
+    merged = summary.Summary()
     for result in gevent.wait(results, timeout=ASK_LIMIT_S):
-        joined.add(result.get())
-    return joined
+        merged.add(result.get())
+    return merged
 
 
 def read_store(core: kernel.Kernel, name: str) -> list[budgets.Row] | errors.Failure:
-    """Return what the store holds for a report; to be read before the other parts."""
+    """Return the stored rows for a report; call it before requesting contributions."""
     if name != "burn":
         return []
     rows = budgets.read_rows(core.find("store").tables)
@@ -85,24 +85,26 @@
 def build(
     name: str,
     cell: text.Cell,
-    parts: list[Part],
+    parts: list[Contribution],
     stored: list[budgets.Row] | errors.Failure = (),
 ) -> dict[str, object]:
     """Return a report from the contributions of all processes and of the store."""
-    joined = summary.Summary()
+    merged = summary.Summary()
     for part in parts:
         if part.summary is not None:
-            joined.add(part.summary)
+            merged.add(part.summary)
     match name:
         case "share":
-            return {"teams": _shares(cell, joined)}
+            return {"teams": _shares(cell, merged)}
         case "waiting":
-            return {"jobs": _waiting_jobs(joined), "requests": _waiting_requests(parts)}
+            return {"jobs": _waiting_jobs(merged), "requests": _waiting_requests(parts)}
     return _budgets(cell, parts, stored)
 
 
 def _budgets(
-    cell: text.Cell, parts: list[Part], stored: list[budgets.Row] | errors.Failure
+    cell: text.Cell,
+    parts: list[Contribution],
+    stored: list[budgets.Row] | errors.Failure,
 ) -> dict[str, object]:
     objectives = {service.name: service.objective for service in cell.services.values()}
     exports = [part.budgets for part in parts if part.budgets is not None]
@@ -119,17 +121,17 @@
     }
 
 
-def _shares(cell: text.Cell, joined: summary.Summary) -> list[dict[str, object]]:
-    """Return the use of each team next to what its share entitles it to.
+def _shares(cell: text.Cell, merged: summary.Summary) -> list[dict[str, object]]:
+    """Return the use of each team and the fraction its share entitles it to.
 
-    The entitlement counts all teams; a team whose neighbours are idle may use more.
+    The entitlement is relative to all teams; a team may use more while others are idle.
     """
     total = sum(team.share for team in cell.teams.values()) or 1.0
     rows = []
     for team in cell.teams.values():
-        used = joined.use.get(team.name, resources.ZERO)
+        used = merged.use.get(team.name, resources.ZERO)
         entitled = team.share / total
-        fraction = used.dominant(joined.capacity)
+        fraction = used.dominant(merged.capacity)
         rows.append(
             {
                 "team": team.name,
@@ -146,7 +148,7 @@
     return rows
 
 
-def _waiting_jobs(joined: summary.Summary) -> list[dict[str, object]]:
+def _waiting_jobs(merged: summary.Summary) -> list[dict[str, object]]:
     return [
         {
             "team": team,
@@ -154,19 +156,19 @@
             "tasks": entry.tasks,
             "oldest_s": entry.oldest_s,
         }
-        for team, classes in sorted(joined.waiting.items())
+        for team, classes in sorted(merged.waiting.items())
         for job_class, entry in sorted(classes.items())
     ]
 
 
-def _waiting_requests(parts: list[Part]) -> list[dict[str, object]]:
-    joined: dict[tuple[str, str], int] = {}
+def _waiting_requests(parts: list[Contribution]) -> list[dict[str, object]]:
+    merged: dict[tuple[str, str], int] = {}
     for part in parts:
         for service, classes in part.requests.items():
             for job_class, count in classes.items():
                 key = (service, job_class)
-                joined[key] = joined.get(key, 0) + count
+                merged[key] = merged.get(key, 0) + count
     return [
         {"service": service, "class": job_class, "requests": count}
-        for (service, job_class), count in sorted(joined.items())
+        for (service, job_class), count in sorted(merged.items())
     ]
--- a/toucanspring/terminal/client.py
+++ b/toucanspring/terminal/client.py
@@ -13,13 +13,13 @@
 DEFAULT_PORT = 8080
 CONNECT_TIMEOUT_S = 3.0
 MAX_ANSWER_BYTES = 1 << 26
-# Failures after which another process may do better; none of them had an effect.
-ELSEWHERE = (errors.NotRun, errors.Unavailable, errors.Overloaded, errors.Fenced)
+# Failures without an effect, after which the next endpoint is tried.
+FAILOVER_ERRORS = (errors.NotRun, errors.Unavailable, errors.Overloaded, errors.Fenced)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a successful answer."""
+    """Successful response."""
 
     status: int
     headers: dict[str, str]
@@ -31,16 +31,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
-    """Locate one endpoint; `secure` means HTTPS."""
+class EndpointAddress:
+    """Host and port of an endpoint; `secure` means HTTPS."""
 
     host: str
     port: int
     secure: bool = False
 
 
-def parse_endpoint(text: str) -> Place | errors.Invalid:
-    """Return the place of `host`, `host:port`, `http://...` or `https://...`."""
+def parse_endpoint(text: str) -> EndpointAddress | errors.Invalid:
+    """Parse `host`, `host:port`, `http://...` or `https://...`."""
     expected = "host:port, http://host:port or https://host:port"
     parts = urllib.parse.urlsplit(text if "//" in text else f"//{text}", "http")
     try:
@@ -54,17 +54,17 @@
         or not port
     ):
         return errors.Invalid(
-            reason="not an endpoint", path="endpoints", value=text, expected=expected
+            reason="invalid endpoint", path="endpoints", value=text, expected=expected
         )
-    return Place(parts.hostname, port, parts.scheme == "https")
+    return EndpointAddress(parts.hostname, port, parts.scheme == "https")
 
 
-def load_authorities(ca_file: str) -> object | errors.Invalid:
-    """Return a TLS context that accepts certificates of the authorities in a file.
+def create_tls_context(ca_file: str) -> object | errors.Invalid:
+    """Return a TLS context that trusts the certificate authorities in a file.
 
-    Without a file, those of the host are accepted.
+    Without a file, it trusts those of the host.
     """
-    from gevent import ssl  # costs memory and time, and most calls need none
+    from gevent import ssl  # costs memory and time; most calls use no TLS
 
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # checks chain and host name
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -75,10 +75,10 @@
             context.load_default_certs()
     except OSError as error:
         return errors.Invalid(
-            reason=f"not read: {error.strerror or error}",
+            reason=f"cannot be read: {error.strerror or error}",
             path="ca_file",
             value=ca_file,
-            expected="a PEM file with certificates of authorities",
+            expected="a PEM file with CA certificates",
         )
     return context
 
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        endpoints: list[Place],
+        endpoints: list[EndpointAddress],
         key: str,
         operator_key: str,
         operator: str,
@@ -97,19 +97,19 @@
     ) -> None:
         self._endpoints = [
             exchange.Endpoint(
-                place.host,
-                place.port,
+                address.host,
+                address.port,
                 1,
                 connect_timeout_s=min(CONNECT_TIMEOUT_S, timeout_s),
-                tls=tls if place.secure else None,
+                tls=tls if address.secure else None,
             )
-            for place in endpoints
+            for address in endpoints
         ]
         self._key = key
         self._operator_key = operator_key
         self._operator = operator
         self._timeout_s = timeout_s
-        self.answer_was_lost = False  # in the last call, before it was repeated
+        self.answer_was_lost = False  # by any endpoint during the last call
 
     def close(self) -> None:
         """Close all connections."""
@@ -129,35 +129,35 @@
         operator: bool = False,
         repeatable: bool = True,
     ) -> Answer | errors.Failure:
-        """Call one endpoint after the other until one gives an answer.
+        """Call the endpoints in turn until one answers.
 
-        After a lost answer the call goes to the next endpoint only if it is
-        `repeatable`, otherwise the result is `Ambiguous`. The endpoint that answered
-        is asked first from then on.
+        After a lost answer the call is retried at the next endpoint only if it is
+        `repeatable`, otherwise the result is `Ambiguous`. Later calls start with the
+        endpoint that answered.
         """
-        sent = self._headers(operator) | (headers or {})
-        last: errors.Failure = errors.Unavailable(reason="no endpoint")
-        lost: errors.Ambiguous | None = None
+        all_headers = self._headers(operator) | (headers or {})
+        last: errors.Failure = errors.Unavailable(reason="no endpoint is set")
+        ambiguous: errors.Ambiguous | None = None
         self.answer_was_lost = False
         for endpoint in list(self._endpoints):
             reply = endpoint.call(
-                method, target, body, sent, self._timeout_s, MAX_ANSWER_BYTES
+                method, target, body, all_headers, self._timeout_s, MAX_ANSWER_BYTES
             )
             match reply:
                 case exchange.Reply():
                     result = _interpret(reply)
-                    if not isinstance(result, ELSEWHERE):
+                    if not isinstance(result, FAILOVER_ERRORS):
                         self._prefer(endpoint)
                         return result
                     last = result
                 case errors.Ambiguous():
                     if not repeatable:
                         return reply
-                    last = lost = reply
+                    last = ambiguous = reply
                     self.answer_was_lost = True
                 case _:
                     last = reply
-        return lost or last
+        return ambiguous or last
 
     def _prefer(self, endpoint: exchange.Endpoint) -> None:
         self._endpoints.remove(endpoint)
@@ -180,4 +180,6 @@
         fields = msgspec.json.decode(reply.body)["error"]
         return errors.from_dict(fields)
     except (msgspec.DecodeError, KeyError, TypeError):
-        return errors.Malformed(reason=f"the endpoint answered {reply.status}")
+        return errors.Malformed(
+            reason=f"unexpected response with status {reply.status}"
+        )
--- a/toucanspring/terminal/source.py
+++ b/toucanspring/terminal/source.py
@@ -1,4 +1,4 @@
-"""Operators' texts in files, as the command line reads and compares them."""
+"""Configuration files, as the command line reads and compares them."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
         return content.decode()
     except OSError as error:
         reason = f"{path}: {error.strerror}"
-        raise console.Failed(errors.Invalid(reason=reason, path=path)) from None
+        raise console.CommandError(errors.Invalid(reason=reason, path=path)) from None
     except UnicodeDecodeError:
-        raise console.Failed(
+        raise console.CommandError(
             errors.Invalid(reason="not UTF-8", path=path, expected="a YAML text")
         ) from None
 
 
 def parse(path: str) -> tuple[str, text.Cell]:
-    """Return the text of a file and its cell, or end the command with its faults."""
+    """Return the text of a file and its cell, or raise its validation errors."""
     source = read(path)
     cell = reader.parse_all(source)
     if isinstance(cell, list):
-        raise console.Failed(cell[0], show_faults(path, cell[1:]))
+        raise console.CommandError(cell[0], show_faults(path, cell[1:]))
     return source, cell
 
 
 def show_faults(path: str, faults: Iterable[errors.Invalid]) -> str:
-    """Return one line for each fault."""
+    """Return one line for each validation error."""
     return "\n".join(f"{path}: {console.describe(fault)}" for fault in faults)
 
 
@@ -64,8 +64,8 @@
                 lines.append(f"- {section}.{name}")
             case text.Changed(section, name, fields):
                 lines += [
-                    f"~ {section}.{_joined(name, field)}: "
-                    f"{_plain(old)} -> {_plain(new)}"
+                    f"~ {section}.{_join_path(name, field)}: "
+                    f"{_format_value(old)} -> {_format_value(new)}"
                     for field, (old, new) in fields.items()
                 ]
     return "\n".join(lines) or "no changes"
@@ -74,24 +74,24 @@
 def changes_value(changes: list[text.Change]) -> list[dict[str, object]]:
     """Return the changes between two cells for JSON."""
     return [
-        {"change": type(change).__name__.lower(), **_by_name(change)}
+        {"change": type(change).__name__.lower(), **_to_builtins(change)}
         for change in changes
     ]
 
 
-def _by_name(value: object) -> object:
-    """Return a value for JSON, with the parts of resources by name."""
+def _to_builtins(value: object) -> object:
+    """Return a value for JSON, with the amounts of resources by name."""
     if dataclasses.is_dataclass(value) or isinstance(value, resources.Resources):
         names = type(value).__match_args__
-        return {name: _by_name(getattr(value, name)) for name in names}
+        return {name: _to_builtins(getattr(value, name)) for name in names}
     if isinstance(value, dict):
-        return {name: _by_name(each) for name, each in value.items()}
+        return {name: _to_builtins(each) for name, each in value.items()}
     if isinstance(value, list | tuple):
-        return [_by_name(each) for each in value]
+        return [_to_builtins(each) for each in value]
     return msgspec.to_builtins(value)
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, resources.Resources):
         return (
             f"cpus {value.cpus / 1000:g}, memory {value.memory} MiB, "
@@ -100,5 +100,5 @@
     return msgspec.json.encode(value).decode()
 
 
-def _joined(name: str, field: str) -> str:
+def _join_path(name: str, field: str) -> str:
     return name if name == field else f"{name}.{field}"
