--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -115,7 +115,7 @@
             failure = self._kernel.find("layout").reread()
             if failure is not None or self._view.layout.generation < generation:
                 return errors.Unavailable(reason="the layout is not known here yet")
-        return owner.seal.renew() or owner
+        return owner.log_check.renew() or owner
 
     def _serve_held(self, _sender: str, envelope: bytes) -> bytes:
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
@@ -198,7 +198,7 @@
         for number in self._misplaced.keys() - owned.keys():
             del self._misplaced[number]
         for owner in owned.values():
-            if owner.ready.is_set() and owner.seal.renew() is None:
+            if owner.ready.is_set() and owner.log_check.renew() is None:
                 self._hand_over(owner)
         due = self._clock() >= self._next_release
         if RELEASING_PARTITION in owned and due:
@@ -209,7 +209,7 @@
         """Return what is held for other partitions, of a sealed owner."""
         present = self._view.layout
         known = self._misplaced.get(owner.number)
-        if not owner.seal.holds():
+        if not owner.log_check.holds():
             return errors.LayoutChanged(reason="the number changed meanwhile")
         if (
             known is None
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -18,9 +18,9 @@
     execution,
     inbox,
     journal,
+    log_check,
     log_records,
     request_log,
-    seal,
     worker_link,
     worker_watch,
 )
@@ -72,7 +72,7 @@
             journal.flush_interval(count),
             self._layout,
         )
-        self.seal = seal.Seal(core, self.journal, self.row_version)
+        self.log_check = log_check.Seal(core, self.journal, self.row_version)
         self.allowances = allowances.Keeper(
             number,
             core,
