--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -4,8 +4,8 @@
 replaced at any time: a step that no owner takes models a pause, and a replaced owner
 goes on with what it knows. A write under way takes effect, or fails, at any later time,
 and its answer arrives at any time after that. Ended work is handed over. The rules
-are those of `clearance`, `log_check`, `handover` and `journal`, restated here, since
-these perform I/O; `ACTIONS` names them.
+are those of `duplicate_check`, `log_check`, `handover` and `journal`, restated here,
+since these perform I/O; `ACTIONS` names them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     "release": "toucanspring.cell.layout.Service.remove_former",
     "read row": "toucanspring.cell.layout.Service.reread",
     "say empty": "toucanspring.owners.handover.Service.step",
-    "ask": "toucanspring.owners.clearance.Clearance.clear",
+    "ask": "toucanspring.owners.duplicate_check.Clearance.clear",
     "answer": "toucanspring.owners.log_check.Seal.renew",
     "accept": "toucanspring.owners.journal.Journal.append",
     "write": "toucanspring.owners.journal.Journal.append",
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -3,7 +3,7 @@
 
 from test import resized
 from toucanspring import errors, job
-from toucanspring.owners import clearance, request_log, routes
+from toucanspring.owners import duplicate_check, request_log, routes
 
 DONE = job.Outcome(job.State.DONE, "", b"answer")
 
@@ -13,7 +13,7 @@
         super().setUp()
         self.patch(routes, "ROUTE_LIMIT_S", 1.0)
         self.patch(routes, "RETRY_PAUSE_S", 0.01)
-        self.patch(clearance, "ASK_LIMIT_S", 0.1)
+        self.patch(duplicate_check, "ASK_LIMIT_S", 0.1)
         self.cell = resized.Cell("a", "b")
         self.addCleanup(self.cell.stop)
         self.name = resized.moved_id(2, 5)
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -18,7 +18,7 @@
 
 from toucanspring import errors, job, kernel, settings
 from toucanspring.cell import layout, ownership_rows, reply
-from toucanspring.owners import clearance, log_records, partition, roster, routes
+from toucanspring.owners import duplicate_check, log_records, partition, roster, routes
 
 log = logbook.Logger(__name__)
 
@@ -119,11 +119,11 @@
 
     def _serve_held(self, _sender: str, envelope: bytes) -> bytes:
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
-        question = msgspec.msgpack.decode(body, type=clearance.Question)
+        question = msgspec.msgpack.decode(body, type=duplicate_check.Question)
         owner = self._find_owner(number, question.generation)
         if isinstance(owner, errors.Failure):
             return reply.encode_result(owner)
-        found = clearance.answer(owner.journal.state, question)
+        found = duplicate_check.answer(owner.journal.state, question)
         return reply.encode_result(found)
 
     def _serve_adopt(self, _sender: str, envelope: bytes) -> bytes:
@@ -138,7 +138,7 @@
         if view.layout.generation != transfer.generation or any(
             view.layout.partition_of(name) != number for name in names
         ):
-            return reply.encode_result(clearance.not_here())
+            return reply.encode_result(duplicate_check.not_here())
         # Like an acceptance: in a later generation another partition is asked for it.
         failure = owner.journal.append(entries, True, view.version).get()
         if failure is None and entries.jobs:
@@ -325,7 +325,7 @@
         """Ask all owners what they hold for former numbers."""
         present = self._view.layout
         body = reply.encode(present.generation)
-        limit_s = clearance.ASK_LIMIT_S
+        limit_s = duplicate_check.ASK_LIMIT_S
         jobs = [
             gevent.spawn(
                 self._routes.call, number, "remaining", body, Remaining, limit_s
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -11,7 +11,7 @@
 
 from toucanspring import errors, job, kernel, resources
 from toucanspring.cell import reply
-from toucanspring.owners import clearance, inbox, partition, routes
+from toucanspring.owners import duplicate_check, inbox, partition, routes
 from toucanspring.reporting import survey
 from toucanspring.scheduling import effects
 
@@ -25,7 +25,7 @@
         self,
         core: kernel.Kernel,
         owned: Mapping[int, partition.Partition],
-        questions: clearance.Clearance,
+        questions: duplicate_check.Clearance,
     ) -> None:
         self._kernel = core
         self._owned = owned
--- a/toucanspring/owners/partitions.py
+++ b/toucanspring/owners/partitions.py
@@ -15,7 +15,7 @@
 from toucanspring.cell import claims, layout, reply
 from toucanspring.configuration import documents
 from toucanspring.owners import (
-    clearance,
+    duplicate_check,
     inbox,
     log_records,
     owner_calls,
@@ -43,7 +43,7 @@
         self._owned: dict[int, partition.Partition] = {}
         self._stopping = False
         self.routes = routes.Routes(core, self._owned)
-        self._clearance = clearance.Clearance(core, self.routes)
+        self._clearance = duplicate_check.Clearance(core, self.routes)
         self._calls = owner_calls.OwnerCalls(core, self._owned, self._clearance)
 
     def start(self) -> None:
