--- a/test/test_worker_watch.py
+++ b/test/test_worker_events.py
@@ -3,7 +3,7 @@
 import testtools
 
 from toucanspring import kernel, resources
-from toucanspring.owners import worker_link, worker_watch
+from toucanspring.owners import worker_events, worker_link
 from toucanspring.reporting import event_kinds
 from toucanspring.scheduling import effects
 
@@ -22,7 +22,7 @@
         self.told = []
         for kind in event_kinds.KINDS:
             core.subscribe(kind, self.told.append)
-        self.watch = worker_watch.Watch(2, 7, core)
+        self.watch = worker_events.Watch(2, 7, core)
 
     def attach(self, incarnation=1):
         zero = resources.ZERO
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -21,8 +21,8 @@
     log_check,
     log_records,
     request_log,
+    worker_events,
     worker_link,
-    worker_watch,
 )
 from toucanspring.scheduling import effects, fairness, scheduler, tick_interval
 
@@ -79,7 +79,7 @@
             lambda held, limits: self.post(inbox.AllowancesChanged(held, limits)),
         )
         self.requests = request_log.RequestLog(self.journal)
-        self._watch = worker_watch.Watch(number, epoch, core)
+        self._watch = worker_events.Watch(number, epoch, core)
         self._executor = execution.Executor(
             number, core, self._scheduler, self.journal, self.allowances, self.post
         )
