--- a/spec/model.py
+++ b/spec/model.py
@@ -30,7 +30,7 @@
     "attach": "toucanspring.owners.recovery.attach",
     "stream breaks": "toucanspring.scheduling.scheduler.Scheduler.starts_unanswered",
     "renew worker": "toucanspring.owners.worker_link.Link",
-    "lose worker": "toucanspring.owners.recovery.lose",
+    "lose worker": "toucanspring.owners.recovery.handle_lost_worker",
     "place": "toucanspring.scheduling.lifecycle.Lifecycle.start",
     "write intent": "toucanspring.scheduling.attempt.intents_durable",
     "intent answer lost": "toucanspring.owners.journal.Journal",
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -24,7 +24,7 @@
     "attach": "toucanspring.owners.recovery.attach",
     "stream breaks": "toucanspring.owners.worker_link.Link",
     "renew": "toucanspring.owners.worker_link.Link",
-    "lose": "toucanspring.owners.recovery.lose",
+    "lose": "toucanspring.owners.recovery.handle_lost_worker",
     "start on worker": "toucanspring.scheduling.lifecycle.Lifecycle.start",
     "start at home": "toucanspring.scheduling.lifecycle.Lifecycle.start",
     "end at home": "toucanspring.scheduling.attempt.report",
@@ -32,10 +32,10 @@
     "plan move": "toucanspring.scheduling.move_planner.MovePlanner.plan",
     "plan drop": "toucanspring.owners.fleet.Service",
     "send transaction": "toucanspring.owners.mover.Service.step",
-    "transaction": "toucanspring.owners.roster.Roster.take",
+    "transaction": "toucanspring.owners.roster.Roster.apply_row",
     "repeated transaction": "toucanspring.owners.mover.Service",
-    "answer lost": "toucanspring.owners.mover.Doubt",
-    "resolve": "toucanspring.owners.roster.after_doubt",
+    "answer lost": "toucanspring.owners.mover.AmbiguousMove",
+    "resolve": "toucanspring.owners.roster.ambiguous_move_result",
     "other write": "toucanspring.owners.fleet.assign",
     "assign": "toucanspring.owners.fleet.assign",
     "drop by another": "toucanspring.owners.fleet.Service",
@@ -248,7 +248,7 @@
     ) -> moves_world.Steps:
         mine = s.rows[me.seen] == p
         label = f"resolve {p}.{e}"
-        match roster.after_doubt(me.seen, me.move.version, mine):
+        match roster.ambiguous_move_result(me.seen, me.move.version, mine):
             case "repeat":
                 yield label, self._send(s, p, e, me, me.move.version, "resent")
             case "moved":
--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -41,7 +41,7 @@
         rows = self.owner.client.read([roster.WORKERS_ROW])
         if isinstance(rows, errors.Failure):
             return rows
-        self.roster.take(rows[roster.WORKERS_ROW], self.owner.clock())
+        self.roster.apply_row(rows[roster.WORKERS_ROW], self.owner.clock())
         return None
 
     def follow(self):
@@ -55,7 +55,7 @@
     def listed(self, partition):
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition):
+    def listed_elsewhere(self, partition):
         return self._listed(lambda owner: owner != partition)
 
     def _listed(self, matches):
@@ -65,7 +65,7 @@
             if matches(self.roster.partitions.get(name))
         }
 
-    def hand_over(self, _number, worker):
+    def release_worker(self, _number, worker):
         self.closed.append(worker)
 
 
@@ -127,7 +127,7 @@
         self.cell.call("worker_lost", message.worker)
         del self.cell.workers[message.worker]
 
-    def facts(self):
+    def attached_workers(self):
         return self.cell.scheduler._core.workers
 
     def bound_workers(self):
@@ -181,7 +181,7 @@
     def row(self):
         """Return the workers by partition as the row has them."""
         found = roster.Roster()
-        found.take(self.tables.rows[roster.WORKERS_ROW], 0)
+        found.apply_row(self.tables.rows[roster.WORKERS_ROW], 0)
         return {number: found.workers_of(number) for number in self.specs}
 
     def take_over(self, number):
--- a/test/resized.py
+++ b/test/resized.py
@@ -207,7 +207,7 @@
     def step(self, times=1):
         for _ in range(times):
             for node in self.nodes.values():
-                node.handover._next_release = 0.0
+                node.handover._next_removal = 0.0
                 node.handover.step()
             gevent.sleep(0)
 
--- a/test/test_allowances.py
+++ b/test/test_allowances.py
@@ -21,75 +21,75 @@
         self.delivered = {}
         store = types.SimpleNamespace(tables=self.table)
         core = types.SimpleNamespace(find=lambda name: store)
-        self.keeper = allowances.Keeper(0, core, self.deliver)
+        self.manager = allowances.AllowanceManager(0, core, self.deliver)
         self.set_ceiling(TEN)
-        self.keeper.hold("team", TEN)
+        self.manager.request_amount("team", TEN)
         # The second pass finds nothing to do and remembers it.
         for _ in range(3):
-            self.keeper._serve()
+            self.manager._update_rows()
 
     def deliver(self, held, limits):
         self.delivered, self.limits = held, limits
 
     def set_ceiling(self, ceiling):
-        self.keeper.set_teams({"team": fairness.Team("team", ceiling=ceiling)})
+        self.manager.set_teams({"team": fairness.Team("team", ceiling=ceiling)})
 
     def row(self):
         return self.table.read([KEY])[KEY]
 
     def test_an_unchanged_row_is_delivered_without_a_write(self):
         version = self.row().version
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": TEN}, self.delivered)
         self.assertEqual(version, self.row().version)
 
     def test_a_lowered_ceiling_shrinks_an_unchanged_row(self):
         # Guards against use of the result remembered under the former ceiling.
         self.set_ceiling(FIVE)
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_new_target_is_written_to_an_unchanged_row(self):
-        self.keeper.hold("team", FIVE)
-        self.keeper._serve()
+        self.manager.request_amount("team", FIVE)
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_row_changed_by_another_writer_is_read_again(self):
         row = allowance.Row(parts={0: FIVE, 1: FIVE})
         self.table.transact({}, {KEY: allowances._encode(row)})
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_lost_answer_to_a_return_leaves_the_smaller_part(self):
         # Guards against remembering a row whose division was never confirmed.
         self.table.drop = {KEY: 1}
-        self.keeper.hold("team", FIVE)
-        self.keeper._serve()
+        self.manager.request_amount("team", FIVE)
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def return_all(self):
-        self.keeper.hold("team", resources.ZERO)
+        self.manager.request_amount("team", resources.ZERO)
         for _ in range(2):
-            self.keeper._serve()
+            self.manager._update_rows()
 
     def test_only_rows_in_use_are_read(self):
         # Guards against a read of 700 rows by each partition in each poll.
         limited = {f"t{number}": fairness.Team("", ceiling=TEN) for number in range(64)}
-        self.keeper.set_teams({"team": fairness.Team("team", ceiling=TEN), **limited})
-        self.keeper._serve()
-        reads = [self.keeper.watched() for _ in range(64)]
+        self.manager.set_teams({"team": fairness.Team("team", ceiling=TEN), **limited})
+        self.manager._update_rows()
+        reads = [self.manager.watched_keys() for _ in range(64)]
         self.assertTrue(all(len(keys) == 2 and KEY in keys for keys in reads))
         self.assertEqual(65, len({key for keys in reads for key in keys}))
 
     def poll(self):
         """Do what the poll of the member rows does; return whether it woke."""
-        self.keeper._wakeup.clear()
-        self.keeper.notice(self.table.read(self.keeper.watched()), 0.0)
-        return self.keeper._wakeup.is_set()
+        self.manager._wakeup.clear()
+        self.manager.handle_rows(self.table.read(self.manager.watched_keys()), 0.0)
+        return self.manager._wakeup.is_set()
 
     def test_the_shared_poll_notices_a_want_of_another_partition(self):
         # Guards against a part that is kept while another partition waits.
@@ -97,20 +97,20 @@
         row = allowance.Row(parts={0: TEN}, wants={1: FIVE})
         self.table.transact({}, {KEY: allowances._encode(row)})
         self.assertTrue(self.poll())
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertIn("team", self.limits)
-        self.assertEqual(allowances.BUSY_POLL_INTERVAL_S, self.keeper._interval_s)
+        self.assertEqual(allowances.BUSY_POLL_INTERVAL_S, self.manager._interval_s)
 
     def test_a_read_older_than_the_own_write_changes_nothing(self):
         # Guards against a part that was returned and is used again.
-        keys = self.keeper.watched()
+        keys = self.manager.watched_keys()
         old = self.table.read(keys)
-        self.keeper.hold("team", FIVE)
+        self.manager.request_amount("team", FIVE)
         for _ in range(2):
-            self.keeper._serve()
-        self.keeper.notice(old, 0.0)
+            self.manager._update_rows()
+        self.manager.handle_rows(old, 0.0)
         self.assertEqual({"team": FIVE}, self.delivered)
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_part_given_by_a_former_owner_is_found(self):
@@ -119,7 +119,7 @@
         row = allowance.Row(parts={0: FIVE})
         self.table.transact({}, {KEY: allowances._encode(row)})
         self.assertTrue(self.poll())
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_want_without_a_part_is_still_read(self):
@@ -127,10 +127,10 @@
         self.return_all()
         row = allowance.Row(parts={1: TEN})
         self.table.transact({}, {KEY: allowances._encode(row)})
-        self.keeper.hold("team", FIVE)
+        self.manager.request_amount("team", FIVE)
         for _ in range(2):
-            self.keeper._serve()
+            self.manager._update_rows()
         row = allowance.Row(parts={0: FIVE, 1: FIVE})
         self.table.transact({}, {KEY: allowances._encode(row)})
-        self.keeper._serve()
+        self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
--- a/test/test_fleet.py
+++ b/test/test_fleet.py
@@ -136,7 +136,7 @@
         self.patch(worker_reports, "REPORT_INTERVAL_S", 3600.0)
         link = self.open()
         self.wait(lambda: link.attached)
-        link._tick_received_at -= 2 * worker_link.FRESH_TICK_S
+        link._tick_received_at -= 2 * worker_link.MAX_TICK_AGE_S
         return link
 
     def test_a_renewal_that_was_not_allowed_is_tried_again_before_the_next_report(self):
--- a/test/test_fleet_drops.py
+++ b/test/test_fleet_drops.py
@@ -75,7 +75,7 @@
 
     def row(self):
         found = roster.Roster()
-        found.take(self.tables.rows[ROW], 0)
+        found.apply_row(self.tables.rows[ROW], 0)
         return found.partitions
 
     def poll_absent(self):
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -101,7 +101,7 @@
         other = "b" if process == "a" else "a"
         self.cell.claim(job.partition_of(name, 3), other)
         owner = self.cell.owner(number)
-        self.assertIsNone(owner.log_check.renew())
+        self.assertIsNone(owner.log_check.verify())
         self.cell[process].client.lose[owner.journal.key(1)] = 1
         first = gevent.spawn(self.cell[process].submit, name)
         while owner.journal.key(1) not in self.cell.shared.rows:
@@ -161,7 +161,7 @@
         owner = self.cell.owners[self.present][0]
         service = self.cell[owner].partitions
         for _ in range(2):
-            found = service._clearance.clear_request(
+            found = service._duplicate_check.check_request(
                 self.cell.owner(self.present), self.name
             )
             self.assertEqual(self.former, found.partition)
@@ -250,7 +250,7 @@
             return answer
 
         node.partitions.routes.call = call
-        self.assertIsNone(sender.log_check.renew())
+        self.assertIsNone(sender.log_check.verify())
         node.handover._hand_over(sender)
         self.assertTrue(sender.holds_job(self.name))
         self.cell.step(3)
--- a/test/test_partition.py
+++ b/test/test_partition.py
@@ -132,9 +132,9 @@
     def test_what_happens_to_workers_is_published(self):
         # Guards against losses and decisions that only the log of a process names.
         owner = self.open(1)
-        told = []
+        published = []
         for kind in event_kinds.KINDS:
-            owner._kernel.subscribe(kind, told.append)
+            owner._kernel.subscribe(kind, published.append)
         self.attach(owner)
         self.submit(owner, "a")
         self.wait(lambda: self.fleet.found["w1"].started == ["a/0"])
@@ -150,5 +150,5 @@
             event_kinds.EpochRefused("w2", 0, 1, 3),
             event_kinds.WorkerLost("w1", "z0", "r0", 0, 1),
         ]
-        self.wait(lambda: len(told) >= 4)
-        self.assertEqual(expected, told)
+        self.wait(lambda: len(published) >= 4)
+        self.assertEqual(expected, published)
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -123,7 +123,7 @@
 
     def place(self):
         found = roster.Roster()
-        found.take(self.shared.rows[ROW], 0)
+        found.apply_row(self.shared.rows[ROW], 0)
         return found.partitions["w"]
 
     def claim(self, number):
@@ -167,7 +167,7 @@
                 batch = move_planner.Batch(1 - owner.number, ("w",))
                 owner.spawn(owner.mover._move, owner, batch)
             case "resolve":
-                doubt = owner.mover._doubts[owner.number]
+                doubt = owner.mover._ambiguous_moves[owner.number]
                 owner.spawn(owner.mover._resolve, owner, doubt)
             case "answer lost":
                 owner.client.pending[-1][1].set(errors.Ambiguous(reason="lost"))
@@ -226,7 +226,7 @@
                 self.assertEqual(me.seen, seen, trace)
                 self.assertEqual(me.link, owner.link, trace)
                 doubted = me.move is not None and me.move.state in ("doubt", "resent")
-                self.assertEqual(doubted, number in owner.mover._doubts, trace)
+                self.assertEqual(doubted, number in owner.mover._ambiguous_moves, trace)
 
     def test_the_product_follows_the_traces_of_the_model(self):
         # Guards against a model that proves properties of another protocol.
--- a/test/test_worker_events.py
+++ b/test/test_worker_events.py
@@ -19,25 +19,25 @@
         super().setUp()
         core = kernel.Kernel()
         core.register("fleet", Fleet())
-        self.told = []
+        self.published = []
         for kind in event_kinds.KINDS:
-            core.subscribe(kind, self.told.append)
-        self.watch = worker_events.Watch(2, 7, core)
+            core.subscribe(kind, self.published.append)
+        self.events = worker_events.WorkerEvents(2, 7, core)
 
     def attach(self, incarnation=1):
         zero = resources.ZERO
         facts = effects.WorkerFacts("w1", incarnation, zero, "z1", "r1")
-        self.watch.attached(facts)
+        self.events.attached(facts)
 
     def test_a_first_attachment_and_a_new_stream_are_not_told(self):
         # Guards against an event for each worker after each takeover.
         self.attach()
         self.attach()
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.published)
 
     def test_a_loss_and_the_return_are_told_with_the_place(self):
         self.attach()
-        self.watch.lost("w1", 3)
+        self.events.lost("w1", 3)
         self.attach()
         self.attach(incarnation=2)
         expected = [
@@ -45,12 +45,12 @@
             event_kinds.WorkerAttached("w1", "z1", "r1", 2, "lost"),
             event_kinds.WorkerAttached("w1", "z1", "r1", 2, "restarted"),
         ]
-        self.assertEqual(expected, self.told)
+        self.assertEqual(expected, self.published)
 
     def test_a_worker_that_the_vm_list_no_longer_names_is_told(self):
-        self.watch.lost("w2", 0)
-        self.assertEqual([event_kinds.WorkerLost("w2", "", "", 2, 0)], self.told)
+        self.events.lost("w2", 0)
+        self.assertEqual([event_kinds.WorkerLost("w2", "", "", 2, 0)], self.published)
 
     def test_a_refusal_tells_both_epochs(self):
-        self.watch.refused(worker_link.EpochRefused("w1", 9))
-        self.assertEqual([event_kinds.EpochRefused("w1", 2, 7, 9)], self.told)
+        self.events.refused(worker_link.EpochRefused("w1", 9))
+        self.assertEqual([event_kinds.EpochRefused("w1", 2, 7, 9)], self.published)
--- a/toucanspring/owners/acceptance.py
+++ b/toucanspring/owners/acceptance.py
@@ -71,13 +71,13 @@
         written = self._journal.append(record, True, layout_version)
         self._accepting[spec.id] = Pending(spec, written)
 
-        def enter(failure: errors.Failure | None) -> list[effects.Effect]:
+        def add_to_scheduler(failure: errors.Failure | None) -> list[effects.Effect]:
             self._accepting.pop(spec.id, None)
             if failure is not None:
                 return []
             return self._scheduler.submit([spec], time.monotonic())
 
-        self._executor.when_written(written, enter)
+        self._executor.when_written(written, add_to_scheduler)
         return written
 
     def _answer_submit(
--- a/toucanspring/owners/allowances.py
+++ b/toucanspring/owners/allowances.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled:
+class CachedRow:
     """Remember what follows from a row in which nothing was due."""
 
     version: int
@@ -52,7 +52,7 @@
     limit: resources.Resources | None
 
 
-class Keeper:
+class AllowanceManager:
     """Own the writes to allowance rows on behalf of one partition."""
 
     def __init__(
@@ -68,8 +68,8 @@
         self._deliver = deliver
         self._ceilings: dict[str, resources.Resources] = {}
         self._targets: dict[str, Target] = {}
-        self._asked_at: dict[str, float] = {}
-        self._settled: dict[str, Settled] = {}
+        self._requested_at: dict[str, float] = {}
+        self._cached: dict[str, CachedRow] = {}
         self._interval_s: float | None = RETRY_INTERVAL_S
         self._next_unused = 0
         self._wakeup = gevent.event.Event()
@@ -77,12 +77,12 @@
 
     def start(self) -> None:
         """Read the rows and begin to serve requests."""
-        self._kernel.find("membership").watch(self.watched, self.notice)
+        self._kernel.find("membership").watch(self.watched_keys, self.handle_rows)
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
         """Stop; the rows stay, since they belong to the partition."""
-        self._kernel.find("membership").unwatch(self.notice)
+        self._kernel.find("membership").unwatch(self.handle_rows)
         if self._greenlet is not None:
             self._greenlet.kill()
 
@@ -98,7 +98,7 @@
             self._ceilings = ceilings
             self._wakeup.set()
 
-    def hold(
+    def request_amount(
         self,
         team: str,
         target: resources.Resources,
@@ -106,7 +106,7 @@
     ) -> None:
         """Ask to hold exactly `target` of a team's ceiling, or `least` of it."""
         self._targets[team] = Target(target, least)
-        self._asked_at[team] = time.monotonic()
+        self._requested_at[team] = time.monotonic()
         self._wakeup.set()
 
     def _run(self) -> None:
@@ -115,11 +115,11 @@
             gevent.sleep(BATCH_INTERVAL_S)
             self._wakeup.clear()
             try:
-                self._serve()
+                self._update_rows()
             except Exception:
                 log.exception("allowances of partition {}", self._partition)
 
-    def _serve(self) -> None:
+    def _update_rows(self) -> None:
         targets, self._targets = self._targets, {}
         table = self._kernel.find("store").tables
         teams, _ = self._split_teams(targets)
@@ -131,7 +131,7 @@
         limits: dict[str, resources.Resources] = {}
         for team in teams:
             row = rows[ROW_PREFIX + team]
-            known = self._settled.get(team)
+            known = self._cached.get(team)
             if (
                 known is not None
                 and team not in targets
@@ -143,7 +143,7 @@
                     limits[team] = known.limit
                 continue
             present = _decoder.decode(row.value) if row.version else allowance.Row()
-            found, held[team] = self._update(
+            found, held[team] = self._update_row(
                 table, team, row.version, present, targets.get(team)
             )
             limit = allowance.contended_limit(
@@ -151,7 +151,7 @@
             )
             if limit is not None:
                 limits[team] = limit
-        is_busy = limits or targets or any(team not in self._settled for team in held)
+        is_busy = limits or targets or any(team not in self._cached for team in held)
         self._interval_s = BUSY_POLL_INTERVAL_S if is_busy else None
         if held:
             self._deliver(held, limits)
@@ -164,7 +164,7 @@
             if ceiling != resources.UNLIMITED
         ]
 
-    def watched(self) -> list[str]:
+    def watched_keys(self) -> list[str]:
         """Return the keys of the rows in use and of a few of the others."""
         used, unused = self._split_teams({})
         if unused:
@@ -174,16 +174,16 @@
             self._next_unused = start + count
         return [ROW_PREFIX + team for team in used]
 
-    def notice(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
+    def handle_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
         """Read the rows again if one of these has another version than known.
 
         These may be older than the own last write, so nothing else is taken from them.
         """
         for key, row in rows.items():
             team = key.removeprefix(ROW_PREFIX)
-            known = self._settled.get(team)
+            known = self._cached.get(team)
             if known is not None and known.version != row.version:
-                del self._settled[team]
+                del self._cached[team]
                 self._wakeup.set()
 
     def _split_teams(
@@ -196,7 +196,7 @@
         """
         used, unused = [], []
         for team in self._limited_teams():
-            known = self._settled.get(team)
+            known = self._cached.get(team)
             is_unused = (
                 known is not None
                 and team not in targets
@@ -206,7 +206,7 @@
             (unused if is_unused else used).append(team)
         return used, unused
 
-    def _update(
+    def _update_row(
         self,
         table: tables.TableClient,
         team: str,
@@ -215,15 +215,15 @@
         target: Target | None,
     ) -> tuple[allowance.Row, resources.Resources]:
         """Write a new division if one is due; return it and the certain part."""
-        self._settled.pop(team, None)
+        self._cached.pop(team, None)
         part = present.parts.get(self._partition, resources.ZERO)
-        wanted = self._divide(team, present, part, target)
+        wanted = self._resized_row(team, present, part, target)
         if wanted == present:
             # The own want ends by time, so that such a row is looked at each time.
             if target is None and self._partition not in present.wants:
                 ceiling = self._ceilings[team]
                 limit = allowance.contended_limit(present, self._partition, ceiling)
-                self._settled[team] = Settled(version, ceiling, part, limit)
+                self._cached[team] = CachedRow(version, ceiling, part, limit)
             return present, part
         key = ROW_PREFIX + team
         answer = table.transact({key: version}, {key: _encode(wanted)}, ())
@@ -237,7 +237,7 @@
         self._wakeup.set()
         return present, new_part if new_part.fits(part) else part
 
-    def _divide(
+    def _resized_row(
         self,
         team: str,
         present: allowance.Row,
@@ -258,4 +258,4 @@
         """Return whether an unmet want is still recent, so that it stays in the row."""
         if self._partition not in present.wants:
             return False
-        return time.monotonic() - self._asked_at.get(team, 0.0) < WANT_LIMIT_S
+        return time.monotonic() - self._requested_at.get(team, 0.0) < WANT_LIMIT_S
--- a/toucanspring/owners/duplicate_check.py
+++ b/toucanspring/owners/duplicate_check.py
@@ -14,10 +14,10 @@
 
 # Within the time that the caller of a submission waits for this owner's answer.
 ASK_LIMIT_S = 2.5
-UNHELD, HELD, HELD_WITH_OTHER_CONTENT = range(3)
+NOT_HELD, HELD, HELD_WITH_DIFFERENT_SPEC = range(3)
 
 
-class Question(msgspec.Struct, frozen=True):
+class HeldQuery(msgspec.Struct, frozen=True):
     """Ask which IDs a partition holds; the answer has an entry for each, in order."""
 
     generation: int
@@ -26,14 +26,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cleared:
+class CheckedJobs:
     """Hold the answers for jobs that may not be accepted; all others may be."""
 
     layout_version: int
     answers: dict[str, str | errors.Failure]
 
 
-class Clearance:
+class DuplicateCheck:
     """Ask the owners of the partitions to which former numbers map an ID."""
 
     def __init__(self, core: kernel.Kernel, calls: routes.Routes) -> None:
@@ -44,9 +44,11 @@
     def _view(self) -> layout.VersionedLayout:
         return self._kernel.find("layout").view
 
-    def clear(self, owner: partition.Partition, specs: list[job.JobSpec]) -> Cleared:
+    def check_jobs(
+        self, owner: partition.Partition, specs: list[job.JobSpec]
+    ) -> CheckedJobs:
         """Find out which unknown jobs the owner of a partition may accept."""
-        self._follow([each.id for each in specs], owner)
+        self._refresh_layout([each.id for each in specs], owner)
         view = self._view
         answers: dict[str, str | errors.Failure] = {}
         asked: dict[int, list[job.JobSpec]] = collections.defaultdict(list)
@@ -55,35 +57,35 @@
                 continue
             first, *others = view.layout.possible_partitions(spec.id)
             if first != owner.number:
-                answers[spec.id] = not_here()
+                answers[spec.id] = wrong_partition_failure()
                 continue
             for number in others:
                 asked[number].append(spec)
         if asked:
             self._ask_all(view.layout.generation, asked, answers)
-        return Cleared(view.version, answers)
+        return CheckedJobs(view.version, answers)
 
-    def clear_request(
+    def check_request(
         self, owner: partition.Partition, request_id: str
     ) -> int | errors.Failure:
         """Return the version of the row under which a request may be begun here."""
-        self._follow([request_id], owner)
+        self._refresh_layout([request_id], owner)
         view = self._view
         first, *others = view.layout.possible_partitions(request_id)
         if first != owner.number:
-            return not_here()
-        question = Question(view.layout.generation, requests=[request_id])
+            return wrong_partition_failure()
+        query = HeldQuery(view.layout.generation, requests=[request_id])
         for number in others:
-            found = self._ask(number, question)
+            found = self._ask(number, query)
             if isinstance(found, errors.Failure):
                 return found
-            if found != [UNHELD]:
+            if found != [NOT_HELD]:
                 return errors.HeldElsewhere(
                     reason=f"partition {number} has the request", partition=number
                 )
         return view.version
 
-    def _follow(self, names: list[str], owner: partition.Partition) -> None:
+    def _refresh_layout(self, names: list[str], owner: partition.Partition) -> None:
         """Read the row if callers may know a later layout than this process."""
         present = self._view.layout
         if any(present.partition_of(name) != owner.number for name in names):
@@ -96,24 +98,24 @@
         answers: dict[str, str | errors.Failure],
     ) -> None:
         def ask(number: int, specs: list[job.JobSpec]) -> None:
-            found = self._ask(number, Question(generation, specs=specs))
+            found = self._ask(number, HeldQuery(generation, specs=specs))
             for index, spec in enumerate(specs):
                 if isinstance(found, errors.Failure):
                     # An answer of another partition that holds the job is certain.
                     answers.setdefault(spec.id, found)
                 elif found[index] == HELD:
                     answers[spec.id] = spec.id
-                elif found[index] == HELD_WITH_OTHER_CONTENT:
+                elif found[index] == HELD_WITH_DIFFERENT_SPEC:
                     answers[spec.id] = errors.Conflict(
                         key=spec.id, reason="another job with this ID was accepted"
                     )
 
         gevent.joinall([gevent.spawn(ask, *each) for each in asked.items()])
 
-    def _ask(self, number: int, question: Question) -> list[int] | errors.Failure:
+    def _ask(self, number: int, query: HeldQuery) -> list[int] | errors.Failure:
         """Ask the owner of a partition; no certain answer becomes `Unavailable`."""
         found = self._routes.call(
-            number, "held", reply.encode(question), list[int], ASK_LIMIT_S
+            number, "held", reply.encode(query), list[int], ASK_LIMIT_S
         )
         if isinstance(found, errors.Failure):
             return errors.Unavailable(
@@ -122,19 +124,19 @@
         return found
 
 
-def answer(state: log_records.State, question: Question) -> list[int]:
+def answer_query(state: log_records.State, query: HeldQuery) -> list[int]:
     """Return what a partition's log says of the IDs in a question."""
-    found = [_compare(state.specs.get(each.id), each) for each in question.specs]
-    found += [HELD if each in state.requests else UNHELD for each in question.requests]
+    found = [_compare(state.specs.get(each.id), each) for each in query.specs]
+    found += [HELD if each in state.requests else NOT_HELD for each in query.requests]
     return found
 
 
-def not_here() -> errors.LayoutChanged:
+def wrong_partition_failure() -> errors.LayoutChanged:
     """Return the failure of an owner that may not accept an ID."""
     return errors.LayoutChanged(reason="the ID belongs to another partition")
 
 
 def _compare(known: job.JobSpec | None, given: job.JobSpec) -> int:
     if known is None:
-        return UNHELD
-    return HELD if known == given else HELD_WITH_OTHER_CONTENT
+        return NOT_HELD
+    return HELD if known == given else HELD_WITH_DIFFERENT_SPEC
--- a/toucanspring/owners/execution.py
+++ b/toucanspring/owners/execution.py
@@ -25,17 +25,17 @@
         self,
         number: int,
         core: kernel.Kernel,
-        decider: scheduler.Scheduler,
+        partition_scheduler: scheduler.Scheduler,
         log: journal.Journal,
-        keeper: allowances.Keeper,
+        allowance_manager: allowances.AllowanceManager,
         post: Callable[[object], None],
     ) -> None:
         self.workers: dict[str, effects.WorkerFacts] = {}  # that have attached
         self._number = number
         self._kernel = core
-        self._scheduler = decider
+        self._scheduler = partition_scheduler
         self._journal = log
-        self._allowances = keeper
+        self._allowances = allowance_manager
         self._post = post
         self._watched: dict[str, gevent.Greenlet] = {}
         self._unwritten: collections.Counter[str] = collections.Counter()
@@ -84,16 +84,16 @@
         """Carry out an effect that reaches beyond the partition."""
         match effect:
             case effects.RequestAllowance(team=team, target=target, least=least):
-                self._allowances.hold(team, target, least)
+                self._allowances.request_amount(team, target, least)
             case effects.ReturnAllowance(team=team, target=target):
-                self._allowances.hold(team, target)
+                self._allowances.request_amount(team, target)
             case effects.Publish(event=event):
                 self._kernel.publish(event)
             case effects.JobFinished(job_id=job_id, outcome=outcome):
                 self._kernel.publish(effects.JobFinished(job_id, outcome))
             case effects.WatchJobs(job_ids=job_ids):
                 for job_id in job_ids:
-                    self._watch(job_id)
+                    self._watch_job(job_id)
 
     def _start(self, worker: str, tasks: list[wire.TaskStart]) -> None:
         """Send starts if they are still allowed at this moment.
@@ -192,11 +192,11 @@
 
     # Dependencies on jobs of other partitions
 
-    def _watch(self, job_id: str) -> None:
+    def _watch_job(self, job_id: str) -> None:
         if job_id not in self._watched:
-            self._watched[job_id] = gevent.spawn(self._follow, job_id)
+            self._watched[job_id] = gevent.spawn(self._poll_outcome, job_id)
 
-    def _follow(self, job_id: str) -> None:
+    def _poll_outcome(self, job_id: str) -> None:
         """Ask for a job's outcome until it is final, or until nobody knows the job."""
         first_asked_at = time.monotonic()
         while True:
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holder:
+class PartitionOwnership:
     """Describe the ownership of a partition that uses workers."""
 
     epoch: int
@@ -59,7 +59,7 @@
         self._vms: dict[str, vms.Vm] = {}
         self._last_list: list[vms.Vm] | None = None
         self._absent_since: dict[str, float] = {}
-        self._holders: dict[int, Holder] = {}
+        self._ownerships: dict[int, PartitionOwnership] = {}
         self._drops: dict[int, Drop] = {}
         self._leaving: dict[str, bool] = {}
         self._greenlet: gevent.Greenlet | None = None
@@ -73,7 +73,7 @@
         """Close all links."""
         if self._greenlet is not None:
             self._greenlet.kill()
-        for partition in list(self._holders):
+        for partition in list(self._ownerships):
             self.remove_partition(partition)
 
     def add_partition(
@@ -84,13 +84,13 @@
         post: Callable[[object], None],
     ) -> None:
         """Connect to the workers of a partition and post their messages."""
-        self._holders[partition] = Holder(epoch, row_version, post)
+        self._ownerships[partition] = PartitionOwnership(epoch, row_version, post)
         self._links[partition] = {}
         self._update_links(partition)
 
     def remove_partition(self, partition: int) -> None:
         """Close the links of a partition."""
-        self._holders.pop(partition, None)
+        self._ownerships.pop(partition, None)
         self._drops.pop(partition, None)
         for link in self._links.pop(partition, {}).values():
             link.close()
@@ -133,7 +133,7 @@
         if not self._vms:
             listed = self._kernel.find("store").vms.list(vms.SHARED_AGE_S)
             if not isinstance(listed, errors.Failure):
-                self._see_vms(listed)
+                self._update_vms(listed)
         return {
             worker: self._capacity(worker)
             for worker in self.roster.workers_of(partition)
@@ -143,7 +143,9 @@
         """Return the workers of a partition by their entries in the VM list."""
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
+    def listed_elsewhere(
+        self, partition: int
+    ) -> dict[str, capacity_report.ListedWorker]:
         """Return the workers of all other partitions."""
         return self._listed(lambda owner: owner != partition)
 
@@ -164,11 +166,11 @@
         """Read which workers belong to which partition, and follow changes."""
         failure = self._read_assignment()
         if failure is None:
-            for partition in list(self._holders):
+            for partition in list(self._ownerships):
                 self._update_links(partition)
         return failure
 
-    def hand_over(self, partition: int, worker: str) -> None:
+    def release_worker(self, partition: int, worker: str) -> None:
         """Close the link to a worker that was moved to another partition."""
         link = self._links.get(partition, {}).pop(worker, None)
         if link is not None:
@@ -189,21 +191,21 @@
             gevent.sleep(POLL_INTERVAL_S)
 
     def _poll_once(self) -> None:
-        if not self._holders:
+        if not self._ownerships:
             return
         listed = self._kernel.find("store").vms.list(vms.SHARED_AGE_S)
         if not isinstance(listed, errors.Failure):
-            self._see_vms(listed)
+            self._update_vms(listed)
         if self._read_assignment() is None:
-            if 0 in self._holders:
+            if 0 in self._ownerships:
                 self._assign_workers()
-            for partition in list(self._holders):
-                if partition in self._holders:  # may be lost during a transaction
+            for partition in list(self._ownerships):
+                if partition in self._ownerships:  # may be lost during a transaction
                     self._drop_lost(partition)
-        for partition in list(self._holders):
+        for partition in list(self._ownerships):
             self._update_links(partition)
 
-    def _see_vms(self, listed: list[vms.Vm]) -> None:
+    def _update_vms(self, listed: list[vms.Vm]) -> None:
         if listed is self._last_list:
             return
         self._last_list = listed
@@ -223,16 +225,16 @@
                 self._post_leaving(worker, leaving)
 
     def _post_leaving(self, worker: str, leaving: bool) -> None:
-        holder = self._holders.get(self.roster.partitions.get(worker, -1))
-        if holder is not None:
-            holder.post(worker_link.Leaving(worker, leaving))
+        ownership = self._ownerships.get(self.roster.partitions.get(worker, -1))
+        if ownership is not None:
+            ownership.post(worker_link.Leaving(worker, leaving))
 
     def _read_assignment(self) -> None | errors.Failure:
         rows = self._kernel.find("store").tables.read([WORKERS_ROW])
         if isinstance(rows, errors.Failure):
             return rows
         row = rows[WORKERS_ROW]
-        self.roster.take(row, time.monotonic())
+        self.roster.apply_row(row, time.monotonic())
         return None
 
     def _assign_workers(self) -> None:
@@ -290,7 +292,9 @@
         answer = self._kernel.find("store").tables.transact(
             {
                 WORKERS_ROW: drop.checked_version,
-                ownership_rows.key_of(partition): self._holders[partition].row_version,
+                ownership_rows.key_of(partition): self._ownerships[
+                    partition
+                ].row_version,
             },
             {WORKERS_ROW: roster.encode(left)},
             (),
@@ -311,7 +315,7 @@
         return Drop(self.roster.version, workers) if workers else None
 
     def _update_links(self, partition: int) -> None:
-        holder = self._holders[partition]
+        ownership = self._ownerships[partition]
         owners = self._kernel.find("claims")
         links = self._links[partition]
         wanted = self.roster.workers_of(partition) & self._vms.keys()
@@ -321,15 +325,15 @@
         for worker in wanted - links.keys():
             links[worker] = worker_link.Link(
                 partition,
-                holder.epoch,
+                ownership.epoch,
                 self._vms[worker],
-                holder.post,
+                ownership.post,
                 lambda: owners.may_renew_workers(partition, time.monotonic()),
                 lambda: owners.previous_owner_gone(partition, time.monotonic()),
                 self._settings.process,
             )
             if self._leaving.get(worker):
-                holder.post(worker_link.Leaving(worker, True))
+                ownership.post(worker_link.Leaving(worker, True))
         for worker in wanted & links.keys():
             links[worker].vm = self._vms[worker]  # a replaced VM has a new address
         for worker in links.keys() - wanted:
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -24,12 +24,12 @@
 
 STEP_INTERVAL_S = 0.5
 # Each try asks the owners of all partitions.
-RELEASE_INTERVAL_S = 2.0
+REMOVAL_INTERVAL_S = 2.0
 ADOPT_LIMIT_S = 5.0
 MAX_ENTRIES_PER_CALL = 200
 MAX_BYTES_PER_CALL = 512 * 1024  # frames between processes hold 1 MiB
 ENTRIES_PER_SLICE = 1000  # so that a long search does not hold up other greenlets
-RELEASING_PARTITION = 0
+REMOVING_PARTITION = 0
 
 
 class Transfer(msgspec.Struct, frozen=True):
@@ -79,7 +79,7 @@
         self._kernel = core
         self._clock = clock
         self._misplaced: dict[int, Misplaced] = {}
-        self._next_release = 0.0
+        self._next_removal = 0.0
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -115,15 +115,15 @@
             failure = self._kernel.find("layout").reread()
             if failure is not None or self._view.layout.generation < generation:
                 return errors.Unavailable(reason="the layout is not known here yet")
-        return owner.log_check.renew() or owner
+        return owner.log_check.verify() or owner
 
     def _serve_held(self, _sender: str, envelope: bytes) -> bytes:
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
-        question = msgspec.msgpack.decode(body, type=duplicate_check.Question)
-        owner = self._find_owner(number, question.generation)
+        query = msgspec.msgpack.decode(body, type=duplicate_check.HeldQuery)
+        owner = self._find_owner(number, query.generation)
         if isinstance(owner, errors.Failure):
             return reply.encode_result(owner)
-        found = duplicate_check.answer(owner.journal.state, question)
+        found = duplicate_check.answer_query(owner.journal.state, query)
         return reply.encode_result(found)
 
     def _serve_adopt(self, _sender: str, envelope: bytes) -> bytes:
@@ -138,7 +138,7 @@
         if view.layout.generation != transfer.generation or any(
             view.layout.partition_of(name) != number for name in names
         ):
-            return reply.encode_result(duplicate_check.not_here())
+            return reply.encode_result(duplicate_check.wrong_partition_failure())
         # Like an acceptance: in a later generation another partition is asked for it.
         failure = owner.journal.append(entries, True, view.version).get()
         if failure is None and entries.jobs:
@@ -198,18 +198,18 @@
         for number in self._misplaced.keys() - owned.keys():
             del self._misplaced[number]
         for owner in owned.values():
-            if owner.ready.is_set() and owner.log_check.renew() is None:
+            if owner.ready.is_set() and owner.log_check.verify() is None:
                 self._hand_over(owner)
-        due = self._clock() >= self._next_release
-        if RELEASING_PARTITION in owned and due:
-            self._next_release = self._clock() + RELEASE_INTERVAL_S
-            self._release(owned[RELEASING_PARTITION])
+        due = self._clock() >= self._next_removal
+        if REMOVING_PARTITION in owned and due:
+            self._next_removal = self._clock() + REMOVAL_INTERVAL_S
+            self._remove_former_counts(owned[REMOVING_PARTITION])
 
     def _find_misplaced(self, owner: partition.Partition) -> Misplaced | errors.Failure:
         """Return what is held for other partitions, of a sealed owner."""
         present = self._view.layout
         known = self._misplaced.get(owner.number)
-        if not owner.log_check.holds():
+        if not owner.log_check.is_verified():
             return errors.LayoutChanged(reason="the number changed meanwhile")
         if (
             known is None
@@ -288,7 +288,7 @@
             view.version,
         ).get()
 
-    def _release(self, owner: partition.Partition) -> None:
+    def _remove_former_counts(self, owner: partition.Partition) -> None:
         """Remove former numbers for which no partition holds anything any more."""
         service = self._kernel.find("layout")
         present = service.layout
@@ -349,7 +349,7 @@
     for name in names[:MAX_ENTRIES_PER_CALL]:
         entries = []
         if name in state.specs and state.is_finished(name):
-            entries.append(state.ended(name))
+            entries.append(state.ended_job(name))
         entry = state.requests.get(name)
         if entry is not None and entry.outcome is not None:
             entries.append(entry)
--- a/toucanspring/owners/journal.py
+++ b/toucanspring/owners/journal.py
@@ -66,7 +66,7 @@
         table: tables.TableClient,
         objects: object,
         interval_s: float = MIN_FLUSH_INTERVAL_S,
-        view: layout.Service | None = None,
+        layout_service: layout.Service | None = None,
     ) -> None:
         self.partition = partition
         self.epoch = epoch
@@ -75,8 +75,10 @@
         self.interval_s = interval_s
         self._owner_key = f"partitions/{partition}"
         self._owner_check = {self._owner_key: row_version}
-        self._layout = view
-        self._version = view.view.version if view else 0  # of what is pending
+        self._layout = layout_service
+        self._version = (
+            layout_service.view.version if layout_service else 0
+        )  # of what is pending
         self._table = table
         self._objects = objects
         self._sequence = 0
@@ -89,8 +91,8 @@
         self._wakeup = gevent.event.Event()
         self._idle = gevent.event.Event()
         self._idle.set()
-        self._settled = gevent.event.Event()  # cleared while a row is written
-        self._settled.set()
+        self._write_done = gevent.event.Event()  # cleared while a row is written
+        self._write_done.set()
         self._greenlet: gevent.Greenlet | None = None
         self.fenced = False
 
@@ -102,10 +104,10 @@
         if self._greenlet is not None:
             self._greenlet.kill()
         self.fenced = True
-        in_doubt = errors.Ambiguous(reason="the partition was given up in a write")
+        ambiguous = errors.Ambiguous(reason="the partition was given up in a write")
         for entry in self._batch:
             if not entry.result.ready():
-                entry.result.set(in_doubt)
+                entry.result.set(ambiguous)
         self._fail_pending(errors.Fenced(reason="the partition was given up"))
 
     def key(self, sequence: int) -> str:
@@ -181,9 +183,9 @@
         """Wait until everything appended is durable; return whether it is."""
         return self._idle.wait(timeout_s)
 
-    def settle(self, timeout_s: float) -> bool:
+    def wait_for_write(self, timeout_s: float) -> bool:
         """Wait until no row is being written; return whether that is so."""
-        return self._settled.wait(timeout_s)
+        return self._write_done.wait(timeout_s)
 
     def _run(self) -> None:
         while not self.fenced:
@@ -191,9 +193,9 @@
             self._wakeup.clear()
             while self._pending and not self.fenced:
                 self._batch = self._take_batch()
-                self._settled.clear()
+                self._write_done.clear()
                 self._write(self._batch)
-                self._settled.set()
+                self._write_done.set()
                 if self._needs_snapshot():
                     self._compact()
                 gevent.sleep(self.interval_s)
@@ -302,8 +304,8 @@
         """Give up entries that another layout than the present one allowed."""
         kept = []
         for entry in entries:
-            named = entry.layout_version
-            if named is None or named == self._layout.view.version:
+            required = entry.layout_version
+            if required is None or required == self._layout.view.version:
                 kept.append(entry)
             else:
                 entry.result.set(
--- a/toucanspring/owners/log_check.py
+++ b/toucanspring/owners/log_check.py
@@ -6,23 +6,23 @@
 from toucanspring.cell import ownership_rows
 from toucanspring.owners import journal
 
-SETTLE_TIMEOUT_S = 3.0
+WRITE_TIMEOUT_S = 3.0
 
 
-class Seal:
+class LogCheck:
     """Hold for one owner under which layout its log is completely known."""
 
     def __init__(self, core: kernel.Kernel, log: journal.Journal, row: int) -> None:
         self._kernel = core
         self._journal = log
         self._row_version = row
-        self._sealed: int | None = None
+        self._verified_version: int | None = None
 
-    def holds(self) -> bool:
+    def is_verified(self) -> bool:
         """Return whether `renew` has succeeded under the present layout."""
-        return self._sealed == self._kernel.find("layout").view.version
+        return self._verified_version == self._kernel.find("layout").view.version
 
-    def renew(self) -> None | errors.Unavailable:
+    def verify(self) -> None | errors.Unavailable:
         """Make sure that the log is known as it was when the layout last changed.
 
         Since then no ID that the present number maps elsewhere can have been accepted
@@ -30,9 +30,9 @@
         partition by then, its ownership row would have changed.
         """
         version = self._kernel.find("layout").view.version
-        if self._sealed == version:
+        if self._verified_version == version:
             return None
-        if not self._journal.settle(SETTLE_TIMEOUT_S):
+        if not self._journal.wait_for_write(WRITE_TIMEOUT_S):
             return errors.Unavailable(reason="the log is being written")
         key = ownership_rows.key_of(self._journal.partition)
         rows = self._kernel.find("store").tables.read([key])
@@ -40,5 +40,5 @@
             return errors.Unavailable(reason=f"store: {rows.reason}")
         if rows[key].version != self._row_version:
             return errors.Unavailable(reason="ownership of the partition was lost")
-        self._sealed = version
+        self._verified_version = version
         return None
--- a/toucanspring/owners/log_records.py
+++ b/toucanspring/owners/log_records.py
@@ -155,8 +155,8 @@
 
     def _apply_handover(self, record: Adopted | HandedOver) -> None:
         if isinstance(record, Adopted):
-            for ended in record.jobs:
-                self._adopt(ended)
+            for ended_job in record.jobs:
+                self._adopt(ended_job)
             for request_id, entry in record.requests.items():
                 self.requests.setdefault(request_id, entry)
             return
@@ -165,13 +165,13 @@
         for request_id in record.request_ids:
             self.requests.pop(request_id, None)
 
-    def _adopt(self, ended: EndedJob) -> None:
-        job_id = ended.spec.id
+    def _adopt(self, ended_job: EndedJob) -> None:
+        job_id = ended_job.spec.id
         if job_id not in self.specs:
-            self.specs[job_id] = ended.spec
-            self.accepted_ms[job_id] = ended.at_ms
-            self.outcomes[job_id] = dict(ended.outcomes)
-            if ended.cancelled:
+            self.specs[job_id] = ended_job.spec
+            self.accepted_ms[job_id] = ended_job.at_ms
+            self.outcomes[job_id] = dict(ended_job.outcomes)
+            if ended_job.cancelled:
                 self.cancelled.add(job_id)
 
     def _forget(self, job_id: str) -> None:
@@ -180,7 +180,7 @@
         self.outcomes.pop(job_id, None)
         self.cancelled.discard(job_id)
 
-    def ended(self, job_id: str) -> EndedJob:
+    def ended_job(self, job_id: str) -> EndedJob:
         """Return what the log says of a finished job."""
         return EndedJob(
             self.specs[job_id],
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -21,13 +21,13 @@
 
 STEP_INTERVAL_S = 0.5
 # Each step wakes the partition's task, which is most of what moves cost at rest.
-REST_INTERVAL_S = 1.0
+IDLE_INTERVAL_S = 1.0
 # A worker that has not attached so long after its move cannot be counted on.
-ARRIVAL_S = 10.0
+ATTACH_LIMIT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Doubt:
+class AmbiguousMove:
     """Hold a move whose transaction may or may not have taken effect."""
 
     epoch: int
@@ -47,11 +47,11 @@
         self._kernel = core
         self._clock = clock
         self._enabled = options.moves == "on"
-        self._stated: dict[int, capacity_report.CapacityReport] = {}
-        self._doubts: dict[int, Doubt] = {}
+        self._reports: dict[int, capacity_report.CapacityReport] = {}
+        self._ambiguous_moves: dict[int, AmbiguousMove] = {}
         self._steps: dict[int, gevent.Greenlet] = {}
         self._greenlet: gevent.Greenlet | None = None
-        self._count: Callable[[int], None] = lambda _moved: None
+        self._count_moves: Callable[[int], None] = lambda _moved: None
 
     def start(self) -> None:
         """Begin to state needs and to move workers."""
@@ -61,7 +61,7 @@
                 "toucanspring_worker_moves_total",
                 "Workers that this process has moved to other partitions.",
             )
-            self._count = lambda moved: counter.add({}, moved)
+            self._count_moves = lambda moved: counter.add({}, moved)
             self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
@@ -74,36 +74,39 @@
         """Return the statements on owned partitions, for heartbeats."""
         owned = self._kernel.find("claims").owned()
         return {
-            number: stated for number, stated in self._stated.items() if number in owned
+            number: report
+            for number, report in self._reports.items()
+            if number in owned
         }
 
-    def known(self) -> dict[int, capacity_report.CapacityReport]:
+    def latest_reports(self) -> dict[int, capacity_report.CapacityReport]:
         """Return the latest statement on each partition from its present owner."""
         found: dict[int, tuple[int, capacity_report.CapacityReport]] = {}
         peers = self._kernel.find("membership").peer_states()
         for message in peers.values():
-            for number, stated in message.statements.items():
+            for number, report in message.statements.items():
                 epoch = message.owned.get(number, 0)
                 if epoch > found.get(number, (0, None))[0]:
-                    found[number] = epoch, stated
+                    found[number] = epoch, report
         owned = self._kernel.find("claims").owned()
-        for number, stated in self.statements().items():
+        for number, report in self.statements().items():
             if owned[number] >= found.get(number, (0, None))[0]:
-                found[number] = owned[number], stated
-        return {number: stated for number, (_, stated) in found.items()}
+                found[number] = owned[number], report
+        return {number: report for number, (_, report) in found.items()}
 
     def _run(self) -> None:
         while True:
             needed = any(
-                stated.gang or stated.waiting for stated in self.known().values()
+                report.gang or report.waiting
+                for report in self.latest_reports().values()
             )
-            gevent.sleep(STEP_INTERVAL_S if needed else REST_INTERVAL_S)
+            gevent.sleep(STEP_INTERVAL_S if needed else IDLE_INTERVAL_S)
             if self._kernel.find("layout").layout.count == 1:
-                self._stated.clear()
+                self._reports.clear()
                 continue
             owned = self._kernel.find("partitions").owned()
-            for number in self._stated.keys() - owned.keys():
-                del self._stated[number]
+            for number in self._reports.keys() - owned.keys():
+                del self._reports[number]
             for number, owner in owned.items():
                 # A step that waits for the store holds up its own partition only.
                 running = self._steps.get(number)
@@ -115,40 +118,40 @@
         number = owner.number
         fleet = self._kernel.find("fleet")
         if not self._kernel.find("claims").may_start(number, self._clock()):
-            self._stated.pop(number, None)
+            self._reports.pop(number, None)
             return
-        doubt = self._doubts.get(number)
-        if doubt is not None:
-            self._resolve(owner, doubt)
-        statements = self.known()
+        ambiguous = self._ambiguous_moves.get(number)
+        if ambiguous is not None:
+            self._resolve(owner, ambiguous)
+        statements = self.latest_reports()
         latest = max((each.workers_version for each in statements.values()), default=0)
         if latest > fleet.roster.version:
             fleet.reread()
-        facts = self._facts(owner)
-        doubt = self._doubts.get(number)
-        moving = frozenset(doubt.batch.workers if doubt else ())
+        facts = self._cell_view(owner)
+        ambiguous = self._ambiguous_moves.get(number)
+        moving = frozenset(ambiguous.batch.workers if ambiguous else ())
 
         def decide(
             scheduler: object,
         ) -> tuple[capacity_report.CapacityReport, move_planner.Batch | None]:
             now = self._clock()
-            stated = scheduler.move_planner.report(facts, now)
+            report = scheduler.move_planner.report(facts, now)
             batch = scheduler.move_planner.plan(
-                number, {**statements, number: stated}, facts, now, moving
+                number, {**statements, number: report}, facts, now, moving
             )
-            return stated, batch
+            return report, batch
 
         decided = owner.ask(decide)
         if isinstance(decided, errors.Failure):
             return
-        self._stated[number], batch = decided
+        self._reports[number], batch = decided
         if batch is not None:
             self._move(owner, batch)
 
-    def _facts(self, owner: partition.Partition) -> move_planner.CellView:
+    def _cell_view(self, owner: partition.Partition) -> move_planner.CellView:
         fleet = self._kernel.find("fleet")
         now = self._clock()
-        attached = owner.facts()
+        attached = owner.attached_workers()
         return move_planner.CellView(
             fleet.roster.version,
             dict(fleet.roster.changed_at),
@@ -158,9 +161,10 @@
                 worker: listed
                 for worker, listed in fleet.listed(owner.number).items()
                 if worker not in attached
-                and now - fleet.roster.moved_at.get(worker, -ARRIVAL_S) < ARRIVAL_S
+                and now - fleet.roster.moved_at.get(worker, -ATTACH_LIMIT_S)
+                < ATTACH_LIMIT_S
             },
-            fleet.elsewhere(owner.number),
+            fleet.listed_elsewhere(owner.number),
             owner.bound_workers(),
             self._kernel.find("layout").layout.current,
             collections.Counter(fleet.roster.partitions.values()),
@@ -192,9 +196,11 @@
             case tables.Committed(versions=versions):
                 if versions[roster.WORKERS_ROW] > known.version:
                     known.replace(versions[roster.WORKERS_ROW], changed, self._clock())
-                self._hand_over(owner, batch)
+                self._finish_move(owner, batch)
             case errors.Ambiguous():
-                self._doubts[number] = Doubt(owner.epoch, batch, version)
+                self._ambiguous_moves[number] = AmbiguousMove(
+                    owner.epoch, batch, version
+                )
             case errors.Conflict():
                 # In a repetition the first attempt may be what conflicts, so a doubt
                 # is left to the next look at the row.
@@ -202,33 +208,37 @@
             case _:
                 log.info("partition {}: no move: {}", number, answer.reason)
 
-    def _resolve(self, owner: partition.Partition, doubt: Doubt) -> None:
+    def _resolve(self, owner: partition.Partition, ambiguous: AmbiguousMove) -> None:
         """Find out whether a move whose answer was lost has taken effect."""
         number = owner.number
-        if doubt.epoch != owner.epoch:
+        if ambiguous.epoch != owner.epoch:
             # The claim of the later epoch came before its read of the row, so the
             # transaction has either been read or fails by its ownership check.
-            del self._doubts[number]
+            del self._ambiguous_moves[number]
             return
         fleet = self._kernel.find("fleet")
         if fleet.reread() is not None:
             return
-        mine = fleet.roster.partitions.get(doubt.batch.workers[0]) == number
-        match roster.after_doubt(fleet.roster.version, doubt.checked_version, mine):
+        still_owned = fleet.roster.partitions.get(ambiguous.batch.workers[0]) == number
+        match roster.ambiguous_move_result(
+            fleet.roster.version, ambiguous.checked_version, still_owned
+        ):
             case "repeat":
                 # The repetition settles which of the two takes effect.
-                self._move(owner, doubt.batch)
+                self._move(owner, ambiguous.batch)
             case "moved":
-                self._hand_over(owner, doubt.batch)
+                self._finish_move(owner, ambiguous.batch)
             case _:
-                del self._doubts[number]
+                del self._ambiguous_moves[number]
 
-    def _hand_over(self, owner: partition.Partition, batch: move_planner.Batch) -> None:
-        self._doubts.pop(owner.number, None)
+    def _finish_move(
+        self, owner: partition.Partition, batch: move_planner.Batch
+    ) -> None:
+        self._ambiguous_moves.pop(owner.number, None)
         for worker in batch.workers:
-            self._kernel.find("fleet").hand_over(owner.number, worker)
+            self._kernel.find("fleet").release_worker(owner.number, worker)
             owner.post(inbox.WorkerMoved(worker))
-        self._count(len(batch.workers))
+        self._count_moves(len(batch.workers))
         self._kernel.publish(
             event_kinds.WorkersMoved(tuple(batch.workers), owner.number, batch.receiver)
         )
--- a/toucanspring/owners/outcomes.py
+++ b/toucanspring/owners/outcomes.py
@@ -81,13 +81,13 @@
     ) -> bool:
         """Write an outcome to the log; return whether it is durable."""
         if outcome is None:
-            outcome = self._done(request_id, result)
+            outcome = self._done_outcome(request_id, result)
         recorded = self._kernel.find("partitions").finish_request(request_id, outcome)
         if isinstance(recorded, errors.Failure):
             log.warning("outcome of {} not recorded: {}", request_id, recorded.reason)
         return recorded is None
 
-    def _done(self, request_id: str, stored: answers.Stored) -> job.Outcome:
+    def _done_outcome(self, request_id: str, stored: answers.Stored) -> job.Outcome:
         if len(stored.body) <= answers.MAX_LOGGED_BYTES:
             return job.Outcome(job.State.DONE, answer=answers.encode(stored))
         key = f"answers/{request_id}/{secrets.token_hex(8)}"
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -25,11 +25,11 @@
         self,
         core: kernel.Kernel,
         owned: Mapping[int, partition.Partition],
-        questions: duplicate_check.Clearance,
+        duplicates: duplicate_check.DuplicateCheck,
     ) -> None:
         self._kernel = core
         self._owned = owned
-        self._clearance = questions
+        self._duplicate_check = duplicates
 
     def serve(self, calls: routes.Routes) -> None:
         """Answer calls of this and of other processes."""
@@ -42,14 +42,16 @@
         ):
             calls.serve(method, function)
 
-    def _ready_to_ask(self, number: int) -> partition.Partition | errors.Unavailable:
+    def _wait_until_ready(
+        self, number: int
+    ) -> partition.Partition | errors.Unavailable:
         owned = self._owned.get(number)
         if owned is None or not owned.ready.wait(READY_LIMIT_S):
             return errors.Unavailable(reason="this process does not own the partition")
         return owned
 
     def _ask(self, number: int, make: object) -> object | errors.Failure:
-        owned = self._ready_to_ask(number)
+        owned = self._wait_until_ready(number)
         if isinstance(owned, errors.Failure):
             return owned
         result = gevent.event.AsyncResult()
@@ -64,14 +66,14 @@
     def _serve_submit(self, _sender: str, envelope: bytes) -> bytes:
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
         specs = msgspec.msgpack.decode(body, type=list[job.JobSpec])
-        owned = self._ready_to_ask(number)
+        owned = self._wait_until_ready(number)
         if isinstance(owned, errors.Failure):
             return reply.encode_result(owned)
-        cleared = self._clearance.clear(owned, specs)
+        checked = self._duplicate_check.check_jobs(owned, specs)
         found = self._ask(
             number,
             lambda result: inbox.Submit(
-                specs, result, cleared.layout_version, cleared.answers
+                specs, result, checked.layout_version, checked.answers
             ),
         )
         if isinstance(found, list):
@@ -120,15 +122,17 @@
         owned = self._owned.get(number)
         if owned is None:
             return reply.encode_result(errors.Unavailable(reason="not the owner"))
-        found = self._ask(number, lambda result: inbox.Ask(_free, result))
+        found = self._ask(number, lambda result: inbox.Ask(_free_resources, result))
         if isinstance(found, errors.Failure):
             return reply.encode_result(found)
         links = self._kernel.find("fleet").links(number)
         is_leaving = self._kernel.find("fleet").is_leaving
         return reply.encode_result(
-            survey.list_links(number, links, owned.facts(), found, is_leaving)
+            survey.list_links(
+                number, links, owned.attached_workers(), found, is_leaving
+            )
         )
 
 
-def _free(owner: object) -> dict[str, resources.Resources]:
+def _free_resources(owner: object) -> dict[str, resources.Resources]:
     return owner.free_by_worker()
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -58,8 +58,8 @@
         self._greenlet: gevent.Greenlet | None = None
         self._layout = core.find("layout")
         count = self._layout.layout.count
-        self._spread = False  # whether other partitions have workers to give
-        self._follow_count(count)
+        self._moves_possible = False  # whether other partitions have workers to give
+        self._apply_partition_count(count)
         # Of this epoch: a later one of the same process must not be used for it.
         self.row_version = core.find("claims").row_version(number)
         store = core.find("store")
@@ -72,14 +72,14 @@
             journal.flush_interval(count),
             self._layout,
         )
-        self.log_check = log_check.Seal(core, self.journal, self.row_version)
-        self.allowances = allowances.Keeper(
+        self.log_check = log_check.LogCheck(core, self.journal, self.row_version)
+        self.allowances = allowances.AllowanceManager(
             number,
             core,
             lambda held, limits: self.post(inbox.AllowancesChanged(held, limits)),
         )
         self.requests = request_log.RequestLog(self.journal)
-        self._watch = worker_events.Watch(number, epoch, core)
+        self._worker_events = worker_events.WorkerEvents(number, epoch, core)
         self._executor = execution.Executor(
             number, core, self._scheduler, self.journal, self.allowances, self.post
         )
@@ -108,7 +108,7 @@
         """Queue a message for the partition's task."""
         self._inbox.put(message)
 
-    def facts(self) -> dict[str, effects.WorkerFacts]:
+    def attached_workers(self) -> dict[str, effects.WorkerFacts]:
         """Return the workers that have attached."""
         return dict(self._executor.workers)
 
@@ -125,23 +125,23 @@
         """Return whether a job was accepted here, durably or not yet."""
         return self._acceptance.holds(job_id)
 
-    def follow_layout(self) -> None:
+    def apply_layout(self) -> None:
         """Take in another number of partitions."""
         count = self._layout.layout.count
         self.journal.interval_s = journal.flush_interval(count)
         # The listener must not wait for the partition's task.
         self.post(
             inbox.Ask(
-                lambda _scheduler: self._follow_count(count),
+                lambda _scheduler: self._apply_partition_count(count),
                 gevent.event.AsyncResult(),
             )
         )
 
-    def _follow_count(self, count: int) -> None:
-        spread = count > 1 and self._settings.moves == "on"
-        if spread != self._spread:
-            self._spread = spread
-            self._scheduler.expect_other_partitions(spread)
+    def _apply_partition_count(self, count: int) -> None:
+        moves_possible = count > 1 and self._settings.moves == "on"
+        if moves_possible != self._moves_possible:
+            self._moves_possible = moves_possible
+            self._scheduler.expect_other_partitions(moves_possible)
 
     def bound_workers(self) -> frozenset[str]:
         """Return the workers of incomplete records, which must stay here.
@@ -210,7 +210,7 @@
             gevent.sleep(LOAD_RETRY_S)
         state = self.journal.state
         now = time.monotonic()
-        self._update_documents(now)
+        self._apply_documents(now)
         self._executor.carry_out(
             self._scheduler.restore(
                 list(state.specs.values()),
@@ -239,7 +239,7 @@
             case worker_link.FromWorker(worker=worker, message=content):
                 self._handle_worker(worker, content, now)
             case worker_link.EpochRefused() | worker_link.Lost() | inbox.WorkerMoved():
-                self._handle_absence(message, now)
+                self._handle_unavailable_worker(message, now)
             case worker_link.Disconnected(worker=worker, unanswered=unanswered):
                 self._executor.carry_out(
                     self._scheduler.starts_unanswered(worker, unanswered, now)
@@ -257,7 +257,7 @@
             case inbox.Durable(action=action, failure=failure):
                 self._executor.carry_out(action(failure))
             case inbox.TeamsChanged():
-                self._update_documents(now)
+                self._apply_documents(now)
             case inbox.DependencyFinished(job_id=job_id, outcome=outcome):
                 self._executor.carry_out(
                     self._scheduler.dependency_finished(job_id, outcome, now)
@@ -269,21 +269,21 @@
             case _:
                 log.error("partition {}: unexpected {!r}", self.number, message)
 
-    def _handle_absence(
+    def _handle_unavailable_worker(
         self,
         message: worker_link.EpochRefused | worker_link.Lost | inbox.WorkerMoved,
         now: float,
     ) -> None:
         worker = message.worker
         if isinstance(message, worker_link.EpochRefused):
-            self._watch.refused(message)
+            self._worker_events.refused(message)
             return
         if isinstance(message, worker_link.Lost):
-            self._watch.lost(worker, self._scheduler.count_tasks(worker))
+            self._worker_events.lost(worker, self._scheduler.count_tasks(worker))
         self._executor.workers.pop(worker, None)
         self._executor.carry_out(self._scheduler.worker_lost(worker, now))
 
-    def _update_documents(self, now: float) -> None:
+    def _apply_documents(self, now: float) -> None:
         documents = self._kernel.find("documents")
         teams = {
             team.name: fairness.Team(
@@ -310,7 +310,7 @@
                     message.rack,
                 )
                 self._executor.workers[worker] = facts
-                self._watch.attached(facts)
+                self._worker_events.attached(facts)
                 self._executor.carry_out(
                     self._scheduler.worker_attached(
                         facts, message.running, message.finished, now
--- a/toucanspring/owners/partitions.py
+++ b/toucanspring/owners/partitions.py
@@ -43,8 +43,8 @@
         self._owned: dict[int, partition.Partition] = {}
         self._stopping = False
         self.routes = routes.Routes(core, self._owned)
-        self._clearance = duplicate_check.Clearance(core, self.routes)
-        self._calls = owner_calls.OwnerCalls(core, self._owned, self._clearance)
+        self._duplicate_check = duplicate_check.DuplicateCheck(core, self.routes)
+        self._calls = owner_calls.OwnerCalls(core, self._owned, self._duplicate_check)
 
     def start(self) -> None:
         """Follow ownership and serve calls of other processes."""
@@ -95,7 +95,7 @@
 
     def _layout_changed(self, _event: object) -> None:
         for owned in self._owned.values():
-            owned.follow_layout()
+            owned.apply_layout()
 
     @property
     def _layout(self) -> layout.Service:
@@ -109,16 +109,16 @@
         A failure of type `Ambiguous` means that the job may still be accepted.
         """
         answers: list[str | errors.Failure] = [errors.Unavailable()] * len(specs)
-        left = list(range(len(specs)))
+        remaining = list(range(len(specs)))
         deadline = time.monotonic() + routes.ROUTE_LIMIT_S
-        while left:
-            self._submit_once(specs, left, answers)
-            left = [
+        while remaining:
+            self._submit_once(specs, remaining, answers)
+            remaining = [
                 index
-                for index in left
+                for index in remaining
                 if isinstance(answers[index], errors.LayoutChanged)
             ]
-            if not left or time.monotonic() >= deadline:
+            if not remaining or time.monotonic() >= deadline:
                 break
             gevent.sleep(routes.RETRY_PAUSE_S)
             self._layout.reread()
@@ -127,13 +127,13 @@
     def _submit_once(
         self,
         specs: list[job.JobSpec],
-        left: list[int],
+        remaining: list[int],
         answers: list[str | errors.Failure],
     ) -> None:
         """Submit the jobs with the given indices to the present owners of their IDs."""
         groups: dict[int, list[int]] = collections.defaultdict(list)
-        for index in left:
-            groups[self.number_of(specs[index].id)].append(index)
+        for index in remaining:
+            groups[self.accepting_partition(specs[index].id)].append(index)
 
         def submit_group(number: int, indices: list[int]) -> None:
             body = reply.encode([specs[index] for index in indices])
@@ -174,7 +174,7 @@
         """Cancel jobs at their owners."""
         groups: dict[int, list[str]] = collections.defaultdict(list)
         for job_id in job_ids:
-            groups[self.number_of(job_id)].append(job_id)
+            groups[self.accepting_partition(job_id)].append(job_id)
         answers: dict[str, str | errors.Failure] = {}
         self._cancel_groups(groups, answers)
         unknown = [
@@ -244,7 +244,7 @@
             return owned
         version = None
         if not owned.requests.holds(request_id):
-            version = self._clearance.clear_request(owned, request_id)
+            version = self._duplicate_check.check_request(owned, request_id)
             if isinstance(version, errors.Failure):
                 return version
         return owned.requests.begin(request_id, server, version)
@@ -279,9 +279,9 @@
             return owned
         found = owned.requests.find(request_id)
         if isinstance(found, errors.NotFound):
-            cleared = self._clearance.clear_request(owned, request_id)
-            if isinstance(cleared, errors.Failure):
-                return cleared
+            checked = self._duplicate_check.check_request(owned, request_id)
+            if isinstance(checked, errors.Failure):
+                return checked
             found = owned.requests.find(request_id)  # may have come meanwhile
         return found
 
@@ -289,12 +289,12 @@
         self, number: int, request_id: str
     ) -> log_records.RequestEntry | errors.Failure:
         """Return the log entry of a request in one partition, if it is owned here."""
-        owned = self._ready(number)
+        owned = self._wait_for_owned(number)
         if isinstance(owned, errors.Failure):
             return owned
         return owned.requests.find(request_id)
 
-    def number_of(self, name: str) -> int:
+    def accepting_partition(self, name: str) -> int:
         """Return the partition that accepts a job or request ID."""
         return self._layout.layout.partition_of(name)
 
@@ -312,9 +312,9 @@
         return dict(self._owned)
 
     def _find_owned(self, name: str) -> partition.Partition | errors.Failure:
-        return self._ready(self.request_partition(name))
+        return self._wait_for_owned(self.request_partition(name))
 
-    def _ready(self, number: int) -> partition.Partition | errors.Failure:
+    def _wait_for_owned(self, number: int) -> partition.Partition | errors.Failure:
         owned = self._owned.get(number)
         if owned is None or not owned.ready.wait(ASK_TIMEOUT_S):
             # Not `NotFound`, which says that the log has no such request.
--- a/toucanspring/owners/recovery.py
+++ b/toucanspring/owners/recovery.py
@@ -45,7 +45,7 @@
     for record in records:
         if record.outcome is None:
             _restore_job(core, record, started.get(record.spec.id, ()), now)
-    settle(core, now)
+    requeue_unconfirmed(core, now)
 
 
 def adopt(
@@ -164,7 +164,7 @@
         if (task.id, task.attempt) not in present and task.id in core.table.live:
             _attach_absent(core, task, facts, now)
     core.expected_workers.pop(worker, None)
-    settle(core, now)
+    requeue_unconfirmed(core, now)
 
 
 def _attach_running(
@@ -246,7 +246,7 @@
     return "lost"
 
 
-def lose(core: lifecycle.Lifecycle, worker: str, now: float) -> None:
+def handle_lost_worker(core: lifecycle.Lifecycle, worker: str, now: float) -> None:
     """End all attempts on a worker whose lease and grace have expired."""
     state = core.workers.pop(worker, None)
     if state is not None:
@@ -257,7 +257,7 @@
     for task in list(core.tasks_on.pop(worker, {}).values()):
         if task.id in core.table.live:
             attempt.lost(core, task, f"worker {worker} was lost", now)
-    settle(core, now)
+    requeue_unconfirmed(core, now)
 
 
 def _drop_orphans(core: lifecycle.Lifecycle, state: worker_state.WorkerState) -> None:
@@ -266,7 +266,7 @@
     state.orphans.clear()
 
 
-def settle(core: lifecycle.Lifecycle, now: float) -> None:
+def requeue_unconfirmed(core: lifecycle.Lifecycle, now: float) -> None:
     """Queue the restored tasks that no worker can be running any more."""
     count_possible_use(core)
     if core.expected_workers:
--- a/toucanspring/owners/roster.py
+++ b/toucanspring/owners/roster.py
@@ -22,7 +22,7 @@
         self.changed_at: dict[int, int] = {}
         self.moved_at: dict[str, float] = {}  # worker -> when a move was seen
 
-    def take(self, row: tables.Row, now: float) -> None:
+    def apply_row(self, row: tables.Row, now: float) -> None:
         """Take in a row unless a later version is known.
 
         Reads under way at once may be answered in the other order; an older one
@@ -54,7 +54,7 @@
         }
 
 
-def after_doubt(version: int, checked_version: int, mine: bool) -> str:
+def ambiguous_move_result(version: int, checked_version: int, still_owned: bool) -> str:
     """Return what follows once the row has been read after a lost answer.
 
     `repeat`: the transaction that checked `checked_version` may still take effect;
@@ -63,4 +63,4 @@
     """
     if version == checked_version:
         return "repeat"
-    return "kept" if mine else "moved"
+    return "kept" if still_owned else "moved"
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -34,7 +34,12 @@
 # The refusal of a request that waits until its deadline arrives just after it.
 REFUSAL_GRACE_S = 0.25
 # Another process may own the partition by now; a concurrent repeat may run there.
-MOVED = (errors.Ambiguous, errors.Fenced, errors.Refused, errors.LayoutChanged)
+OWNER_UNCERTAIN = (
+    errors.Ambiguous,
+    errors.Fenced,
+    errors.Refused,
+    errors.LayoutChanged,
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UnderWay:
+class InFlight:
     """Hold a request that this process runs or follows."""
 
     digest: bytes
@@ -66,7 +71,7 @@
         self._clock = clock
         self._outcomes = outcomes.Outcomes(core)
         self._inquiry = inquiry.Inquiry(client, clock)
-        self._running: dict[str, UnderWay] = {}  # by request ID
+        self._running: dict[str, InFlight] = {}  # by request ID
         self._waiting = 0
 
     def in_flight(self) -> int:
@@ -83,7 +88,7 @@
         digest = answers.digest(request)
         if known is not None:
             if known.digest != digest:
-                return _other_content(request.id)
+                return _id_conflict(request.id)
             result = known.result
         else:
             result = self._spawn(
@@ -95,7 +100,7 @@
         finally:
             self._waiting -= 1
         if isinstance(outcome, answers.Stored) and outcome.digest != digest:
-            return _other_content(request.id)
+            return _id_conflict(request.id)
         return outcome
 
     def find(
@@ -127,7 +132,7 @@
     ) -> event.AsyncResult:
         """Run work that outlives the caller; others that ask for the ID join it."""
         result = event.AsyncResult()
-        self._running[request_id] = UnderWay(digest, result)
+        self._running[request_id] = InFlight(digest, result)
 
         def run() -> None:
             outcome: object = errors.Unknown(reason="outcome unknown: internal error")
@@ -162,7 +167,7 @@
         # A refusal below is certain only if the log shows that the ID is new.
         entry = partitions.request_entry(request.id)
         if not isinstance(entry, errors.NotFound):
-            return self._continue(request.id, entry)
+            return self._resume(request.id, entry)
         server = self._find_server(request, target, deadline)
         if isinstance(server, errors.Failure):
             if self._epoch(request.id) is None:
@@ -174,10 +179,12 @@
         begun = partitions.begin_request(request.id, start.encode())
         if not isinstance(begun, request_log.Begun):
             target.release(server.id)
-            if isinstance(begun, errors.Failure) and not isinstance(begun, MOVED):
+            if isinstance(begun, errors.Failure) and not isinstance(
+                begun, OWNER_UNCERTAIN
+            ):
                 # The log had no such ID, and only a durable start is sent.
                 return errors.NotRun(reason=f"not run: {begun.reason}")
-            return self._continue(request.id, begun)
+            return self._resume(request.id, begun)
         start, result = self._send_or_move(
             request, target, server, start, begun.epoch, deadline
         )
@@ -223,7 +230,7 @@
             )
             if not isinstance(begun, request_log.Begun):
                 target.release(server.id)
-                if isinstance(begun, MOVED):
+                if isinstance(begun, OWNER_UNCERTAIN):
                     return start, errors.Fenced(reason=begun.reason)
                 return start, errors.NotRun(reason=f"not run: {begun.reason}")
             start = moved
@@ -259,9 +266,9 @@
                     if isinstance(state, backend_servers.Answer):
                         state.close()
                     target.release(server.id)
-                    return _other_content(request.id)
+                    return _id_conflict(request.id)
 
-    def _continue(
+    def _resume(
         self, request_id: str, state: object
     ) -> answers.Stored | errors.Failure:
         """Return the outcome of a request that this call did not begin."""
@@ -353,26 +360,26 @@
         self, request_id: str, start: outcomes.Start
     ) -> answers.Stored | errors.Failure:
         """Find out the outcome of a request that a former owner may have sent."""
-        give_up = self._clock() + FOLLOW_S
+        give_up_at = self._clock() + FOLLOW_S
         pause = inquiry.FIRST_PAUSE_S
         while True:
-            number = self._epoch(request_id)
-            if number is None:
+            epoch = self._epoch(request_id)
+            if epoch is None:
                 return errors.Fenced(reason="ownership was lost; it may have run")
             partition = self._partition(request_id)
             raised = self._client.raise_epoch(
-                start.server, backend_servers.Epoch(partition, number)
+                start.server, backend_servers.Epoch(partition, epoch)
             )
             if raised is None:
                 break
             if isinstance(raised, errors.Fenced):
                 return raised
-            if self._clock() > give_up:
+            if self._clock() > give_up_at:
                 lost = errors.Unknown(reason=f"outcome unknown: {raised.reason}")
                 return self._outcomes.record(request_id, start, lost)
             gevent.sleep(pause)
             pause = min(2 * pause, inquiry.LONGEST_PAUSE_S)
-        left_s = max(inquiry.LOOKUP_TIMEOUT_S, give_up - self._clock())
+        left_s = max(inquiry.LOOKUP_TIMEOUT_S, give_up_at - self._clock())
         result = self._inquiry.look_up(request_id, start, left_s, certain=True)
         return self._outcomes.record(request_id, start, result)
 
@@ -384,7 +391,7 @@
         return errors.Unknown(reason="outcome unknown: still running at the deadline")
 
 
-def _other_content(request_id: str) -> errors.Conflict:
+def _id_conflict(request_id: str) -> errors.Conflict:
     return errors.Conflict(
         reason=f"request ID {request_id} was used for another request", key=request_id
     )
--- a/toucanspring/owners/worker_events.py
+++ b/toucanspring/owners/worker_events.py
@@ -8,7 +8,7 @@
 from toucanspring.scheduling import effects
 
 
-class Watch:
+class WorkerEvents:
     """Publish losses, returns and refusals of workers."""
 
     def __init__(self, partition: int, epoch: int, core: kernel.Kernel) -> None:
--- a/toucanspring/owners/worker_link.py
+++ b/toucanspring/owners/worker_link.py
@@ -18,7 +18,7 @@
 
 WORKER_LEASE_S = 20.0
 STOP_GRACE_S = 2.0  # a worker has stopped its tasks this long after its lease ended
-DRIFT_FRACTION = 0.05  # assumed bound on the drift between monotonic clocks
+MAX_DRIFT_FRACTION = 0.05  # assumed bound on the drift between monotonic clocks
 # A worker without tasks reports every 7 s. If one renewal is lost, the lease is renewed
 # again after at most 2 + 7 + 7 s, which is before its end even with the drift.
 RENEW_INTERVAL_S = 2.0
@@ -29,7 +29,7 @@
 MAX_RECONNECT_PAUSE_S = 3.0
 WATCH_INTERVAL_S = 0.5
 # A worker refuses starts whose tick is older than 1 s; the rest is for the way there.
-FRESH_TICK_S = 0.7
+MAX_TICK_AGE_S = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 def expiry_wait() -> float:
     """Return the seconds after which a lease has certainly ended everywhere."""
-    return (WORKER_LEASE_S + STOP_GRACE_S) * (1 + DRIFT_FRACTION)
+    return (WORKER_LEASE_S + STOP_GRACE_S) * (1 + MAX_DRIFT_FRACTION)
 
 
 class Link:
@@ -112,7 +112,7 @@
         self._former_lease_over = former_lease_over
         self._owner = owner
         self._stream: workers.WorkerLink | None = None
-        self._early: list[workers.WorkerEvent] = []
+        self._early_messages: list[workers.WorkerEvent] = []
         self._tick_received_at = 0.0
         self._renewed_at = 0.0
         self._lease_base: float | None = None  # when the renewed tick was received
@@ -143,7 +143,7 @@
         if not self.attached or self._stream is None or self._stream.closed:
             return False
         age_s = time.monotonic() - self._tick_received_at
-        if not self._deferred and age_s <= FRESH_TICK_S:
+        if not self._deferred and age_s <= MAX_TICK_AGE_S:
             self._stream.start(self.epoch, tasks)
             return True
         self._deferred.append(Deferred(tasks=tasks, is_allowed=is_allowed))
@@ -206,7 +206,7 @@
             pause = min(MAX_RECONNECT_PAUSE_S, pause * 2)
 
     def _attach(self, opened: workers.WorkerLink) -> bool:
-        self._early.clear()
+        self._early_messages.clear()
         answer = opened.attach(self.partition, self.epoch, int(WORKER_LEASE_S * 1000))
         if isinstance(answer, errors.Failure):
             log.info("worker {}: not attached: {}", self.vm.id, answer)
@@ -221,9 +221,9 @@
         self._watcher.kill(block=False)
         self._renew()
         self._post(FromWorker(self.vm.id, answer))
-        for message in self._early:
+        for message in self._early_messages:
             self._post(FromWorker(self.vm.id, message))
-        self._early.clear()
+        self._early_messages.clear()
         return True
 
     def _detach(self, failure: errors.Failure, unanswered: list[str]) -> None:
@@ -250,7 +250,7 @@
             self._post(FromWorker(self.vm.id, message))
         else:
             # Reports that overtake the attach answer are delivered after it.
-            self._early.append(message)
+            self._early_messages.append(message)
 
     def _send_deferred(self) -> None:
         deferred, self._deferred = self._deferred, []
@@ -269,12 +269,12 @@
             self._post(FromWorker(self.vm.id, wire.Started(0, [], refused)))
 
     def _renew(self) -> None:
-        self._observe_former(time.monotonic())
+        self._check_former_lease(time.monotonic())
         if self._stream is None:
             return
         if not self._may_renew():
             if not self._retry:
-                self._retry = gevent.spawn_later(RENEW_RETRY_S, self._ask_again)
+                self._retry = gevent.spawn_later(RENEW_RETRY_S, self._request_report)
             return
         # The worker counts the lease from the tick, which it read before it sent the
         # report. Counting from the receipt of that report is therefore never early.
@@ -282,13 +282,13 @@
         self._renewed_at = time.monotonic()
         self._stream.renew(self.epoch, int(WORKER_LEASE_S * 1000), self._stream.tick)
 
-    def _ask_again(self) -> None:
+    def _request_report(self) -> None:
         """Ask for a report, whose receipt is the next try to renew the lease."""
         self._retry = None
         if self._stream is not None:
             self._stream.poll(self.epoch)
 
-    def _observe_former(self, now: float) -> None:
+    def _check_former_lease(self, now: float) -> None:
         if self._former_over_at is None and self._former_lease_over():
             self._former_over_at = now
 
@@ -301,7 +301,7 @@
         while not self.lost:
             gevent.sleep(WATCH_INTERVAL_S)
             now = time.monotonic()
-            self._observe_former(now)
+            self._check_former_lease(now)
             if self._former_over_at is None:
                 continue
             base = max(self._former_over_at, self._lease_base or 0.0)
--- a/toucanspring/scheduling/scheduler.py
+++ b/toucanspring/scheduling/scheduler.py
@@ -136,7 +136,7 @@
 
         A worker that was moved to another partition has no attempts.
         """
-        recovery.lose(self._core, worker, now)
+        recovery.handle_lost_worker(self._core, worker, now)
         return self._core.effects.take()
 
     def expect_other_partitions(self, expected: bool = True) -> None:
