--- a/toucanspring/owners/__init__.py
+++ b/toucanspring/owners/__init__.py
@@ -1,1 +1,1 @@
-"""The task that owns a partition: its log, its workers, its recovery."""
+"""Owner of a partition: its log, worker links, takeover and handover."""
--- a/toucanspring/owners/acceptance.py
+++ b/toucanspring/owners/acceptance.py
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
-    """Hold a job whose record is being written."""
+    """A job whose record is being written."""
 
     spec: job.JobSpec
     written: gevent.event.AsyncResult
 
 
 class Acceptance:
-    """Enter jobs into the log, then into the scheduler, in the partition's task."""
+    """Add jobs to the log, then to the scheduler, in the partition's task."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._accepting: dict[str, Pending] = {}
 
     def holds(self, job_id: str) -> bool:
-        """Return whether a job was accepted, durably or not yet."""
+        """Return whether a job was accepted, even if not durably yet."""
         return job_id in self._journal.state.specs or job_id in self._accepting
 
     def submit(self, message: inbox.Submit) -> None:
@@ -93,7 +93,7 @@
         result.set(answers)
 
     def cancel(self, job_ids: list[str], result: gevent.event.AsyncResult) -> None:
-        """Cancel jobs that have not ended, once that is durable."""
+        """Cancel jobs that have not ended, once the cancellation is durable."""
         state = self._journal.state
         answers: dict[str, object] = {}
         known: list[str] = []
--- a/toucanspring/owners/allowances.py
+++ b/toucanspring/owners/allowances.py
@@ -1,4 +1,4 @@
-"""Rows `allowances/<team>`: the parts of the ceilings that one partition holds."""
+"""Rows `allowances/<team>`: how the partitions share the ceiling of a team."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 log = logbook.Logger(__name__)
 
-BATCH_INTERVAL_S = 0.05  # collects the requests of one round
+BATCH_INTERVAL_S = 0.05  # collects the requests of one tick
 RETRY_INTERVAL_S = 1.0  # after a read that failed
-# While this partition or another wants more. At other times the poll of the member
-# rows finds changed rows, with wants of others or parts that shrank with a ceiling.
+# While this partition or another one wants more. At other times the poll of the member
+# rows detects changed rows: wants of other partitions, or parts reduced with a ceiling.
 BUSY_POLL_INTERVAL_S = 0.25
-# That poll also reads this part of the rows that the partition does not use: a late
-# write by its former owner may have given it something.
+# That poll also reads this fraction of the rows that the partition does not use, since
+# a delayed write by its former owner may have given it a part.
 UNUSED_FRACTION = 1 / 64
-# A want that the ledger has not repeated for this long is withdrawn.
+# A want that the scheduler has not requested again for this long is withdrawn.
 WANT_LIMIT_S = 2.5
 ROW_PREFIX = "allowances/"
 
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Ask to hold `amount`; room for less than `least` is of no use."""
+    """Requested part `amount` of a ceiling; less than `least` is of no use."""
 
     amount: resources.Resources
     least: resources.Resources
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CachedRow:
-    """Remember what follows from a row in which nothing was due."""
+    """Values from a row version that needed no write."""
 
     version: int
     ceiling: resources.Resources
@@ -53,7 +53,7 @@
 
 
 class AllowanceManager:
-    """Own the writes to allowance rows on behalf of one partition."""
+    """Read and write the allowance rows on behalf of one partition."""
 
     def __init__(
         self,
@@ -76,12 +76,12 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Read the rows and begin to serve requests."""
+        """Read the rows and start to serve requests."""
         self._kernel.find("membership").watch(self.watched_keys, self.handle_rows)
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Stop; the rows stay, since they belong to the partition."""
+        """Stop; the rows remain, since they belong to the partition."""
         self._kernel.find("membership").unwatch(self.handle_rows)
         if self._greenlet is not None:
             self._greenlet.kill()
@@ -92,7 +92,7 @@
         return bool(used)
 
     def set_teams(self, teams: Mapping[str, fairness.Team]) -> None:
-        """Set the ceilings in force; lowered ones shrink the parts in the rows."""
+        """Set the current ceilings; lower ones reduce the parts in the rows."""
         ceilings = {name: team.ceiling for name, team in teams.items()}
         if ceilings != self._ceilings:
             self._ceilings = ceilings
@@ -104,7 +104,7 @@
         target: resources.Resources,
         least: resources.Resources = resources.ZERO,
     ) -> None:
-        """Ask to hold exactly `target` of a team's ceiling, or `least` of it."""
+        """Request exactly `target` of a team's ceiling, or at least `least` of it."""
         self._targets[team] = Target(target, least)
         self._requested_at[team] = time.monotonic()
         self._wakeup.set()
@@ -117,7 +117,9 @@
             try:
                 self._update_rows()
             except Exception:
-                log.exception("allowances of partition {}", self._partition)
+                log.exception(
+                    "partition {}: updating allowances failed", self._partition
+                )
 
     def _update_rows(self) -> None:
         targets, self._targets = self._targets, {}
@@ -126,7 +128,7 @@
         rows = table.read([ROW_PREFIX + team for team in teams]) if teams else {}
         if isinstance(rows, errors.Failure):
             self._interval_s = RETRY_INTERVAL_S
-            return  # the ledger repeats requests that stay unanswered
+            return  # the scheduler repeats requests that are not met
         held: dict[str, resources.Resources] = {}
         limits: dict[str, resources.Resources] = {}
         for team in teams:
@@ -142,9 +144,9 @@
                 if known.limit is not None:
                     limits[team] = known.limit
                 continue
-            present = _decoder.decode(row.value) if row.version else allowance.Row()
+            current = _decoder.decode(row.value) if row.version else allowance.Row()
             found, held[team] = self._update_row(
-                table, team, row.version, present, targets.get(team)
+                table, team, row.version, current, targets.get(team)
             )
             limit = allowance.contended_limit(
                 found, self._partition, self._ceilings[team]
@@ -157,7 +159,7 @@
             self._deliver(held, limits)
 
     def _limited_teams(self) -> list[str]:
-        """Return the teams that have a ceiling in at least one dimension."""
+        """Return the teams with a ceiling on at least one resource."""
         return [
             team
             for team, ceiling in self._ceilings.items()
@@ -165,7 +167,7 @@
         ]
 
     def watched_keys(self) -> list[str]:
-        """Return the keys of the rows in use and of a few of the others."""
+        """Return the keys of the rows in use and of a fraction of the others."""
         used, unused = self._split_teams({})
         if unused:
             start = self._next_unused % len(unused)
@@ -175,9 +177,10 @@
         return [ROW_PREFIX + team for team in used]
 
     def handle_rows(self, rows: Mapping[str, tables.Row], _sent_at: float) -> None:
-        """Read the rows again if one of these has another version than known.
+        """Read the rows again if one of `rows` has another version than the cached one.
 
-        These may be older than the own last write, so nothing else is taken from them.
+        `rows` may be older than the last write of this process, so their values are not
+        used.
         """
         for key, row in rows.items():
             team = key.removeprefix(ROW_PREFIX)
@@ -189,10 +192,10 @@
     def _split_teams(
         self, targets: Mapping[str, Target]
     ) -> tuple[list[str], list[str]]:
-        """Return the limited teams in use by the partition, and the others.
+        """Return the teams with a ceiling: those the partition uses, and the others.
 
-        A part that is zero stays so until this partition asks for more. A write
-        without a certain answer leaves its team unsettled, hence in use.
+        A part of zero changes only if this partition requests more. A write with an
+        uncertain result leaves no cached row, so its team counts as in use.
         """
         used, unused = [], []
         for team in self._limited_teams():
@@ -211,51 +214,52 @@
         table: tables.TableClient,
         team: str,
         version: int,
-        present: allowance.Row,
+        current: allowance.Row,
         target: Target | None,
     ) -> tuple[allowance.Row, resources.Resources]:
-        """Write a new division if one is due; return it and the certain part."""
+        """Write the row if it must change; return it and the part that is certain."""
         self._cached.pop(team, None)
-        part = present.parts.get(self._partition, resources.ZERO)
-        wanted = self._resized_row(team, present, part, target)
-        if wanted == present:
-            # The own want ends by time, so that such a row is looked at each time.
-            if target is None and self._partition not in present.wants:
+        part = current.parts.get(self._partition, resources.ZERO)
+        wanted = self._resized_row(team, current, part, target)
+        if wanted == current:
+            # A want of this partition ends after a time, so a row with one is not
+            # cached.
+            if target is None and self._partition not in current.wants:
                 ceiling = self._ceilings[team]
-                limit = allowance.contended_limit(present, self._partition, ceiling)
+                limit = allowance.contended_limit(current, self._partition, ceiling)
                 self._cached[team] = CachedRow(version, ceiling, part, limit)
-            return present, part
+            return current, part
         key = ROW_PREFIX + team
         answer = table.transact({key: version}, {key: _encode(wanted)}, ())
         new_part = wanted.parts.get(self._partition, resources.ZERO)
         if isinstance(answer, tables.Committed):
             return wanted, new_part
-        # Another partition wrote first or the answer was lost. A part that may
-        # have shrunk must not be used in full until the row is read again.
+        # Another partition wrote first or the response was lost. A part that may have
+        # been reduced must not be used in full until the row is read again.
         if target is not None:
             self._targets.setdefault(team, target)
         self._wakeup.set()
-        return present, new_part if new_part.fits(part) else part
+        return current, new_part if new_part.fits(part) else part
 
     def _resized_row(
         self,
         team: str,
-        present: allowance.Row,
+        current: allowance.Row,
         part: resources.Resources,
         target: Target | None,
     ) -> allowance.Row:
         if target is not None:
             amount, least = target.amount, target.least
-        elif self._keeps_want(team, present):
-            return present
+        elif self._keeps_want(team, current):
+            return current
         else:
             amount, least = part, resources.ZERO
         return allowance.resize(
-            present, self._partition, amount, self._ceilings[team], least=least
+            current, self._partition, amount, self._ceilings[team], least=least
         )
 
-    def _keeps_want(self, team: str, present: allowance.Row) -> bool:
-        """Return whether an unmet want is still recent, so that it stays in the row."""
-        if self._partition not in present.wants:
+    def _keeps_want(self, team: str, current: allowance.Row) -> bool:
+        """Return whether an unmet want is recent enough to stay in the row."""
+        if self._partition not in current.wants:
             return False
         return time.monotonic() - self._requested_at.get(team, 0.0) < WANT_LIMIT_S
--- a/toucanspring/owners/autostart.py
+++ b/toucanspring/owners/autostart.py
@@ -1,4 +1,4 @@
-"""Service `autostart`: submits the jobs that start when a text is accepted."""
+"""Service `autostart`: submits the jobs that a new configuration starts."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Service:
-    """Submit jobs with `start: apply` in the owner process of partition 0.
+    """Submit jobs with `start: apply` in the process that owns partition 0.
 
-    Their IDs follow from name and run number, and the log of their partition never
-    forgets them, so that submitting them again starts nothing.
+    Their IDs are derived from name and run number, and the log of their partition
+    keeps them forever, so submitting them again has no effect.
     """
 
     def __init__(self, core: kernel.Kernel, options: settings.Settings) -> None:
@@ -30,7 +30,7 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Follow the configuration and the ownership of partition 0."""
+        """Subscribe to changes of the configuration and of partition ownership."""
         self._kernel.subscribe(
             documents.ConfigurationChanged, lambda _event: self._wakeup.set()
         )
@@ -56,7 +56,7 @@
                 log.exception("submitting the jobs of the configuration failed")
 
     def _submit_all(self) -> bool:
-        """Submit all jobs that start on acceptance; return whether none is left."""
+        """Submit all jobs with `start: apply`; return whether none must be retried."""
         if SUBMITTING_PARTITION not in self._kernel.find("claims").owned():
             return True
         cell = self._kernel.find("documents").cell()
@@ -79,8 +79,8 @@
         case str():
             return True
         case errors.Conflict():
-            # The text changed the job without a new run number; the first run counts.
-            log.info("job {} has run with other content", spec.id)
+            # The job was changed without a new run number; the first run counts.
+            log.info("job {} was submitted before with other content", spec.id)
             return True
         case _:
             log.warning("job {}: {}", spec.id, answer)
--- a/toucanspring/owners/duplicate_check.py
+++ b/toucanspring/owners/duplicate_check.py
@@ -1,4 +1,8 @@
-"""Questions of an owner whether former partitions hold the IDs that it is to accept."""
+"""Check whether other partitions hold an ID before it is accepted.
+
+After a change of the partition count, an ID may have been accepted by the partition to
+which a former partition count maps it.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +16,13 @@
 from toucanspring.cell import layout, reply
 from toucanspring.owners import log_records, partition, routes
 
-# Within the time that the caller of a submission waits for this owner's answer.
+# Less than the time that the caller of a submission waits for this owner.
 ASK_LIMIT_S = 2.5
 NOT_HELD, HELD, HELD_WITH_DIFFERENT_SPEC = range(3)
 
 
 class HeldQuery(msgspec.Struct, frozen=True):
-    """Ask which IDs a partition holds; the answer has an entry for each, in order."""
+    """Query for the IDs a partition holds; the response has an entry each, in order."""
 
     generation: int
     specs: list[job.JobSpec] = []
@@ -27,14 +31,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckedJobs:
-    """Hold the answers for jobs that may not be accepted; all others may be."""
+    """Results for the jobs that must not be accepted; all others may be."""
 
     layout_version: int
     answers: dict[str, str | errors.Failure]
 
 
 class DuplicateCheck:
-    """Ask the owners of the partitions to which former numbers map an ID."""
+    """Query the owners of the partitions to which former partition counts map an ID."""
 
     def __init__(self, core: kernel.Kernel, calls: routes.Routes) -> None:
         self._kernel = core
@@ -47,7 +51,7 @@
     def check_jobs(
         self, owner: partition.Partition, specs: list[job.JobSpec]
     ) -> CheckedJobs:
-        """Find out which unknown jobs the owner of a partition may accept."""
+        """Return the results for jobs that the owner of a partition must not accept."""
         self._refresh_layout([each.id for each in specs], owner)
         view = self._view
         answers: dict[str, str | errors.Failure] = {}
@@ -68,7 +72,7 @@
     def check_request(
         self, owner: partition.Partition, request_id: str
     ) -> int | errors.Failure:
-        """Return the version of the row under which a request may be begun here."""
+        """Return the layout version under which a request may be begun here."""
         self._refresh_layout([request_id], owner)
         view = self._view
         first, *others = view.layout.possible_partitions(request_id)
@@ -86,9 +90,9 @@
         return view.version
 
     def _refresh_layout(self, names: list[str], owner: partition.Partition) -> None:
-        """Read the row if callers may know a later layout than this process."""
-        present = self._view.layout
-        if any(present.partition_of(name) != owner.number for name in names):
+        """Read the layout if callers may know a later one than this process."""
+        current_layout = self._view.layout
+        if any(current_layout.partition_of(name) != owner.number for name in names):
             self._kernel.find("layout").reread()
 
     def _ask_all(
@@ -101,7 +105,7 @@
             found = self._ask(number, HeldQuery(generation, specs=specs))
             for index, spec in enumerate(specs):
                 if isinstance(found, errors.Failure):
-                    # An answer of another partition that holds the job is certain.
+                    # A partition that holds the job has precedence over a failure.
                     answers.setdefault(spec.id, found)
                 elif found[index] == HELD:
                     answers[spec.id] = spec.id
@@ -113,26 +117,26 @@
         gevent.joinall([gevent.spawn(ask, *each) for each in asked.items()])
 
     def _ask(self, number: int, query: HeldQuery) -> list[int] | errors.Failure:
-        """Ask the owner of a partition; no certain answer becomes `Unavailable`."""
+        """Query the owner of a partition; any failure becomes `Unavailable`."""
         found = self._routes.call(
             number, "held", reply.encode(query), list[int], ASK_LIMIT_S
         )
         if isinstance(found, errors.Failure):
             return errors.Unavailable(
-                reason=f"not known whether partition {number} has it: {found.reason}"
+                reason=f"cannot tell whether partition {number} has it: {found.reason}"
             )
         return found
 
 
 def answer_query(state: log_records.State, query: HeldQuery) -> list[int]:
-    """Return what a partition's log says of the IDs in a question."""
+    """Return for each ID in a query whether the partition's log has it."""
     found = [_compare(state.specs.get(each.id), each) for each in query.specs]
     found += [HELD if each in state.requests else NOT_HELD for each in query.requests]
     return found
 
 
 def wrong_partition_failure() -> errors.LayoutChanged:
-    """Return the failure of an owner that may not accept an ID."""
+    """Return the failure for an ID that belongs to another partition."""
     return errors.LayoutChanged(reason="the ID belongs to another partition")
 
 
--- a/toucanspring/owners/execution.py
+++ b/toucanspring/owners/execution.py
@@ -1,4 +1,4 @@
-"""Carries out the effects that a partition's scheduler asks for."""
+"""Execution of the effects that a partition's scheduler returns."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from toucanspring.scheduling import effects, scheduler
 
 WATCH_INTERVAL_S = 0.5
-# A job may be submitted a little later than the jobs that wait for it.
+# A dependency may be submitted after the jobs that wait for it. If it is still unknown
+# after this time, it counts as not run.
 UNKNOWN_JOB_LIMIT_S = 30.0
 
 
 class Executor:
-    """Send starts and stops, write records and ask for allowances."""
+    """Send starts and stops, write records and request allowances."""
 
     def __init__(
         self,
@@ -30,7 +31,7 @@
         allowance_manager: allowances.AllowanceManager,
         post: Callable[[object], None],
     ) -> None:
-        self.workers: dict[str, effects.WorkerFacts] = {}  # that have attached
+        self.workers: dict[str, effects.WorkerFacts] = {}  # attached ones
         self._number = number
         self._kernel = core
         self._scheduler = partition_scheduler
@@ -43,11 +44,11 @@
         self.unacknowledged: collections.Counter[str] = collections.Counter()
 
     def close(self) -> None:
-        """Stop following jobs of other partitions."""
+        """Stop watching jobs of other partitions."""
         gevent.killall(list(self._watched.values()), block=False)
 
     def may_start(self, now: float) -> bool:
-        """Return whether tasks may be started at this moment."""
+        """Return whether tasks may be started at `now`."""
         claims = self._kernel.find("claims")
         documents = self._kernel.find("documents")
         return claims.may_start(self._number, now) and documents.fresh(now)
@@ -57,11 +58,11 @@
         written: gevent.event.AsyncResult,
         action: Callable[[errors.Failure | None], list[effects.Effect]],
     ) -> None:
-        """Run `action` in the partition's task once an append has ended."""
+        """Run `action` in the partition's task after an append succeeded or failed."""
         written.rawlink(lambda result: self._post(inbox.Durable(action, result.value)))
 
     def carry_out(self, found: list[effects.Effect]) -> None:
-        """Carry out effects in their order."""
+        """Carry out effects in order."""
         written: gevent.event.AsyncResult | None = None
         for effect in found:
             match effect:
@@ -81,7 +82,7 @@
                     self._carry_out_call(effect)
 
     def _carry_out_call(self, effect: effects.Effect) -> None:
-        """Carry out an effect that reaches beyond the partition."""
+        """Carry out an effect outside the partition."""
         match effect:
             case effects.RequestAllowance(team=team, target=target, least=least):
                 self._allowances.request_amount(team, target, least)
@@ -96,10 +97,10 @@
                     self._watch_job(job_id)
 
     def _start(self, worker: str, tasks: list[wire.TaskStart]) -> None:
-        """Send starts if they are still allowed at this moment.
+        """Send starts if they are still allowed.
 
-        The link reads the worker's clock without yielding after this check, so that
-        the worker can tell how old the check is.
+        The link reads the worker's last tick after this check without yielding to other
+        greenlets, so the worker can tell how old the check is.
         """
 
         def is_allowed() -> bool:
@@ -109,7 +110,7 @@
             link = self._kernel.find("fleet").link(self._number, worker)
             if link is not None and link.start(tasks, is_allowed):
                 return
-        refused = [(task.task_id, "the worker may not be used now") for task in tasks]
+        refused = [(task.task_id, "the worker is not available") for task in tasks]
         self.carry_out(
             self._scheduler.starts_answered(worker, [], refused, time.monotonic())
         )
@@ -134,10 +135,10 @@
             link.throttle(effect.task_id, effect.fraction)
 
     def is_durable(self, job_id: str) -> bool:
-        """Return whether all outcomes of a job so far are in the log.
+        """Return whether all outcomes of a job that are known so far are in the log.
 
-        An outcome that is not could change after a takeover, so that callers must
-        not be told yet.
+        An outcome that is not yet durable may change after a takeover, so it must not
+        be reported to callers.
         """
         return job_id not in self._unwritten
 
@@ -173,7 +174,7 @@
         task_ids: list[str],
         written: gevent.event.AsyncResult | None,
     ) -> None:
-        """Let the worker forget tasks once the outcomes recorded before are durable."""
+        """Let the worker delete results once the outcomes just recorded are durable."""
 
         def forget(failure: errors.Failure | None) -> list[effects.Effect]:
             if failure is None:
@@ -197,7 +198,7 @@
             self._watched[job_id] = gevent.spawn(self._poll_outcome, job_id)
 
     def _poll_outcome(self, job_id: str) -> None:
-        """Ask for a job's outcome until it is final, or until nobody knows the job."""
+        """Poll a job until it has an outcome or is found not to exist."""
         first_asked_at = time.monotonic()
         while True:
             status = self._kernel.find("partitions").lookup(job_id)
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -1,4 +1,4 @@
-"""Streams to the workers of the partitions that this process owns."""
+"""Service `fleet`: links to the workers of the partitions that this process owns."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 log = logbook.Logger(__name__)
 
 POLL_INTERVAL_S = 1.0
+# A lost worker that the VM list has not contained for this long is removed.
 FORGET_ABSENT_S = 600.0
 WORKERS_ROW = roster.WORKERS_ROW
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionOwnership:
-    """Describe the ownership of a partition that uses workers."""
+    """Ownership of a partition by this process."""
 
     epoch: int
     row_version: int  # of the ownership row
@@ -33,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drop:
-    """Hold lost workers that leave the row; they are not used meanwhile.
+    """Lost workers that are being removed from the row; they are not used meanwhile.
 
-    The transaction may take effect while the row has the version that it checks.
+    The transaction may still take effect while the row has the version it checks.
     """
 
     checked_version: int
@@ -43,7 +44,7 @@
 
 
 class Service:
-    """Keep links to the workers of owned partitions (kernel name `fleet`)."""
+    """Maintain links to the workers of owned partitions (kernel name `fleet`)."""
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin polling the VM list and the worker map."""
+        """Start polling the VM list and the row `workers`."""
         self._kernel.find("claims").is_pinned = self.has_unreachable
         self._greenlet = gevent.spawn(self._poll)
 
@@ -100,7 +101,7 @@
         return self._links.get(partition, {}).get(worker)
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes sent to and received from workers over present streams."""
+        """Return the bytes sent to and received from workers over current streams."""
         pairs = [
             link.traffic() for links in self._links.values() for link in links.values()
         ]
@@ -111,22 +112,22 @@
         return self._links.get(partition, {})
 
     def has_unreachable(self, partition: int) -> bool:
-        """Return whether a worker may still run tasks but cannot be reached.
+        """Return whether any worker may still run tasks but cannot be reached.
 
-        A new owner would have to wait for its lease from the beginning.
+        A new owner would have to wait for the whole lease of this worker.
         """
         return any(
             not (link.attached or link.lost) for link in self.links(partition).values()
         )
 
     def is_leaving(self, worker: str) -> bool:
-        """Return whether the VM list shows a worker as leaving or not at all."""
+        """Return whether the VM list has a worker as leaving, or not at all."""
         return self._leaving.get(worker, False)
 
     def assigned(
         self, partition: int
     ) -> dict[str, resources.Resources | None] | errors.Failure:
-        """Read which workers belong to a partition, with their listed capacity."""
+        """Read the workers of a partition, with their capacity in the VM list."""
         failure = self._read_assignment()
         if failure is not None:
             return failure
@@ -140,13 +141,13 @@
         }
 
     def listed(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
-        """Return the workers of a partition by their entries in the VM list."""
+        """Return the workers of a partition that the VM list has contained."""
         return self._listed(lambda owner: owner == partition)
 
     def listed_elsewhere(
         self, partition: int
     ) -> dict[str, capacity_report.ListedWorker]:
-        """Return the workers of all other partitions."""
+        """Return those workers of all other partitions."""
         return self._listed(lambda owner: owner != partition)
 
     def _listed(
@@ -163,7 +164,7 @@
         }
 
     def reread(self) -> None | errors.Failure:
-        """Read which workers belong to which partition, and follow changes."""
+        """Read the row `workers` and update the links."""
         failure = self._read_assignment()
         if failure is None:
             for partition in list(self._ownerships):
@@ -238,9 +239,9 @@
         return None
 
     def _assign_workers(self) -> None:
-        """Give new workers to the partitions that have the fewest."""
+        """Assign new workers to the partitions with the fewest workers."""
         layout = self._kernel.find("layout").layout
-        # A move that another process had decided on before the number shrank.
+        # Workers that another process moved before it knew of a lower partition count.
         surplus = {
             worker
             for worker, number in self.roster.partitions.items()
@@ -269,10 +270,10 @@
         self._read_assignment()
 
     def _drop_lost(self, partition: int) -> None:
-        """Take lost workers that are long absent from the VM list out of the row.
+        """Remove lost workers from the row that have long been absent from the VM list.
 
-        Only the owner knows that no task of the partition can run on a worker; its
-        successor starts again what ran on a worker that the row does not name.
+        Only the owner knows that no task of the partition can be running on a worker: a
+        successor restarts the tasks of workers that are not in the row.
         """
         drop = self._drops.get(partition)
         if drop is None or drop.checked_version != self.roster.version:
@@ -280,7 +281,7 @@
             drop = self._choose_drop(partition)
             if drop is None:
                 return
-            # Closed before the transaction, since the worker might return.
+            # Closed before the transaction, since the worker could attach again.
             for worker in drop.workers:
                 self._links[partition].pop(worker).close()
             self._drops[partition] = drop
@@ -300,7 +301,9 @@
             (),
         )
         if isinstance(answer, tables.Committed):
-            log.info("partition {}: dropped {}", partition, sorted(drop.workers))
+            log.info(
+                "partition {}: removed lost workers {}", partition, sorted(drop.workers)
+            )
         self._read_assignment()
 
     def _choose_drop(self, partition: int) -> Drop | None:
@@ -342,7 +345,7 @@
 
 
 def assign(assigned: dict[str, int], new: list[str], partitions: int) -> None:
-    """Add new workers to a worker map, each to the partition with the fewest."""
+    """Assign each new worker to the partition with the fewest workers."""
     counts = dict.fromkeys(range(partitions), 0)
     for partition in assigned.values():
         if partition in counts:
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -1,8 +1,8 @@
-"""Service `handover`: IDs and ended work of former numbers of partitions.
+"""Service `handover`: transfer of ended work after a change of the partition count.
 
-A new ID is accepted only after each partition to which a former number maps it has
-denied it. Ended work moves to the log of the partition of the present number, so that
-a former number can be removed once its work has ended.
+A new ID is accepted only after each partition to which a former partition count maps it
+has denied having it. Ended work is handed over to the log of the partition of the
+current partition count, so that a former count can be removed once its work has ended.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 log = logbook.Logger(__name__)
 
 STEP_INTERVAL_S = 0.5
-# Each try asks the owners of all partitions.
+# Each attempt to remove former partition counts queries the owners of all partitions.
 REMOVAL_INTERVAL_S = 2.0
 ADOPT_LIMIT_S = 5.0
 MAX_ENTRIES_PER_CALL = 200
-MAX_BYTES_PER_CALL = 512 * 1024  # frames between processes hold 1 MiB
-ENTRIES_PER_SLICE = 1000  # so that a long search does not hold up other greenlets
+MAX_BYTES_PER_CALL = 512 * 1024  # frames between processes are limited to 1 MiB
+ENTRIES_PER_SLICE = 1000  # a long search yields to other greenlets after so many
 REMOVING_PARTITION = 0
 
 
 class Transfer(msgspec.Struct, frozen=True):
-    """Hand ended work over to the partition of the present number."""
+    """Ended work for the partition of the current partition count."""
 
     generation: int
     entries: log_records.Adopted
 
 
 class Remaining(msgspec.Struct, frozen=True):
-    """Say for which former numbers a partition still holds work, and how much.
+    """Former partition counts for which a partition still holds work, and how much.
 
-    `in_use` says that workers or allowances belong to a partition that only a former
-    number has.
+    `in_use` is set if workers or allowances belong to a partition that does not exist
+    under the current partition count.
     """
 
     generation: int
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Misplaced:
-    """Hold what one owned partition has for the partitions of the present number.
+    """IDs held by an owned partition that the current partition count maps elsewhere.
 
-    Within a generation nothing is added, since such IDs are accepted elsewhere.
+    Within a generation none is added, since such IDs are accepted elsewhere.
     """
 
     epoch: int
@@ -67,7 +67,7 @@
 
 
 class Service:
-    """Ask, answer and hand over; works only while there are former numbers."""
+    """Hand over ended work while there are former partition counts."""
 
     def __init__(
         self,
@@ -83,14 +83,14 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Serve other processes and hand over ended work."""
+        """Serve other processes and start to hand over ended work."""
         self._routes.serve("held", self._serve_held)
         self._routes.serve("adopt", self._serve_adopt)
         self._routes.serve("remaining", self._serve_remaining)
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Hand over nothing more."""
+        """Stop handing over work."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
@@ -102,12 +102,12 @@
     def _view(self) -> layout.VersionedLayout:
         return self._kernel.find("layout").view
 
-    # Answering
+    # Calls of other processes
 
     def _find_owner(
         self, number: int, generation: int
     ) -> partition.Partition | errors.Failure:
-        """Return an owned partition that knows all IDs of before a generation."""
+        """Return an owned partition that knows all IDs from before a generation."""
         owner = self._kernel.find("partitions").owned().get(number)
         if owner is None or not owner.ready.wait(partition.ASK_TIMEOUT_S):
             return errors.Unavailable(reason="this process does not own the partition")
@@ -139,7 +139,8 @@
             view.layout.partition_of(name) != number for name in names
         ):
             return reply.encode_result(duplicate_check.wrong_partition_failure())
-        # Like an acceptance: in a later generation another partition is asked for it.
+        # Checks the layout version like an acceptance, since in a later generation
+        # another partition is asked for the IDs.
         failure = owner.journal.append(entries, True, view.version).get()
         if failure is None and entries.jobs:
             now = self._clock()
@@ -193,7 +194,7 @@
                 log.exception("handing over ended work failed")
 
     def step(self) -> None:
-        """Hand over what has ended; remove former numbers that hold nothing."""
+        """Hand over ended work; remove former partition counts without work."""
         owned = self._kernel.find("partitions").owned()
         for number in self._misplaced.keys() - owned.keys():
             del self._misplaced[number]
@@ -206,29 +207,33 @@
             self._remove_former_counts(owned[REMOVING_PARTITION])
 
     def _find_misplaced(self, owner: partition.Partition) -> Misplaced | errors.Failure:
-        """Return what is held for other partitions, of a sealed owner."""
-        present = self._view.layout
+        """Return the IDs of other partitions that a verified owner holds."""
+        current_layout = self._view.layout
         known = self._misplaced.get(owner.number)
         if not owner.log_check.is_verified():
-            return errors.LayoutChanged(reason="the number changed meanwhile")
+            return errors.LayoutChanged(
+                reason="the number of partitions changed meanwhile"
+            )
         if (
             known is None
-            or known.generation != present.generation
+            or known.generation != current_layout.generation
             or known.epoch != owner.epoch
         ):
             state = owner.journal.state
-            known = Misplaced(owner.epoch, present.generation, set(), set())
+            known = Misplaced(owner.epoch, current_layout.generation, set(), set())
             for names, found in (
                 (list(state.specs), known.job_ids),
                 (list(state.requests), known.request_ids),
             ):
                 for index, name in enumerate(names):
-                    if present.partition_of(name) != owner.number:
+                    if current_layout.partition_of(name) != owner.number:
                         found.add(name)
                     if index % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
                         gevent.sleep(0)
-            if self._view.layout.generation != present.generation:
-                return errors.LayoutChanged(reason="the number changed meanwhile")
+            if self._view.layout.generation != current_layout.generation:
+                return errors.LayoutChanged(
+                    reason="the number of partitions changed meanwhile"
+                )
             self._misplaced[owner.number] = known
         state = owner.journal.state
         known.job_ids &= state.specs.keys()
@@ -236,21 +241,21 @@
         return known
 
     def _hand_over(self, owner: partition.Partition) -> None:
-        """Hand over what has ended to each partition of the present number."""
+        """Hand over ended work to the partitions of the current partition count."""
         found = self._find_misplaced(owner)
         if isinstance(found, errors.Failure):
             return
         state = owner.journal.state
-        present = self._view.layout
+        current_layout = self._view.layout
         receivers: dict[int, list[str]] = collections.defaultdict(list)
         ended_requests = {
             name for name in found.request_ids if state.requests[name].outcome
         }
         for name in found.job_ids:
             if state.is_finished(name) and owner.is_durable(name):
-                receivers[present.partition_of(name)].append(name)
+                receivers[current_layout.partition_of(name)].append(name)
         for name in ended_requests:
-            receivers[present.partition_of(name)].append(name)
+            receivers[current_layout.partition_of(name)].append(name)
         for receiver, names in receivers.items():
             self._send(owner, found.generation, receiver, names)
 
@@ -261,10 +266,11 @@
         receiver: int,
         names: list[str],
     ) -> None:
-        """Hand over some entries; forget them once they are durable there.
+        """Hand over some entries; delete them once they are durable at the receiver.
 
-        They are forgotten only under the same layout: in a later one, the receiver may
-        hand them over itself, to this partition as well, which has them already.
+        They are deleted only under the same layout: in a later one, the receiver may
+        itself hand them over, even to this partition, which would ignore them because
+        it still has them.
         """
         view = self._view
         if view.layout.generation != generation:
@@ -278,7 +284,7 @@
             ADOPT_LIMIT_S,
         )
         if isinstance(found, errors.Failure):
-            log.info("partition {}: no handover: {}", owner.number, found.reason)
+            log.info("partition {}: handover failed: {}", owner.number, found.reason)
             return
         owner.journal.append(
             log_records.HandedOver(
@@ -289,48 +295,50 @@
         ).get()
 
     def _remove_former_counts(self, owner: partition.Partition) -> None:
-        """Remove former numbers for which no partition holds anything any more."""
+        """Remove former partition counts for which no partition holds any work."""
         service = self._kernel.find("layout")
-        present = service.layout
+        current_layout = service.layout
         answers = self.survey()
         needed: set[int] = set()
         for number, found in answers.items():
             if (
                 isinstance(found, errors.Failure)
-                or found.generation != present.generation
+                or found.generation != current_layout.generation
             ):
                 return
             needed.update(found.numbers)
             if found.in_use:
-                needed.update(each for each in present.former if each > number)
-        ended = set(present.former) - needed
+                needed.update(each for each in current_layout.former if each > number)
+        ended = set(current_layout.former) - needed
         if not ended:
             return
-        count = layout.without_former(present, ended).count
+        count = layout.without_former(current_layout, ended).count
         workers = self._kernel.find("fleet").roster
         if any(number >= count for number in workers.partitions.values()):
             return
         failure = service.remove_former(
             ended,
-            present.generation,
+            current_layout.generation,
             {
                 ownership_rows.key_of(owner.number): owner.row_version,
                 roster.WORKERS_ROW: workers.version,
             },
         )
         if failure is None:
-            log.info("former numbers {} hold nothing any more", sorted(ended))
+            log.info(
+                "removed former numbers {}, which held no more work", sorted(ended)
+            )
 
     def survey(self) -> dict[int, Remaining | errors.Failure]:
-        """Ask all owners what they hold for former numbers."""
-        present = self._view.layout
-        body = reply.encode(present.generation)
+        """Query all owners for the work they hold for former partition counts."""
+        current_layout = self._view.layout
+        body = reply.encode(current_layout.generation)
         limit_s = duplicate_check.ASK_LIMIT_S
         jobs = [
             gevent.spawn(
                 self._routes.call, number, "remaining", body, Remaining, limit_s
             )
-            for number in range(present.count)
+            for number in range(current_layout.count)
         ]
         gevent.joinall(jobs)
         return {
--- a/toucanspring/owners/inbox.py
+++ b/toucanspring/owners/inbox.py
@@ -1,4 +1,4 @@
-"""Messages to the task that owns a partition."""
+"""Messages to the task of a partition."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 class Submit:
     """Accept jobs; the result is a list of job IDs and failures, once durable.
 
-    `answers` are those of the owners of former partitions; other new jobs may be
-    accepted while the row `layout` has the given version.
+    `answers` has the results for jobs that must not be accepted here, since a former
+    partition may hold them. Other new jobs may be accepted while the row `layout` has
+    the given version.
     """
 
     specs: list[job.JobSpec]
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ask:
-    """Run a function of the scheduler without effects in the partition's task."""
+    """Run a function of the scheduler that has no effects, in the partition's task."""
 
     function: Callable[[scheduler.Scheduler], object]
     result: gevent.event.AsyncResult
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Durable:
-    """Say that an append has ended; `failure` is None when it is durable."""
+    """Result of an append; `failure` is None if the record is durable."""
 
     action: Callable[[errors.Failure | None], list[effects.Effect]]
     failure: errors.Failure | None
@@ -51,19 +52,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerMoved:
-    """Say that a worker without tasks belongs to another partition now."""
+    """Notice that a worker without tasks was moved to another partition."""
 
     worker: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamsChanged:
-    """Say that teams or availability zones have changed."""
+    """Notice that teams or availability zones have changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AllowancesChanged:
-    """Deliver the parts of the ceilings that the partition holds.
+    """Allowances: the parts of the teams' ceilings that the partition holds.
 
     `limits` has an entry for each team of whose ceiling other partitions want more.
     """
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DependencyFinished:
-    """Deliver the outcome of a job of another partition that jobs here wait for."""
+    """Outcome of a job of another partition that jobs here depend on."""
 
     job_id: str
     outcome: job.Outcome
--- a/toucanspring/owners/journal.py
+++ b/toucanspring/owners/journal.py
@@ -1,4 +1,4 @@
-"""Append-only log of one partition in the table service."""
+"""Append-only log of one partition in the table service, with snapshots."""
 
 from __future__ import annotations
 
@@ -23,25 +23,26 @@
 RETRY_PAUSE_S = 0.1
 MAX_RETRY_PAUSE_S = 2.0
 SCAN_ROWS = 200
-# A snapshot holds everything and is written once the log has grown by as much, so that
-# snapshots cost no more than the log. The second limit bounds the rows that a successor
-# reads, ten scans of some milliseconds each.
+# A snapshot contains the whole state. It is written once the log has grown by the size
+# of the last one, so that snapshots write no more bytes than the log. The second limit
+# bounds the rows that a successor reads: ten scans of a few milliseconds each.
 ROWS_BEFORE_SNAPSHOT = 400
 MAX_ROWS_BEFORE_SNAPSHOT = 2000
 MAX_PENDING_RECORDS = 200_000
 
 
 def flush_interval(partitions: int) -> float:
-    """Return the pause between flushes in seconds that keeps the write budget."""
+    """Return the seconds between flushes that keep within the write budget."""
     return max(MIN_FLUSH_INTERVAL_S, partitions / LOG_WRITES_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """Pair a record with the result that its writer waits for.
+    """A record and the result that its writer waits for.
 
-    `droppable` records are given up at once when the store cannot be reached. A record
-    that accepts an ID names the version of the row `layout` under which it may.
+    `droppable` records fail at once when the store cannot be reached; others are
+    retried. A record that accepts an ID has the version of the row `layout` under
+    which the ID may be accepted.
     """
 
     record: log_records.Record
@@ -51,7 +52,7 @@
 
 
 class Journal:
-    """Own the log of one partition; writes carry a check of the ownership row.
+    """Write the log of one partition; each write checks the ownership row.
 
     `append` returns a result that becomes None once the record is durable, or a
     failure: `Unavailable` (not written), `Fenced` (not written, ownership lost) or
@@ -76,18 +77,17 @@
         self._owner_key = f"partitions/{partition}"
         self._owner_check = {self._owner_key: row_version}
         self._layout = layout_service
-        self._version = (
-            layout_service.view.version if layout_service else 0
-        )  # of what is pending
+        # Layout version of the pending entries.
+        self._version = layout_service.view.version if layout_service else 0
         self._table = table
         self._objects = objects
         self._sequence = 0
         self._first_row = 1
         self._snapshot_key = ""
         self._snapshot_bytes = 0
-        self._bytes_since = 0  # of the rows after the snapshot
+        self._bytes_since = 0  # size of the rows after the snapshot
         self._pending: list[Entry] = []
-        self._batch: list[Entry] = []  # of the write under way
+        self._batch: list[Entry] = []  # of the write in progress
         self._wakeup = gevent.event.Event()
         self._idle = gevent.event.Event()
         self._idle.set()
@@ -104,17 +104,17 @@
         if self._greenlet is not None:
             self._greenlet.kill()
         self.fenced = True
-        ambiguous = errors.Ambiguous(reason="the partition was given up in a write")
+        ambiguous = errors.Ambiguous(reason="the partition was released during a write")
         for entry in self._batch:
             if not entry.result.ready():
                 entry.result.set(ambiguous)
-        self._fail_pending(errors.Fenced(reason="the partition was given up"))
+        self._fail_pending(errors.Fenced(reason="the partition was released"))
 
     def key(self, sequence: int) -> str:
-        """Return the row key of a log row."""
+        """Return the key of a log row."""
         return f"log/{self.partition}/{sequence:012d}"
 
-    # Reading after takeover
+    # Reading after a takeover
 
     def load(self) -> None | errors.Failure:
         """Read the snapshot and all later rows into `state`."""
@@ -163,14 +163,16 @@
     ) -> gevent.event.AsyncResult:
         """Queue a record for the next flush.
 
-        With `layout_version` the record is written only while the row `layout` has
-        that version, and fails with `LayoutChanged` otherwise.
+        With a `layout_version`, the record is written only while the row `layout` has
+        that version, and otherwise fails with `LayoutChanged`.
         """
         result = gevent.event.AsyncResult()
         if self.fenced:
             result.set(errors.Fenced(reason="another process owns the partition"))
         elif droppable and len(self._pending) >= MAX_PENDING_RECORDS:
-            result.set(errors.Overloaded(reason="the log is full"))
+            result.set(
+                errors.Overloaded(reason="too many records wait for a log write")
+            )
         elif entry := self._drop_outdated(
             [Entry(record, droppable, result, layout_version)]
         ):
@@ -184,7 +186,7 @@
         return self._idle.wait(timeout_s)
 
     def wait_for_write(self, timeout_s: float) -> bool:
-        """Wait until no row is being written; return whether that is so."""
+        """Wait until no write is in progress; return whether that is so."""
         return self._write_done.wait(timeout_s)
 
     def _run(self) -> None:
@@ -217,7 +219,7 @@
         return batch
 
     def _write(self, batch: list[Entry]) -> None:
-        """Write one row; retry until the result is certain."""
+        """Write one row; retry until it is certain whether it was written."""
         batch_id = uuid.uuid4().hex
         key = self.key(self._sequence + 1)
         pause = RETRY_PAUSE_S
@@ -239,7 +241,7 @@
                     batch = self._resolve_conflict(batch, batch_id, key)
                     if not batch:
                         return None
-                    batch_id = uuid.uuid4().hex  # what is left is another batch
+                    batch_id = uuid.uuid4().hex  # the remaining entries are a new batch
                     sent = False
                 case errors.Ambiguous():
                     sent = True
@@ -262,18 +264,19 @@
         """Return the rows that must be unchanged when a batch is written."""
         checks = dict(self._owner_check)
         for entry in batch:
-            if entry.layout_version is not None:  # the same in all, see `_take_batch`
+            # The version is the same in all entries that have one, see `_take_batch`.
+            if entry.layout_version is not None:
                 checks[layout.ROW] = entry.layout_version
         return checks
 
     def _resolve_conflict(
         self, batch: list[Entry], batch_id: str, key: str
     ) -> list[Entry]:
-        """Find out whether an earlier attempt of ours is what conflicts.
+        """Find out whether the conflict is caused by an earlier attempt of this batch.
 
-        The ownership row or the layout has changed, or the key exists. After any of
-        these, no late attempt of this batch can take effect any more, so one read is
-        conclusive. Returns what is to be written again after a change of the layout.
+        The ownership row or the layout has changed, or the log row exists. In each
+        case, no delayed attempt of this batch can take effect later, so one read is
+        conclusive. Returns the entries to write again after a change of the layout.
         """
         while True:
             rows = self._table.read([key, *self._checks(batch)])
@@ -301,7 +304,7 @@
         return []
 
     def _drop_outdated(self, entries: list[Entry]) -> list[Entry]:
-        """Give up entries that another layout than the present one allowed."""
+        """Fail the entries for another layout version; return the others."""
         kept = []
         for entry in entries:
             required = entry.layout_version
@@ -343,21 +346,21 @@
         return rows >= ROWS_BEFORE_SNAPSHOT and grown
 
     def _compact(self) -> None:
-        """Replace the rows so far by a snapshot in the object store."""
+        """Replace the log rows by a snapshot in the object store."""
         self.state.forget_oldest()
         batch = log_records.Batch("snapshot", self.epoch, self.state.to_records())
         object_key = f"snapshot-{self.partition}-{self.epoch}-{self._sequence}"
         content = log_records.encode(batch)
         failure = self._objects.put(object_key, content)
         if isinstance(failure, errors.Failure):
-            log.warning("snapshot of partition {}: {}", self.partition, failure)
+            log.warning("partition {}: no snapshot: {}", self.partition, failure)
             return
         key = f"snapshot/{self.partition}"
         pointer = log_records.encode(log_records.Snapshot(object_key, self._sequence))
         answer = self._table.transact(self._owner_check, {key: pointer}, ())
         self.writes += 1
         if not isinstance(answer, tables.Committed):
-            log.warning("snapshot of partition {}: {}", self.partition, answer)
+            log.warning("partition {}: no snapshot: {}", self.partition, answer)
             return
         if self._snapshot_key:
             self._objects.delete(self._snapshot_key)
--- a/toucanspring/owners/log_records.py
+++ b/toucanspring/owners/log_records.py
@@ -1,4 +1,4 @@
-"""Records of a partition's log and the durable state that they add up to."""
+"""Records of a partition's log and the state that results from them."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from toucanspring import job
 from toucanspring.scheduling import effects
 
-# Finished jobs and requests are kept for look-ups up to this number per partition.
+# Number of finished jobs, and of finished requests, kept for lookups per partition.
 MAX_FINISHED_KEPT = 20_000
 APPLY_PREFIX = "apply."
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """A job was accepted; `at_ms` is the owner's wall clock and only orders jobs."""
+    """A job was accepted; `at_ms`, of the owner's wall clock, only orders jobs."""
 
     spec: job.JobSpec
     at_ms: int = 0
 
 
 class Intended(msgspec.Struct, frozen=True, tag="intended"):
-    """Non-idempotent attempts may start from now on."""
+    """Attempts of non-idempotent tasks may be started from now on."""
 
     intents: list[effects.Intent]
 
@@ -53,7 +53,7 @@
 
 
 class RequestEntry(msgspec.Struct):
-    """Track a non-idempotent request; no outcome means that it may be running."""
+    """State of a non-idempotent request; without an outcome it may be running."""
 
     server: str
     epoch: int
@@ -61,7 +61,7 @@
 
 
 class EndedJob(msgspec.Struct, frozen=True):
-    """Hold all that a log says of a job whose tasks have ended."""
+    """All logged data of a job whose tasks have ended."""
 
     spec: job.JobSpec
     at_ms: int
@@ -70,9 +70,9 @@
 
 
 class Adopted(msgspec.Struct, frozen=True, tag="adopted"):
-    """Ended work came from a partition of a former number.
+    """Ended work was handed over by the partition of a former partition count.
 
-    One record, so that no successor finds a job without its outcomes.
+    It is one record, so that a successor never reads a job without its outcomes.
     """
 
     jobs: list[EndedJob] = []
@@ -80,7 +80,7 @@
 
 
 class HandedOver(msgspec.Struct, frozen=True, tag="handed_over"):
-    """Ended work is in the log of the partition of the present number."""
+    """Ended work is durable in the partition of the current partition count."""
 
     job_ids: list[str] = []
     request_ids: list[str] = []
@@ -99,7 +99,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Hold the records of one log row; `batch_id` tells a retry from a rival."""
+    """Records of one log row; `batch_id` tells a retry from another write."""
 
     batch_id: str
     epoch: int
@@ -107,14 +107,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Point to the object that replaces all log rows up to `sequence`."""
+    """Reference to the object that replaces all log rows up to `sequence`."""
 
     object_key: str
     sequence: int
 
 
 class State:
-    """Hold what a partition's log says."""
+    """State that results from the records of a partition's log."""
 
     def __init__(self) -> None:
         self.specs: dict[str, job.JobSpec] = {}
@@ -125,7 +125,7 @@
         self.requests: dict[str, RequestEntry] = {}
 
     def apply(self, record: Record) -> None:
-        """Add one record; applying a record twice changes nothing."""
+        """Apply one record; applying it again changes nothing."""
         match record:
             case Accepted(spec=spec, at_ms=at_ms):
                 self.specs.setdefault(spec.id, spec)
@@ -140,7 +140,7 @@
             case Cancelled(job_ids=job_ids):
                 self.cancelled.update(job_ids)
             case RequestStarted(request_id=request_id, server=server, epoch=epoch):
-                # A later start names another server; the former refused the request.
+                # After a later start, the former server has refused the request.
                 entry = self.requests.setdefault(
                     request_id, RequestEntry(server, epoch)
                 )
@@ -181,7 +181,7 @@
         self.cancelled.discard(job_id)
 
     def ended_job(self, job_id: str) -> EndedJob:
-        """Return what the log says of a finished job."""
+        """Return the logged data of a finished job."""
         return EndedJob(
             self.specs[job_id],
             self.accepted_ms.get(job_id, 0),
@@ -207,8 +207,8 @@
     def forget_oldest(self, keep: int = MAX_FINISHED_KEPT) -> list[str]:
         """Drop the oldest finished jobs and requests beyond `keep`; return job IDs.
 
-        Jobs that the operators' text starts are kept, since they are submitted again
-        after each change of the text and must not run twice.
+        Jobs that the configuration starts are kept, since they are submitted again
+        after each change of the configuration and must not run twice.
         """
         finished = [
             job_id
@@ -247,15 +247,15 @@
 
 
 def encode(value: Batch | Snapshot) -> bytes:
-    """Return a batch or snapshot as bytes for a row or object."""
+    """Encode a batch or snapshot for a row or object."""
     return _encoder.encode(value)
 
 
 def decode_batch(value: bytes) -> Batch:
-    """Return the batch in a log row; raise `msgspec.DecodeError` if damaged."""
+    """Decode the batch in a log row; raise `msgspec.DecodeError` if invalid."""
     return _batch_decoder.decode(value)
 
 
 def decode_snapshot(value: bytes) -> Snapshot:
-    """Return the snapshot pointer in a row."""
+    """Decode the snapshot reference in a row."""
     return _snapshot_decoder.decode(value)
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -1,4 +1,4 @@
-"""Service `mover`: moves idle workers of owned partitions to others in need."""
+"""Service `mover`: moves idle workers to partitions that need more capacity."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 log = logbook.Logger(__name__)
 
 STEP_INTERVAL_S = 0.5
-# Each step wakes the partition's task, which is most of what moves cost at rest.
+# While no partition needs workers. Each step wakes the partition's task, which is most
+# of the CPU time of the mover in this state.
 IDLE_INTERVAL_S = 1.0
-# A worker that has not attached so long after its move cannot be counted on.
+# A moved worker that has not attached after this time is not expected to do so.
 ATTACH_LIMIT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AmbiguousMove:
-    """Hold a move whose transaction may or may not have taken effect."""
+    """A move whose transaction may or may not have taken effect."""
 
     epoch: int
     batch: move_planner.Batch
@@ -36,7 +37,7 @@
 
 
 class Service:
-    """State the needs of owned partitions and move their workers."""
+    """Report the capacity needs of owned partitions and move their idle workers."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         self._count_moves: Callable[[int], None] = lambda _moved: None
 
     def start(self) -> None:
-        """Begin to state needs and to move workers."""
+        """Start to report needs and to move workers."""
         if self._enabled:
             self._kernel.find("membership").statements = self.statements
             counter = self._kernel.find("metrics").counter(
@@ -65,13 +66,13 @@
             self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Move no more workers."""
+        """Stop moving workers."""
         if self._greenlet is not None:
             self._greenlet.kill()
         gevent.killall(list(self._steps.values()))
 
     def statements(self) -> dict[int, capacity_report.CapacityReport]:
-        """Return the statements on owned partitions, for heartbeats."""
+        """Return the capacity reports of owned partitions, for heartbeats."""
         owned = self._kernel.find("claims").owned()
         return {
             number: report
@@ -80,7 +81,7 @@
         }
 
     def latest_reports(self) -> dict[int, capacity_report.CapacityReport]:
-        """Return the latest statement on each partition from its present owner."""
+        """Return the latest report on each partition from its current owner."""
         found: dict[int, tuple[int, capacity_report.CapacityReport]] = {}
         peers = self._kernel.find("membership").peer_states()
         for message in peers.values():
@@ -108,13 +109,13 @@
             for number in self._reports.keys() - owned.keys():
                 del self._reports[number]
             for number, owner in owned.items():
-                # A step that waits for the store holds up its own partition only.
+                # A step that waits for the store delays only its own partition.
                 running = self._steps.get(number)
                 if owner.ready.is_set() and (running is None or running.dead):
                     self._steps[number] = gevent.spawn(self.step, owner)
 
     def step(self, owner: partition.Partition) -> None:
-        """State what a partition lacks, then move workers that others lack."""
+        """Report what a partition needs, then move workers that others need."""
         number = owner.number
         fleet = self._kernel.find("fleet")
         if not self._kernel.find("claims").may_start(number, self._clock()):
@@ -173,7 +174,7 @@
     # Transactions
 
     def _move(self, owner: partition.Partition, batch: move_planner.Batch) -> None:
-        """Rewrite the row `workers` for empty workers that get no new tasks."""
+        """Move empty, cordoned workers in the row `workers`."""
         number = owner.number
         fleet = self._kernel.find("fleet")
         known = fleet.roster
@@ -183,8 +184,8 @@
         changed = {**known.partitions, **dict.fromkeys(batch.workers, batch.receiver)}
         version = known.version
         answer = self._kernel.find("store").tables.transact(
-            # A former owner must not move a worker on which its successor starts
-            # tasks, so the ownership row is checked in the same transaction.
+            # The transaction checks the ownership row, since a former owner must not
+            # move a worker on which its successor starts tasks.
             {
                 roster.WORKERS_ROW: version,
                 ownership_rows.key_of(number): owner.row_version,
@@ -202,18 +203,18 @@
                     owner.epoch, batch, version
                 )
             case errors.Conflict():
-                # In a repetition the first attempt may be what conflicts, so a doubt
-                # is left to the next look at the row.
+                # A repeated transaction may conflict with its own first attempt, so
+                # an ambiguous move is resolved after the next read of the row.
                 fleet.reread()
             case _:
-                log.info("partition {}: no move: {}", number, answer.reason)
+                log.info("partition {}: move failed: {}", number, answer.reason)
 
     def _resolve(self, owner: partition.Partition, ambiguous: AmbiguousMove) -> None:
-        """Find out whether a move whose answer was lost has taken effect."""
+        """Find out whether a move with a lost response has taken effect."""
         number = owner.number
         if ambiguous.epoch != owner.epoch:
-            # The claim of the later epoch came before its read of the row, so the
-            # transaction has either been read or fails by its ownership check.
+            # The later epoch read the row after its claim, so the transaction either
+            # was included in that read or fails its ownership check.
             del self._ambiguous_moves[number]
             return
         fleet = self._kernel.find("fleet")
@@ -224,7 +225,8 @@
             fleet.roster.version, ambiguous.checked_version, still_owned
         ):
             case "repeat":
-                # The repetition settles which of the two takes effect.
+                # Resolves the ambiguity: both transactions check the same version, so
+                # only one of them can take effect.
                 self._move(owner, ambiguous.batch)
             case "moved":
                 self._finish_move(owner, ambiguous.batch)
--- a/toucanspring/owners/outcomes.py
+++ b/toucanspring/owners/outcomes.py
@@ -1,4 +1,4 @@
-"""Record of the outcome of a non-idempotent request, and its answer."""
+"""Records of the outcomes of non-idempotent requests and of their responses."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 log = logbook.Logger(__name__)
 
-# The caller of a request that is done waits this long for the record of it. During an
-# outage of the store the answer is passed on without; a successor would ask the
-# server for it again.
+# The caller of a completed request waits at most this long for the outcome to be
+# durable. During an outage of the store the response is returned without a record; a
+# successor would ask the server for it again.
 RECORD_LIMIT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """Hold what the log keeps of a request before it is sent."""
+    """Data about a request that is logged before the request is sent."""
 
     server: str  # address:port
     team: str = ""
@@ -30,12 +30,12 @@
     digest: bytes = b""
 
     def encode(self) -> str:
-        """Return the text for the log."""
+        """Encode the start as text for a log record."""
         return " ".join((self.server, self.team, self.service, self.digest.hex()))
 
 
 def decode_start(text: str) -> Start:
-    """Return the start in a log record; missing parts are empty."""
+    """Decode the start in a log record; missing parts are empty."""
     parts = (text.split(" ") + ["", "", "", ""])[:4]
     try:
         digest = bytes.fromhex(parts[3])
@@ -45,7 +45,7 @@
 
 
 class Outcomes:
-    """Keep outcomes in the log, and large answers in the object store."""
+    """Store outcomes in the log, and large responses in the object store."""
 
     def __init__(self, core: kernel.Kernel) -> None:
         self._kernel = core
@@ -53,13 +53,13 @@
     def record(
         self, request_id: str, start: Start, result: answers.Stored | errors.Failure
     ) -> answers.Stored | errors.Failure:
-        """Record an outcome, so that a repeated request gets the same one."""
+        """Record an outcome, so that a repeated request returns the same one."""
         identity = answers.Stored(
             team=start.team, service=start.service, digest=start.digest
         )
         match result:
             case errors.Fenced() | errors.Refused():
-                return result  # the outcome is for the present owner to find
+                return result  # the current owner resolves the outcome
             case errors.NotRun():
                 outcome = job.Outcome(
                     job.State.NOT_RUN, result.reason, answers.encode(identity)
@@ -102,7 +102,7 @@
         return job.Outcome(job.State.DONE, answer=answers.encode(reference))
 
     def restore(self, outcome: job.Outcome) -> answers.Stored | errors.Failure:
-        """Return the stored outcome with the body of its answer."""
+        """Return the result of a recorded outcome, with the body of its response."""
         stored = answers.decode_stored(outcome.answer)
         if isinstance(stored, errors.Failure):
             return errors.Unknown(reason=f"{outcome.state}: {stored.reason}")
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -1,4 +1,4 @@
-"""Answers of an owner to calls for its partitions."""
+"""Handlers of the calls to the owner of a partition."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OwnerCalls:
-    """Serve the calls that `routes` sends to the owner of a partition."""
+    """Serve the calls that `routes.Routes` sends to the owner of a partition."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._duplicate_check = duplicates
 
     def serve(self, calls: routes.Routes) -> None:
-        """Answer calls of this and of other processes."""
+        """Register the handlers for calls of this and other processes."""
         for method, function in (
             ("submit", self._serve_submit),
             ("lookup", self._serve_lookup),
@@ -87,7 +87,7 @@
         names = msgspec.msgpack.decode(body, type=list[str])
         found = self._ask(number, lambda result: inbox.Cancel(names, result))
         if isinstance(found, dict):
-            # A cancellation may be repeated, so the successor is asked for all.
+            # Cancellations are idempotent, so all of them are sent to the successor.
             for item in found.values():
                 if isinstance(item, errors.Ambiguous | errors.Fenced):
                     return reply.encode_result(errors.Fenced(reason=item.reason))
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -1,4 +1,4 @@
-"""The task that owns one partition: its queue, its log and its workers."""
+"""The owner of one partition: a task with a message queue, a log and workers."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 MAX_MESSAGES_PER_ROUND = 256
 LOAD_RETRY_S = 0.3
-DRAIN_LIMIT_S = 2.0
+DRAIN_LIMIT_S = 2.0  # for the last log writes when the partition is released
 ASK_TIMEOUT_S = 3.0
 
 
 class Partition:
-    """Own one partition from the moment it is claimed until it is lost."""
+    """Run one partition from its claim until it is lost or released."""
 
     def __init__(
         self,
@@ -58,9 +58,10 @@
         self._greenlet: gevent.Greenlet | None = None
         self._layout = core.find("layout")
         count = self._layout.layout.count
-        self._moves_possible = False  # whether other partitions have workers to give
+        self._moves_possible = False  # whether workers can move between partitions
         self._apply_partition_count(count)
-        # Of this epoch: a later one of the same process must not be used for it.
+        # The version of this epoch. If this process claims the partition again, the
+        # new version must not be used for the old epoch.
         self.row_version = core.find("claims").row_version(number)
         store = core.find("store")
         self.journal = journal.Journal(
@@ -109,11 +110,14 @@
         self._inbox.put(message)
 
     def attached_workers(self) -> dict[str, effects.WorkerFacts]:
-        """Return the workers that have attached."""
+        """Return the attached workers."""
         return dict(self._executor.workers)
 
     def ask(self, function: Callable[[scheduler.Scheduler], object]) -> object:
-        """Return what a function says of the scheduler, or a failure."""
+        """Run a function of the scheduler in the partition's task; return its result.
+
+        Returns a failure if the function raises or the task does not answer in time.
+        """
         result = gevent.event.AsyncResult()
         self.post(inbox.Ask(function, result))
         try:
@@ -122,14 +126,14 @@
             return errors.Timeout(reason="the partition did not answer in time")
 
     def holds_job(self, job_id: str) -> bool:
-        """Return whether a job was accepted here, durably or not yet."""
+        """Return whether a job was accepted here, even if not durably yet."""
         return self._acceptance.holds(job_id)
 
     def apply_layout(self) -> None:
-        """Take in another number of partitions."""
+        """Apply a changed partition count."""
         count = self._layout.layout.count
         self.journal.interval_s = journal.flush_interval(count)
-        # The listener must not wait for the partition's task.
+        # Posted without waiting: event listeners must not block on the task.
         self.post(
             inbox.Ask(
                 lambda _scheduler: self._apply_partition_count(count),
@@ -144,9 +148,10 @@
             self._scheduler.expect_other_partitions(moves_possible)
 
     def bound_workers(self) -> frozenset[str]:
-        """Return the workers of incomplete records, which must stay here.
+        """Return the workers named in incomplete records, which must not be moved.
 
-        A successor asks them about ends and starts whose records it lacks.
+        After a takeover, only they know whether a task was started or has ended if the
+        log does not say so.
         """
         intents = self.journal.state.intents.values()
         return frozenset(intent.worker for intent in intents).union(
@@ -154,7 +159,7 @@
         )
 
     def is_durable(self, job_id: str) -> bool:
-        """Return whether all outcomes of a job so far are in the log."""
+        """Return whether all outcomes of a job that are known so far are in the log."""
         return self._executor.is_durable(job_id)
 
     # The task
@@ -179,7 +184,7 @@
                     idle_ticks, self._scheduler.is_quiescent
                 )
         log.warning("partition {}: fenced under epoch {}", self.number, self.epoch)
-        # In a greenlet of its own, because the release ends this one.
+        # Spawned because the release kills this greenlet.
         gevent.spawn(self._kernel.find("claims").release, self.number)
 
     def _handle_messages(self, wait_s: float) -> int:
@@ -195,17 +200,21 @@
             try:
                 self._handle(message)
             except Exception:
-                log.exception("partition {}: {!r}", self.number, type(message))
+                log.exception(
+                    "partition {}: handling {!r} failed", self.number, type(message)
+                )
         return handled
 
     def _load(self) -> None:
-        """Read the log and the worker map, then rebuild the scheduler."""
+        """Read the log and the worker map, and rebuild the scheduler's state."""
         while True:
             failure = self.journal.load()
             expected = self._kernel.find("fleet").assigned(self.number)
             if failure is None and isinstance(expected, dict):
                 break
-            log.warning("partition {}: loading: {}", self.number, failure or expected)
+            log.warning(
+                "partition {}: loading failed: {}", self.number, failure or expected
+            )
             self.journal.state = log_records.State()
             gevent.sleep(LOAD_RETRY_S)
         state = self.journal.state
@@ -316,7 +325,7 @@
                         facts, message.running, message.finished, now
                     )
                 )
-                # What the VM list said before the worker was known had no effect.
+                # `Leaving` messages for a worker that is not attached have no effect.
                 leaving = self._kernel.find("fleet").is_leaving(worker)
                 self._executor.carry_out(
                     self._scheduler.worker_leaving(worker, leaving, now)
@@ -337,11 +346,11 @@
         try:
             return function(self._scheduler)
         except Exception:
-            log.exception("partition {}: a question failed", self.number)
+            log.exception("partition {}: query of the scheduler failed", self.number)
             return errors.Unknown(reason="internal error")
 
     def _refuse_inbox(self) -> None:
-        """Answer callers whose messages were not handled; nothing of them ran."""
+        """Answer callers whose messages were not handled and had no effect."""
         failure = errors.Unavailable(reason="the partition is moving to another owner")
         while True:
             try:
--- a/toucanspring/owners/partitions.py
+++ b/toucanspring/owners/partitions.py
@@ -1,4 +1,4 @@
-"""Service `partitions`: runs owned partitions and routes calls to owners."""
+"""Service `partitions`: runs the owned partitions and routes calls to owners."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Service:
-    """Own the partitions of this process and reach those of others."""
+    """Run the partitions of this process and call the owners of others."""
 
     def __init__(self, core: kernel.Kernel, options: settings.Settings) -> None:
         self._kernel = core
@@ -47,7 +47,7 @@
         self._calls = owner_calls.OwnerCalls(core, self._owned, self._duplicate_check)
 
     def start(self) -> None:
-        """Follow ownership and serve calls of other processes."""
+        """Subscribe to ownership changes and serve calls of other processes."""
         self._kernel.subscribe(claims.PartitionAcquired, self._acquire)
         self._kernel.subscribe(claims.PartitionLost, self._lose)
         self._kernel.subscribe(documents.ConfigurationChanged, self._documents_changed)
@@ -58,11 +58,11 @@
         self._calls.serve(self.routes)
 
     def stop_accepting(self) -> None:
-        """Give up all partitions after their logs are written."""
+        """Close all partitions after pending log records are written."""
         self.stop()
 
     def stop(self) -> None:
-        """Give up all partitions after their logs are written."""
+        """Close all partitions after pending log records are written."""
         self._stopping = True
         gevent.joinall(
             [gevent.spawn(self._close, number) for number in list(self._owned)]
@@ -104,7 +104,7 @@
     # Calls
 
     def submit(self, specs: list[job.JobSpec]) -> list[str | errors.Failure]:
-        """Accept jobs; each answer is the job ID, once durable, or a failure.
+        """Accept jobs; each result is the job ID, once durable, or a failure.
 
         A failure of type `Ambiguous` means that the job may still be accepted.
         """
@@ -130,7 +130,7 @@
         remaining: list[int],
         answers: list[str | errors.Failure],
     ) -> None:
-        """Submit the jobs with the given indices to the present owners of their IDs."""
+        """Submit the jobs with the given indices to the current owners of their IDs."""
         groups: dict[int, list[int]] = collections.defaultdict(list)
         for index in remaining:
             groups[self.accepting_partition(specs[index].id)].append(index)
@@ -155,11 +155,11 @@
         pool.join()
 
     def lookup(self, job_id: str) -> effects.JobStatus | errors.Failure:
-        """Return the state of a job, from its owner."""
+        """Return the state of a job as its owner reports it."""
         return self._find(job_id, "lookup", effects.JobStatus)
 
     def explain(self, job_id: str) -> effects.Explanation | errors.Failure:
-        """Return why a job waits or ran where it did, from its owner."""
+        """Return why a job waits or where it was placed, as its owner reports it."""
         return self._find(job_id, "explain", effects.Explanation)
 
     def _find(self, job_id: str, method: str, kind: type) -> object | errors.Failure:
@@ -214,7 +214,7 @@
         gevent.joinall([gevent.spawn(cancel_group, *group) for group in groups.items()])
 
     def workers(self) -> survey.WorkerSurvey:
-        """Return the workers of all partitions, and which owners did not answer."""
+        """Return the workers of all partitions and which owners did not respond."""
         jobs = [
             gevent.spawn(
                 self.routes.call, number, "workers", b"", list[survey.WorkerStatus]
@@ -252,7 +252,7 @@
     def move_request(
         self, request_id: str, server: str
     ) -> request_log.Begun | errors.Failure:
-        """Record another server for a request that certainly did not run yet."""
+        """Record another server for a request that certainly has not run."""
         owned = self._find_owned(request_id)
         if isinstance(owned, errors.Failure):
             return owned
@@ -272,7 +272,7 @@
     ) -> log_records.RequestEntry | errors.Failure:
         """Return the log entry of a request; only at the owner of its partition.
 
-        `NotFound` says that no other partition has the request either.
+        `NotFound` means that no other partition has the request either.
         """
         owned = self._find_owned(request_id)
         if isinstance(owned, errors.Failure):
@@ -282,7 +282,7 @@
             checked = self._duplicate_check.check_request(owned, request_id)
             if isinstance(checked, errors.Failure):
                 return checked
-            found = owned.requests.find(request_id)  # may have come meanwhile
+            found = owned.requests.find(request_id)  # may have been added meanwhile
         return found
 
     def entry_in(
@@ -317,8 +317,8 @@
     def _wait_for_owned(self, number: int) -> partition.Partition | errors.Failure:
         owned = self._owned.get(number)
         if owned is None or not owned.ready.wait(ASK_TIMEOUT_S):
-            # Not `NotFound`, which says that the log has no such request.
+            # Not `NotFound`, which would mean that the log has no such request.
             return errors.Refused(reason="this process does not own the partition")
         if not self._kernel.find("claims").may_start(owned.number, time.monotonic()):
-            return errors.Unavailable(reason="ownership of the partition is in doubt")
+            return errors.Unavailable(reason="ownership of the partition is uncertain")
         return owned
--- a/toucanspring/owners/recovery.py
+++ b/toucanspring/owners/recovery.py
@@ -1,4 +1,4 @@
-"""Takeover of a partition, attached workers and lost workers."""
+"""Scheduler state after a takeover, and when workers attach or are lost."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     expected: Mapping[str, resources.Resources | None],
     now: float,
 ) -> None:
-    """Rebuild the state from the log; `expected` workers may run tasks."""
+    """Rebuild the state from the log; tasks may be running on `expected` workers."""
     core.expected_workers = dict(expected)
     records = [record for spec in specs if (record := core.table.add(spec, now))]
     for task_id, outcome in finished.items():
@@ -51,7 +51,7 @@
 def adopt(
     core: lifecycle.Lifecycle, ended: Iterable[log_records.EndedJob], now: float
 ) -> None:
-    """Add jobs that ended in another partition, for look-ups and dependencies."""
+    """Add jobs that ended in another partition, for lookups and dependencies."""
     for each in ended:
         record = core.table.add(each.spec, now)
         if record is None:
@@ -70,7 +70,7 @@
 ) -> None:
     spec = record.spec
     if not admission.wait_for_dependencies(core, record, now):
-        return  # nothing of it has started
+        return  # none of its tasks has started
     if restored_task(spec.idempotent, intent=False, expected=True) == "held":
         record.unconfirmed.update(record.waiting_indices())
         core.unconfirmed_jobs.add(spec.id)
@@ -102,9 +102,8 @@
     if record.cancelled:
         core.end_waiting(record, lifecycle.NOT_RUN_CANCELLED, now)
     elif spec.kind is job.Kind.GANG and (record.live or record.gang_stop_reason):
-        core.unconfirmed_jobs.add(
-            spec.id
-        )  # complete again once its workers are attached
+        # Complete again once its workers have attached.
+        core.unconfirmed_jobs.add(spec.id)
     else:
         core.enqueue(record, now)
 
@@ -112,9 +111,9 @@
 def restored_task(idempotent: bool, intent: bool, expected: bool) -> str:
     """Return the state of an unfinished task after a takeover.
 
-    `held`: it may run on any worker, since starts of idempotent tasks are not logged;
-    `attributed`: it may run on the worker that its intent names; `lost`: that worker
-    is gone; `waiting`: it never started.
+    `held`: it may be running on any worker, since starts of idempotent tasks are not
+    logged; `attributed`: it may be running on the worker named in its intent; `lost`:
+    that worker no longer exists; `waiting`: it never started.
     """
     if idempotent:
         return "held"
@@ -130,10 +129,10 @@
     finished: Iterable[wire.FinishedTask],
     now: float,
 ) -> None:
-    """Compare a worker's tasks with the attributed ones.
+    """Register a worker and reconcile its tasks with those attributed to it.
 
-    The worker must have closed older streams of the partition before it answered,
-    so that a start it does not know will never arrive.
+    The worker must have closed older streams of the partition before it responded,
+    so that a start it does not know can no longer arrive.
     """
     worker = facts.worker
     former = core.workers.get(worker)
@@ -150,12 +149,13 @@
     state.schedulable = True
     core.placement_needed = True
     if core.collecting_gang:
-        # May have moved here for the gang; `moves` frees it if the gang has enough.
+        # It may have been moved here for the gang. `moves` releases it if the gang has
+        # enough workers.
         core.collected_workers |= {worker}
     core.update_schedulable(worker, now)
     present = set()
-    # Running attempts first: an older ended attempt of the same task must not queue
-    # the task again while the newer one runs.
+    # Running attempts are processed first: an older attempt that has ended must not
+    # requeue the task while a newer one is running.
     for entry in running:
         present.add((entry.task_id, entry.attempt))
         _attach_running(core, state, entry, now)
@@ -180,9 +180,9 @@
         task.throttle = entry.throttle
         task.incarnation = state.facts.incarnation
         if task.demand != entry.demand:
-            core.resize(task, entry.demand, now)  # the log does not hold the size
+            core.resize(task, entry.demand, now)  # the log does not contain the size
         if task.stop_reason:
-            core.stop(task, task.stop_reason, task.stop_mode)  # may have been lost
+            core.stop(task, task.stop_reason, task.stop_mode)  # the stop may be lost
         elif core.table.jobs[task.job_id].cancelled:
             core.stop(task, lifecycle.CANCELLED, "kill")
         return
@@ -220,7 +220,7 @@
     facts: effects.WorkerFacts,
     now: float,
 ) -> None:
-    """Handle an attributed task that the worker does not know."""
+    """Handle an attributed task that is unknown to the worker."""
     restarted = task.incarnation != facts.incarnation
     match absent_task(task.state, restarted):
         case "keep":
@@ -233,11 +233,11 @@
 
 
 def absent_task(state: job.State, restarted: bool) -> str:
-    """Return what follows for an attempt that an attached worker does not know.
+    """Return how to handle an attempt that is unknown to an attached worker.
 
-    `keep`: it was not sent; `never_ran`: it certainly did not run and never will,
-    since the worker keeps ended tasks until they are acknowledged and refuses older
-    epochs; `lost`: it may have run.
+    `keep`: its start was not sent yet; `never_ran`: it certainly has not run and cannot
+    run later, since the worker keeps ended tasks until they are acknowledged and
+    refuses older epochs; `lost`: it may have run.
     """
     if state is job.State.INTENDED:
         return "never_ran" if restarted else "keep"
@@ -247,7 +247,7 @@
 
 
 def handle_lost_worker(core: lifecycle.Lifecycle, worker: str, now: float) -> None:
-    """End all attempts on a worker whose lease and grace have expired."""
+    """End all attempts on a worker whose lease and stop grace have expired."""
     state = core.workers.pop(worker, None)
     if state is not None:
         _drop_orphans(core, state)
@@ -267,7 +267,7 @@
 
 
 def requeue_unconfirmed(core: lifecycle.Lifecycle, now: float) -> None:
-    """Queue the restored tasks that no worker can be running any more."""
+    """Requeue the restored tasks once no worker can be running them."""
     count_possible_use(core)
     if core.expected_workers:
         return
@@ -275,8 +275,8 @@
         record = core.table.jobs[job_id]
         held = sorted(record.unconfirmed)
         record.unconfirmed.clear()
-        # An attempt may have run and failed before the takeover, so these tasks
-        # can no longer end as "not run".
+        # An attempt may have run and failed before the takeover, so these tasks must
+        # not end as "not run".
         record.ran.update(held)
         if record.outcome is not None:
             continue
@@ -285,20 +285,20 @@
         elif record.gang_stop_reason:
             gang.restart(core, record, record.gang_stop_reason, now)
         elif record.spec.kind is not job.Kind.GANG:
-            core.enqueue(record, now, held)  # the others are queued already
+            core.enqueue(record, now, held)  # the other tasks are queued already
         elif not record.live:
             core.queue.remove(job_id)
             core.enqueue(record, now)
         elif record.waiting_count():
-            gang.restart(core, record, "members are missing after takeover", now)
+            gang.restart(core, record, "members are missing after a takeover", now)
     core.unconfirmed_jobs.clear()
 
 
 def count_possible_use(core: lifecycle.Lifecycle) -> None:
-    """Count restored tasks that may be running against their teams' allowances.
+    """Charge restored tasks that may be running to their teams' allowances.
 
-    Their real sizes are not in the log and may be above the declared ones, so the
-    bound is the capacity of the workers not yet attached: unlimited if unknown.
+    Their actual sizes are not in the log and may exceed the declared ones. The upper
+    bound is the capacity of the workers not yet attached, or unlimited if unknown.
     """
     capacity = resources.ZERO
     for amount in core.expected_workers.values():
--- a/toucanspring/owners/request_log.py
+++ b/toucanspring/owners/request_log.py
@@ -10,24 +10,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Begun:
-    """Allow exactly one send of a request, under this epoch."""
+    """Permission to send a request exactly once, under this epoch."""
 
     epoch: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """Give the recorded outcome of a request."""
+    """Recorded outcome of a request."""
 
     outcome: job.Outcome
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """Say that the request was sent to a server and has no outcome yet.
+    """State of a request that may have been sent and has no outcome yet.
 
-    `interrupted` means that an earlier owner sent it, so that nobody here waits for
-    its answer; the server has to be asked under the new `epoch`.
+    `interrupted` means that an earlier owner began it, so that no caller here waits for
+    its response; the server must be asked for it under the new `epoch`.
     """
 
     server: str
@@ -39,7 +39,7 @@
 
 
 class RequestLog:
-    """Record starts and outcomes of requests in a partition's log."""
+    """Record the starts and outcomes of requests in a partition's log."""
 
     def __init__(self, owner: journal.Journal) -> None:
         self._journal = owner
@@ -48,9 +48,10 @@
     def begin(
         self, request_id: str, server: str, layout_version: int | None = None
     ) -> Answer | errors.Failure:
-        """Record that a request may be sent, unless it is known already.
+        """Record that a request may be sent, unless its ID is already known.
 
-        A new one is begun only while the row `layout` has the given version.
+        With a `layout_version`, it is begun only while the row `layout` has that
+        version.
         """
         entry = self._journal.state.requests.get(request_id)
         if entry is not None:
@@ -73,9 +74,10 @@
         return failure if failure is not None else Begun(self._journal.epoch)
 
     def move(self, request_id: str, server: str) -> Begun | errors.Failure:
-        """Name another server, after the one named certainly did not run a request.
+        """Record another server after the recorded one certainly has not run a request.
 
-        Only the caller that got `Begun` may call this, and sends once more.
+        May be called only by the caller that got `Begun`, which may then send once
+        more.
         """
         entry = self._journal.state.requests.get(request_id)
         epoch = self._journal.epoch
@@ -100,12 +102,12 @@
         return entry
 
     def holds(self, request_id: str) -> bool:
-        """Return whether a request was begun here, durably or not yet."""
+        """Return whether a request was begun here, even if not durably yet."""
         known = self._journal.state.requests
         return request_id in known or request_id in self._beginning
 
     def interrupted(self) -> dict[str, str]:
-        """Return the server by ID of requests that an earlier owner began."""
+        """Return the unfinished requests of earlier owners: request ID to server."""
         return {
             request_id: entry.server
             for request_id, entry in self._journal.state.requests.items()
--- a/toucanspring/owners/roster.py
+++ b/toucanspring/owners/roster.py
@@ -1,4 +1,4 @@
-"""The row `workers`, which says which partition each worker belongs to."""
+"""The row `workers`, which maps each worker to its partition."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 
 
 class Roster:
-    """Hold the latest version of the row that this process has read or written."""
+    """Latest version of the row that this process has read or written."""
 
     def __init__(self) -> None:
         self.version = 0
         self.partitions: dict[str, int] = {}  # worker -> partition
-        # Partition -> version with which its set of workers last changed.
+        # Partition -> version of the row that last changed its set of workers.
         self.changed_at: dict[int, int] = {}
-        self.moved_at: dict[str, float] = {}  # worker -> when a move was seen
+        self.moved_at: dict[
+            str, float
+        ] = {}  # worker -> monotonic time when a move was read
 
     def apply_row(self, row: tables.Row, now: float) -> None:
-        """Take in a row unless a later version is known.
+        """Apply a row that was read, unless a later version is known.
 
-        Reads under way at once may be answered in the other order; an older one
-        would bring back a worker that has moved away.
+        Responses to concurrent reads may arrive out of order; an older one would return
+        a moved worker to its former partition.
         """
         if row.version > self.version:
             self.replace(row.version, _decoder.decode(row.value), now)
 
     def replace(self, version: int, partitions: dict[str, int], now: float) -> None:
-        """Set a later version of the row."""
+        """Replace the content by a later version of the row."""
         former = self.partitions
         for worker in former.keys() | partitions.keys():
             before, after = former.get(worker), partitions.get(worker)
@@ -55,11 +57,11 @@
 
 
 def ambiguous_move_result(version: int, checked_version: int, still_owned: bool) -> str:
-    """Return what follows once the row has been read after a lost answer.
+    """Return the result of a move with a lost response, from a later read.
 
     `repeat`: the transaction that checked `checked_version` may still take effect;
-    `moved`: the worker is not `mine` any more; `kept`: it is, and the transaction can
-    no longer take effect.
+    `moved`: the worker is no longer `still_owned`; `kept`: it is, and the transaction
+    can no longer take effect.
     """
     if version == checked_version:
         return "repeat"
--- a/toucanspring/owners/routes.py
+++ b/toucanspring/owners/routes.py
@@ -1,4 +1,4 @@
-"""Calls to the owners of partitions, in this or another process."""
+"""Calls to the owners of partitions, in this process or others."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from toucanspring import errors, kernel
 from toucanspring.cell import reply
 
-ROUTE_LIMIT_S = 8.0  # covers one takeover with its load from the store
+ROUTE_LIMIT_S = 8.0  # covers one takeover, including reading the log
 CALL_TIMEOUT_S = 4.0
 RETRY_PAUSE_S = 0.2
 
@@ -18,7 +18,7 @@
 
 
 class Routes:
-    """Call the owner of a partition by the name of a method."""
+    """Call methods of the owners of partitions."""
 
     def __init__(self, core: kernel.Kernel, owned: Container[int]) -> None:
         self._kernel = core
@@ -26,7 +26,7 @@
         self._handlers: dict[str, Handler] = {}
 
     def serve(self, method: str, function: Handler) -> None:
-        """Answer a method, whose body is a partition and its arguments."""
+        """Register the handler of a method; its body is a partition and arguments."""
         self._handlers[method] = function
         self._kernel.find("peers").handle(method, function)
 
@@ -38,9 +38,9 @@
         kind: type,
         limit_s: float | None = None,
     ) -> object | errors.Failure:
-        """Call the owner of a partition; wait through a takeover.
+        """Call the owner of a partition; retry during a takeover.
 
-        All routed calls are idempotent, so that an unanswered one is repeated.
+        All routed methods are idempotent, so a call without a response is repeated.
         """
         deadline = time.monotonic() + (ROUTE_LIMIT_S if limit_s is None else limit_s)
         timeout_s = min(CALL_TIMEOUT_S, limit_s or CALL_TIMEOUT_S)
@@ -81,8 +81,8 @@
         owner = owner_of(number)
         if isinstance(owner, errors.Failure):
             return errors.Unavailable(reason=owner.reason)
-        # A call that was sent right before a takeover would else wait for the former
-        # owner until its timeout, longer than the takeover takes.
+        # Without `abandon`, a call sent right before a takeover would wait for the
+        # former owner until its timeout, which is longer than the takeover.
         return self._kernel.find("peers").call(
             owner.process,
             method,
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -1,8 +1,8 @@
-"""Non-idempotent requests in the process that owns the partition of their ID.
+"""Execution of non-idempotent requests by the owner of the partition of their ID.
 
-The log holds the server of each request before the request is sent, so a successor
-knows whom to ask. `partitions.begin_request` gets that server together with what is
-needed to compare a repeated request with the first one; the log keeps this as text.
+The server of each request is written to the log before the request is sent, so that a
+successor knows which server to ask. The record also contains what is needed to compare
+a repeated request with the first one; both are encoded as one text.
 """
 
 from __future__ import annotations
@@ -25,15 +25,16 @@
 Clock = Callable[[], float]
 
 RESEND_PAUSE_S = 0.02
-# A server that refuses for this long is given up for another one.
+# After a server has refused a request for this long, another one is tried.
 MOVE_AFTER_S = 0.2
 PROBE_TIMEOUT_S = 0.5
-# After its deadline a request is followed for this long, so that its outcome can
-# still be looked up; then it is recorded as unknown.
+# The server is asked for the outcome of a request for this long, also after the
+# deadline, so that callers can still look it up. Then it is recorded as unknown.
 FOLLOW_S = 120.0
-# The refusal of a request that waits until its deadline arrives just after it.
+# A request that waited until its deadline is refused shortly after the deadline.
 REFUSAL_GRACE_S = 0.25
-# Another process may own the partition by now; a concurrent repeat may run there.
+# Another process may own the partition after these failures, and a concurrent repeat of
+# the request may run there.
 OWNER_UNCERTAIN = (
     errors.Ambiguous,
     errors.Fenced,
@@ -44,19 +45,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Running:
-    """Say that a request was begun and has no outcome yet."""
+    """State of a request that was begun and has no outcome yet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlight:
-    """Hold a request that this process runs or follows."""
+    """A request that this process runs or whose outcome it resolves."""
 
     digest: bytes
     result: event.AsyncResult
 
 
 class Runner:
-    """Run each request of the own partitions once and remember its outcome."""
+    """Run each request of the owned partitions once and record its outcome."""
 
     def __init__(
         self,
@@ -77,8 +78,8 @@
     def in_flight(self) -> int:
         """Return the number of callers that wait for a request.
 
-        Requests that are only followed for their record do not count; a successor
-        asks the server for them.
+        Requests without a waiting caller do not count: if this process stops, a
+        successor asks the server for their outcome.
         """
         return self._waiting
 
@@ -120,7 +121,7 @@
         return Running()
 
     def recover(self, request_id: str, server: str) -> None:
-        """Find out what became of a request that a former owner began."""
+        """Resolve the outcome of a request that a former owner began."""
         if request_id not in self._running:
             start = outcomes.decode_start(server)
             self._spawn(
@@ -130,7 +131,7 @@
     def _spawn(
         self, request_id: str, digest: bytes, work: Callable[[], object]
     ) -> event.AsyncResult:
-        """Run work that outlives the caller; others that ask for the ID join it."""
+        """Run work independently of the caller; later calls for the ID join it."""
         result = event.AsyncResult()
         self._running[request_id] = InFlight(digest, result)
 
@@ -164,7 +165,8 @@
         if self._epoch(request.id) is None:
             return errors.Refused(reason="not the owner of this request ID")
         partitions = self._kernel.find("partitions")
-        # A refusal below is certain only if the log shows that the ID is new.
+        # The refusals below may say "not run" only because the log shows that the ID is
+        # new.
         entry = partitions.request_entry(request.id)
         if not isinstance(entry, errors.NotFound):
             return self._resume(request.id, entry)
@@ -182,7 +184,8 @@
             if isinstance(begun, errors.Failure) and not isinstance(
                 begun, OWNER_UNCERTAIN
             ):
-                # The log had no such ID, and only a durable start is sent.
+                # A request is sent only after its start is durable, and the log had no
+                # earlier start of this ID.
                 return errors.NotRun(reason=f"not run: {begun.reason}")
             return self._resume(request.id, begun)
         start, result = self._send_or_move(
@@ -201,8 +204,8 @@
     ) -> tuple[outcomes.Start, answers.Stored | errors.Failure]:
         """Send a begun request; return its last start and its result.
 
-        While every server so far has certainly not run it, the log may name another
-        one in place of a server that stays full or goes down.
+        While no server can have run it, a server that stays full or goes down is
+        replaced by another one, which is recorded in the log first.
         """
         excluded: frozenset[str] = frozenset()
         while True:
@@ -242,9 +245,9 @@
         deadline: float,
         excluded: frozenset[str] = frozenset(),
     ) -> routing.ServerFacts | errors.Failure:
-        """Wait for a server and see that it answers, before the log names it.
+        """Wait for a server and probe it before it is recorded in the log.
 
-        To name another one later costs one more write to the log.
+        Replacing the recorded server later costs another log write.
         """
         while True:
             server = target.acquire(request.job_class, deadline, excluded)
@@ -262,7 +265,7 @@
                     )
                     excluded |= {server.id}
                 case _:
-                    # It was sent there as an idempotent request, hence without a log.
+                    # The ID was used for an idempotent request, which is not logged.
                     if isinstance(state, backend_servers.Answer):
                         state.close()
                     target.release(server.id)
@@ -271,7 +274,7 @@
     def _resume(
         self, request_id: str, state: object
     ) -> answers.Stored | errors.Failure:
-        """Return the outcome of a request that this call did not begin."""
+        """Return the outcome of a request that an earlier call began."""
         match state:
             case request_log.Finished(outcome=outcome):
                 return self._outcomes.restore(outcome)
@@ -292,11 +295,11 @@
         epoch: int,
         deadline: float,
     ) -> answers.Stored | errors.Failure:
-        """Send a begun request until the server that the log names takes it once.
+        """Send a begun request until the server recorded in the log accepts it once.
 
-        `NotRun` says that this server has certainly not run it. A refusal by a full
-        server is followed by another send for a short time, which is cheaper than a
-        write to the log.
+        `NotRun` means that this server has certainly not run it. After a refusal by a
+        full server the send is retried for a short time, which is cheaper than
+        recording another server in the log.
         """
         refused_since: float | None = None
         while True:
@@ -330,7 +333,7 @@
                 case _:
                     received = inquiry.receive(result, start)
                     if isinstance(received, errors.Ambiguous):
-                        # The server remembers the answer of which a part was lost.
+                        # The response was incomplete; the server still has it.
                         return self._inquiry.look_up(
                             request.id, start, FOLLOW_S, certain=False
                         )
@@ -345,13 +348,15 @@
         epoch: int,
         expired: bool,
     ) -> errors.Failure | None:
-        """Return why a begun request may not be sent now, if so."""
+        """Return the failure if a begun request may not be sent now, else None."""
         if expired:
             return errors.NotRun(reason="not run: no free slot before the deadline")
-        if not target.is_usable(server.id):  # the write may have taken long
-            return errors.NotRun(reason="not run: the server goes out of service")
-        # Never the epoch of a later claim: another owner may have looked into
-        # the request in between, and only the old epoch is refused then.
+        if not target.is_usable(server.id):  # may have changed during the log write
+            return errors.NotRun(
+                reason="not run: the server is being taken out of service"
+            )
+        # A send must not carry the epoch of a later claim: another owner may have
+        # resolved the request in between, and servers then refuse only the old epoch.
         if self._epoch(request.id) != epoch:
             return errors.Fenced(reason="ownership was lost before the send")
         return None
@@ -359,13 +364,15 @@
     def _resolve(
         self, request_id: str, start: outcomes.Start
     ) -> answers.Stored | errors.Failure:
-        """Find out the outcome of a request that a former owner may have sent."""
+        """Resolve and record the outcome of a request that was begun earlier."""
         give_up_at = self._clock() + FOLLOW_S
         pause = inquiry.FIRST_PAUSE_S
         while True:
             epoch = self._epoch(request_id)
             if epoch is None:
-                return errors.Fenced(reason="ownership was lost; it may have run")
+                return errors.Fenced(
+                    reason="ownership was lost; the request may have run"
+                )
             partition = self._partition(request_id)
             raised = self._client.raise_epoch(
                 start.server, backend_servers.Epoch(partition, epoch)
--- a/toucanspring/owners/search.py
+++ b/toucanspring/owners/search.py
@@ -1,4 +1,4 @@
-"""Search for an ID in the partitions of the present and of former numbers."""
+"""Search for an ID in the partitions of the current and former partition counts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from toucanspring import errors
 from toucanspring.cell import layout
 
-# Each round follows another change of the layout or a handover.
+# Each further round follows a layout change, by an operator or after a handover.
 MAX_ROUNDS = 5
 
 
@@ -16,11 +16,11 @@
     name: str,
     ask: Callable[[int], object | errors.Failure],
 ) -> object | errors.Failure:
-    """Return the first answer of a partition other than `NotFound`.
+    """Return the first result of a partition other than `NotFound`.
 
-    What has ended moves only to the partition of the present number, so that one is
-    asked again after the others. `NotFound` is certain only if the row `layout` is
-    still the same: a process that has not seen a change would ask the wrong owners.
+    Ended work is handed over only to the partition of the current partition count,
+    so this one is asked again after the others. `NotFound` is certain only if the row
+    `layout` is unchanged: a process that missed a change asks the wrong owners.
     """
     for _ in range(MAX_ROUNDS):
         view = service.view
@@ -34,7 +34,7 @@
         failure = service.reread()
         if failure is not None:
             return errors.Unavailable(
-                reason=f"not known whether it exists: {failure.reason}"
+                reason=f"cannot tell whether it exists: {failure.reason}"
             )
         if service.view.version == view.version:
             return found
--- a/toucanspring/owners/worker_events.py
+++ b/toucanspring/owners/worker_events.py
@@ -1,4 +1,4 @@
-"""What happens to the workers of one owned partition, as events."""
+"""Events about the workers of one owned partition."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WorkerEvents:
-    """Publish losses, returns and refusals of workers."""
+    """Publish lost and returned workers, and refusals to attach."""
 
     def __init__(self, partition: int, epoch: int, core: kernel.Kernel) -> None:
         self._partition = partition
@@ -19,7 +19,7 @@
         self._lost: set[str] = set()
 
     def lost(self, worker: str, tasks: int) -> None:
-        """Publish that a worker's lease and grace have ended."""
+        """Publish that a worker's lease and stop grace have expired."""
         self._lost.add(worker)
         link = self._kernel.find("fleet").link(self._partition, worker)
         zone, rack = ("", "")
@@ -30,7 +30,7 @@
         )
 
     def attached(self, facts: effects.WorkerFacts) -> None:
-        """Publish that a worker is back, unless it attaches for the first time."""
+        """Publish that a worker has returned after a restart or loss."""
         worker = facts.worker
         before = self._incarnations.get(worker)
         self._incarnations[worker] = facts.incarnation
@@ -48,7 +48,7 @@
             )
 
     def refused(self, message: worker_link.EpochRefused) -> None:
-        """Publish that a worker knows a higher epoch."""
+        """Publish that a worker refused this owner because of a higher epoch."""
         self._kernel.publish(
             event_kinds.EpochRefused(
                 message.worker, self._partition, self._epoch, message.known
--- a/toucanspring/owners/worker_link.py
+++ b/toucanspring/owners/worker_link.py
@@ -1,4 +1,4 @@
-"""Stream to one worker of an owned partition, and the watch on its lease."""
+"""Stream to one worker of an owned partition, and expiry of the worker's lease."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 log = logbook.Logger(__name__)
 
 WORKER_LEASE_S = 20.0
-STOP_GRACE_S = 2.0  # a worker has stopped its tasks this long after its lease ended
+STOP_GRACE_S = 2.0  # time after its lease in which a worker stops its tasks
 MAX_DRIFT_FRACTION = 0.05  # assumed bound on the drift between monotonic clocks
 # A worker without tasks reports every 7 s. If one renewal is lost, the lease is renewed
 # again after at most 2 + 7 + 7 s, which is before its end even with the drift.
 RENEW_INTERVAL_S = 2.0
-# A renewal that was not allowed is tried again long before the next report.
+# A renewal that was not allowed is retried long before the next report.
 RENEW_RETRY_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_PAUSE_S = 0.2
 MAX_RECONNECT_PAUSE_S = 3.0
 WATCH_INTERVAL_S = 0.5
-# A worker refuses starts whose tick is older than 1 s; the rest is for the way there.
+# A worker refuses starts whose tick is older than 1 s. The difference is for the time
+# on the network.
 MAX_TICK_AGE_S = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromWorker:
-    """Carry a worker's message to the partition that owns the worker."""
+    """Message from a worker to the partition that owns it."""
 
     worker: str
     message: wire.WorkerMessage
@@ -42,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Say that a worker's lease and stop grace have certainly ended."""
+    """Notice that a worker's lease and stop grace have certainly expired."""
 
     worker: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disconnected:
-    """Say that a worker's stream broke; its tasks may still run.
+    """Notice that a worker's stream has closed; its tasks may still be running.
 
     `unanswered` lists the tasks whose start was sent but not confirmed.
     """
@@ -60,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EpochRefused:
-    """Say that the worker refused to attach, since it knows a higher epoch."""
+    """Notice that the worker refused to attach, since it knows a higher epoch."""
 
     worker: str
     known: int
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """Say whether the VM list shows the worker as leaving or absent."""
+    """Notice whether the VM list has the worker as leaving or no longer has it."""
 
     worker: str
     leaving: bool
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Deferred:
-    """Hold starts, or a stop (then without `is_allowed`), until a tick arrives."""
+    """Starts, or a stop (without `is_allowed`), that wait for a recent tick."""
 
     tasks: list[wire.TaskStart] = dataclasses.field(default_factory=list)
     is_allowed: Callable[[], bool] | None = None
@@ -85,12 +86,12 @@
 
 
 def expiry_wait() -> float:
-    """Return the seconds after which a lease has certainly ended everywhere."""
+    """Return the seconds after which a lease has expired on every process's clock."""
     return (WORKER_LEASE_S + STOP_GRACE_S) * (1 + MAX_DRIFT_FRACTION)
 
 
 class Link:
-    """Own the stream to one worker and watch its lease."""
+    """Maintain the stream to one worker and renew or observe its lease."""
 
     def __init__(
         self,
@@ -115,16 +116,16 @@
         self._early_messages: list[workers.WorkerEvent] = []
         self._tick_received_at = 0.0
         self._renewed_at = 0.0
-        self._lease_base: float | None = None  # when the renewed tick was received
+        self._lease_base: float | None = None  # receipt time of the renewed tick
         self._former_over_at: float | None = None
-        # Commands that wait for a fresh tick, in order.
+        # Commands that wait for a recent tick, in order.
         self._deferred: list[Deferred] = []
         self._retry: gevent.Greenlet | None = None
         self._runner = gevent.spawn(self._run)
         self._watcher = gevent.spawn(self._watch_lease)
 
     def close(self) -> None:
-        """Close the stream and stop watching."""
+        """Close the stream and stop observing the lease."""
         gevent.killall([self._runner, self._watcher])
         if self._retry is not None:
             self._retry.kill(block=False)
@@ -134,11 +135,11 @@
     def start(
         self, tasks: list[wire.TaskStart], is_allowed: Callable[[], bool]
     ) -> bool:
-        """Send starts; return False if they certainly were not sent.
+        """Send starts; return `False` if they certainly were not sent.
 
         The caller has checked that they are allowed. If the last tick is too old, a
-        new one is asked for, and `is_allowed` is called once more after it arrives:
-        a start must not carry a tick that is younger than its check.
+        new one is requested and `is_allowed` is called again after it has arrived,
+        since the tick in a start must not be newer than the check.
         """
         if not self.attached or self._stream is None or self._stream.closed:
             return False
@@ -154,30 +155,30 @@
     def stop(self, task_ids: list[str], mode: str) -> None:
         """Stop tasks; `mode` is `kill` or `checkpoint`."""
         if self._deferred:
-            # Sent before a start that waits, it would leave that task running.
+            # Sent before a deferred start of the same task, it would have no effect.
             self._deferred.append(Deferred(stopped=task_ids, mode=mode))
         elif self.attached and self._stream is not None:
             self._stream.stop(self.epoch, task_ids, mode)
 
     def throttle(self, task_id: str, fraction: float) -> None:
-        """Limit a task to a fraction of its processors."""
+        """Limit a task to a fraction of its CPUs."""
         if self.attached and self._stream is not None:
             self._stream.throttle(self.epoch, task_id, fraction)
 
     def acknowledge(self, task_ids: list[str]) -> None:
-        """Let the worker forget finished tasks."""
+        """Let the worker delete the results of finished tasks."""
         if self.attached and self._stream is not None:
             self._stream.acknowledge(self.epoch, task_ids)
 
     def release(self) -> None:
-        """End the worker's lease, so that another partition may attach, and close."""
+        """End the worker's lease, so that another partition can attach, and close."""
         self.attached = False
         if self._stream is not None:
             self._stream.release(self.epoch)
         self.close()
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes sent and received on the present stream."""
+        """Return the bytes sent and received on the current stream."""
         if self._stream is None:
             return 0, 0
         return self._stream.sent_bytes, self._stream.received_bytes
@@ -209,7 +210,7 @@
         self._early_messages.clear()
         answer = opened.attach(self.partition, self.epoch, int(WORKER_LEASE_S * 1000))
         if isinstance(answer, errors.Failure):
-            log.info("worker {}: not attached: {}", self.vm.id, answer)
+            log.info("worker {}: attach failed: {}", self.vm.id, answer)
             if isinstance(answer, errors.Fenced):
                 self._post(EpochRefused(self.vm.id, answer.epoch))
             return False
@@ -233,9 +234,9 @@
         self._watcher = gevent.spawn(self._watch_lease)
         deferred, self._deferred = self._deferred, []
         self._post(Disconnected(self.vm.id, unanswered))
-        # Posted last, so that the tasks are not placed on this worker again.
+        # Posted after `Disconnected`, so that the tasks are not placed here again.
         for command in deferred:
-            self._refuse(command, "the worker gave no tick")
+            self._refuse(command, "the worker did not send a tick")
 
     def _receive(self, message: workers.WorkerEvent) -> None:
         if isinstance(message, wire.Report):
@@ -245,11 +246,11 @@
             if self._deferred:
                 self._send_deferred()
             if not message.finished and not message.usage:
-                return  # tells the partition nothing and would wake its task
+                return  # an empty report must not wake the partition's task
         if self.attached:
             self._post(FromWorker(self.vm.id, message))
         else:
-            # Reports that overtake the attach answer are delivered after it.
+            # Reports that arrive before the response to the attach are posted after it.
             self._early_messages.append(message)
 
     def _send_deferred(self) -> None:
@@ -260,10 +261,10 @@
             elif not command.is_allowed() or not self.start(
                 command.tasks, command.is_allowed
             ):
-                self._refuse(command, "the worker may not be used now")
+                self._refuse(command, "the worker is not available")
 
     def _refuse(self, command: Deferred, reason: str) -> None:
-        """Answer starts that were never sent as refused."""
+        """Report starts that were never sent as refused."""
         refused = [(task.task_id, reason) for task in command.tasks]
         if refused:
             self._post(FromWorker(self.vm.id, wire.Started(0, [], refused)))
@@ -277,13 +278,13 @@
                 self._retry = gevent.spawn_later(RENEW_RETRY_S, self._request_report)
             return
         # The worker counts the lease from the tick, which it read before it sent the
-        # report. Counting from the receipt of that report is therefore never early.
+        # report. An expiry counted from the receipt of that report is never too early.
         self._lease_base = self._tick_received_at
         self._renewed_at = time.monotonic()
         self._stream.renew(self.epoch, int(WORKER_LEASE_S * 1000), self._stream.tick)
 
     def _request_report(self) -> None:
-        """Ask for a report, whose receipt is the next try to renew the lease."""
+        """Request a report, whose receipt triggers the next attempt to renew."""
         self._retry = None
         if self._stream is not None:
             self._stream.poll(self.epoch)
@@ -293,10 +294,10 @@
             self._former_over_at = now
 
     def _watch_lease(self) -> None:
-        """Report the worker as lost once no lease of anybody can still be valid.
+        """Report the worker as lost once no lease of any owner can still be valid.
 
-        Runs only while the worker is not attached; seeing the end of the former
-        owner's lease late only makes the loss later.
+        Runs only while the worker is not attached. If the end of the former owner's
+        lease is noticed late, the worker is only reported later.
         """
         while not self.lost:
             gevent.sleep(WATCH_INTERVAL_S)
