--- a/test/cell.py
+++ b/test/cell.py
@@ -1,4 +1,4 @@
-"""Workers and a log in memory that carry out a scheduler's effects, for tests."""
+"""In-memory workers and log that carry out a scheduler's effects, for tests."""
 
 import random
 
@@ -36,7 +36,7 @@
 
 
 class Cell:
-    """Check the invariants on every effect."""
+    """Carry out the effects of a scheduler and check invariants on each."""
 
     def __init__(self, workers=1, seed=1, teams=TEAMS, capacity=CAPACITY):
         self.now = 100.0
@@ -49,8 +49,8 @@
         self.pending_intents = []
         self.hold_intents = False
         self.rows = {t.name: allowance.Row() for t in teams if t.ceiling != UNLIMITED}
-        self.targets = {}  # team -> part asked for
-        self.deliver_unanswered = True  # whether broken streams lose only answers
+        self.targets = {}  # team -> requested part
+        self.deliver_unanswered = True  # whether starts on broken streams arrive
         self.workers = {}
         self.scheduler = scheduler.Scheduler(0, random.Random(seed))
         self.call("set_teams", self.teams)
@@ -108,7 +108,7 @@
             self.call("starts_unanswered", worker.name, [t.task_id for t in tasks])
             if not self.deliver_unanswered:
                 return
-        assert worker.zone not in self.zones_out, "start in a closed zone"
+        assert worker.zone not in self.zones_out, "start in a zone that is out"
         for task in tasks:
             owner = self.specs[job.job_of(task.task_id)]
             places = [w for w in self.workers.values() if task.task_id in w.running]
@@ -127,7 +127,7 @@
             self.call("starts_answered", worker.name, [t.task_id for t in tasks], [])
 
     def used(self, team):
-        """Return what really runs for a team."""
+        """Return the resources that a team's running tasks use."""
         tasks = [t for w in self.workers.values() for t in w.running.values()]
         return sum((t.demand for t in tasks if t.team == team), resources.ZERO)
 
@@ -189,7 +189,7 @@
     def take_over(self):
         """Replace the scheduler by a successor that knows only the log."""
         self.seed += 1
-        self.pending_intents = []  # were not written
+        self.pending_intents = []  # not written yet
         self.targets = {}
         self.scheduler = scheduler.Scheduler(0, random.Random(self.seed))
         for worker in self.workers.values():
@@ -223,7 +223,7 @@
             self.report(name)
 
     def running(self, job_id=""):
-        """Return task ID -> worker of what runs."""
+        """Return the running tasks as task ID -> worker."""
         return {
             task_id: worker.name
             for worker in self.workers.values()
--- a/test/fake_tables.py
+++ b/test/fake_tables.py
@@ -1,4 +1,4 @@
-"""In-memory table service with failures, and a cell of control services on it."""
+"""In-memory table service with faults, and processes that use it."""
 
 import gevent
 
@@ -10,7 +10,7 @@
 
 
 class FakeTables:
-    """Hold rows; each client of it can fail on its own."""
+    """Rows that several clients share; each client can fail on its own."""
 
     def __init__(self):
         self.rows = {}
@@ -21,11 +21,11 @@
 
 
 class FakeClient:
-    """Act as TableClient.
+    """Stand in for TableClient.
 
-    `lose` maps a key to how many commits that write it lose their answer; `late`
-    keeps such transactions back until `deliver_late`; `before_commit` runs once
-    between the call and its effect.
+    Three maps give, for a key, how many of the next transactions that write it fail:
+    `lose` loses the response, `drop` loses the request, and `late` delays the effect
+    until `deliver_late`. `before_commit` runs once between a call and its effect.
     """
 
     def __init__(self, shared):
@@ -123,7 +123,7 @@
 
 
 def parse(source):
-    """Stand in for reader.parse: the cell is its text, `bad` is invalid."""
+    """Stand in for reader.parse: return the text as the cell; `bad` is invalid."""
     return errors.Invalid(reason="bad", line=1) if "bad" in source else source
 
 
@@ -146,7 +146,7 @@
             self.kernel.start()
 
     def kill(self):
-        """Stop without any farewell, like a crash."""
+        """Stop without releasing anything, like a crash."""
         self.membership._greenlets.kill()
         self.documents.stop()
         self.peers.stop()
@@ -154,7 +154,7 @@
 
 
 def wait_for(condition, limit_s=6.0):
-    """Return whether a condition becomes true in time."""
+    """Return whether a condition becomes true within the limit."""
     with gevent.Timeout(limit_s, False):
         while not condition():
             gevent.sleep(0.01)
--- a/test/partition_case.py
+++ b/test/partition_case.py
@@ -1,4 +1,4 @@
-"""A partition with a log in memory, and links that keep what is sent."""
+"""Test case with a partition, an in-memory log and links that record commands."""
 
 import types
 
@@ -75,7 +75,7 @@
 
 
 class Link:
-    """Keep what is sent to one worker; `before_start` runs at each start."""
+    """Record what is sent to one worker; `before_start` runs before each start."""
 
     def __init__(self):
         self.started = []
@@ -154,7 +154,7 @@
         return owner
 
     def take_over(self):
-        """Let a successor claim the partition while the owner knows nothing of it."""
+        """Let a successor claim the partition without the owner's knowledge."""
         self.version = self.claim()
         return self.open(2, self.shared.client())
 
--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -1,4 +1,4 @@
-"""Partitions with an owner each that share a table service and their workers."""
+"""Partitions, each with its own owner, that share a table service and workers."""
 
 import types
 
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Follow the row `workers` and attach what belongs to the partition."""
+    """Read the row `workers` and attach the workers of the partition."""
 
     def __init__(self, owner):
         self.owner = owner
@@ -70,7 +70,7 @@
 
 
 class Owner:
-    """Run the scheduler and the mover of one partition; stands for the process."""
+    """Run the scheduler and the mover of one partition, as its process does."""
 
     def __init__(self, shared, number, epoch):
         self.shared, self.number, self.epoch = shared, number, epoch
@@ -115,7 +115,7 @@
             if owner is not self and not owner.paused
         }
 
-    # What the mover uses of a partition
+    # The interface of a partition that the mover uses
 
     def ask(self, function):
         return function(self.cell.scheduler)
@@ -179,13 +179,13 @@
         )
 
     def row(self):
-        """Return the workers by partition as the row has them."""
+        """Return the workers by partition, as in the row."""
         found = roster.Roster()
         found.apply_row(self.tables.rows[roster.WORKERS_ROW], 0)
         return {number: found.workers_of(number) for number in self.specs}
 
     def take_over(self, number):
-        """Let a new owner claim a partition; return the former one."""
+        """Let a new owner claim a partition; return the former owner."""
         former = self.owners.get(number)
         epoch = former.epoch + 1 if former else 1
         self.owners[number] = Owner(self, number, epoch)
--- a/test/resized.py
+++ b/test/resized.py
@@ -1,4 +1,4 @@
-"""Processes with real partitions on one table service, while their number changes."""
+"""Processes with real partitions on one table service; their number can change."""
 
 import itertools
 import types
@@ -86,7 +86,7 @@
         return frozenset()
 
     def fresh(self, _now):
-        return False  # nothing starts, so that jobs end only as a test says
+        return False  # no task starts, so jobs end only by `Cell.end`
 
 
 class Members(Service):
@@ -98,7 +98,7 @@
 
 
 class Node:
-    """Run the partitions of one process; only `reread` shows it a change."""
+    """Run the partitions of one process; it sees layout changes only by `reread`."""
 
     def __init__(self, cell, name, count):
         self.cell, self.name = cell, name
@@ -158,7 +158,7 @@
                 self.claim(number, name)
 
     def claim(self, number, name):
-        """Let a process claim a partition without news to its former owner."""
+        """Let a process claim a partition without the former owner's knowledge."""
         epoch = self.owners[number][1] + 1 if number in self.owners else 1
         key = ownership_rows.key_of(number)
         answer = self.shared.client().transact({}, {key: name.encode()}, ())
@@ -170,7 +170,7 @@
             self.nodes[name].layout.reread()
 
     def change(self, number, *names):
-        """Change the number; only the named processes, or all, see it."""
+        """Change the partition count; only the named processes, or all, read it."""
         names = names or tuple(self.nodes)
         self.nodes[names[0]].change(number)
         self.reread(*names)
@@ -227,7 +227,7 @@
 
 
 def moved_id(*numbers):
-    """Return an ID that each number of partitions maps to another partition."""
+    """Return an ID that each partition count maps to a different partition."""
     names = (f"job-{index}" for index in itertools.count())
     return next(
         name
--- a/test/test_allowances.py
+++ b/test/test_allowances.py
@@ -1,4 +1,4 @@
-"""The keeper of allowance rows on a fake table service."""
+"""Tests of `AllowanceManager` with a fake table service."""
 
 import types
 
@@ -14,7 +14,7 @@
 FIVE = resources.Resources(5_000, 5_120)
 
 
-class KeeperTest(testtools.TestCase):
+class AllowanceManagerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.table = fake_tables.FakeTables().client()
@@ -24,7 +24,7 @@
         self.manager = allowances.AllowanceManager(0, core, self.deliver)
         self.set_ceiling(TEN)
         self.manager.request_amount("team", TEN)
-        # The second pass finds nothing to do and remembers it.
+        # The second pass finds nothing to write and caches the row.
         for _ in range(3):
             self.manager._update_rows()
 
@@ -44,7 +44,7 @@
         self.assertEqual(version, self.row().version)
 
     def test_a_lowered_ceiling_shrinks_an_unchanged_row(self):
-        # Guards against use of the result remembered under the former ceiling.
+        # Guards against use of values that were cached under the former ceiling.
         self.set_ceiling(FIVE)
         self.manager._update_rows()
         self.assertEqual({"team": FIVE}, self.delivered)
@@ -61,7 +61,7 @@
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_lost_answer_to_a_return_leaves_the_smaller_part(self):
-        # Guards against remembering a row whose division was never confirmed.
+        # Guards against caching a row whose write was never confirmed.
         self.table.drop = {KEY: 1}
         self.manager.request_amount("team", FIVE)
         self.manager._update_rows()
@@ -86,13 +86,13 @@
         self.assertEqual(65, len({key for keys in reads for key in keys}))
 
     def poll(self):
-        """Do what the poll of the member rows does; return whether it woke."""
+        """Deliver rows as the poll of the member rows does; return whether it woke."""
         self.manager._wakeup.clear()
         self.manager.handle_rows(self.table.read(self.manager.watched_keys()), 0.0)
         return self.manager._wakeup.is_set()
 
     def test_the_shared_poll_notices_a_want_of_another_partition(self):
-        # Guards against a part that is kept while another partition waits.
+        # Guards against an unused part that is kept while another partition wants it.
         self.assertFalse(self.poll())
         row = allowance.Row(parts={0: TEN}, wants={1: FIVE})
         self.table.transact({}, {KEY: allowances._encode(row)})
@@ -102,7 +102,7 @@
         self.assertEqual(allowances.BUSY_POLL_INTERVAL_S, self.manager._interval_s)
 
     def test_a_read_older_than_the_own_write_changes_nothing(self):
-        # Guards against a part that was returned and is used again.
+        # Guards against use of a part that was already returned.
         keys = self.manager.watched_keys()
         old = self.table.read(keys)
         self.manager.request_amount("team", FIVE)
@@ -123,7 +123,7 @@
         self.assertEqual({"team": FIVE}, self.delivered)
 
     def test_a_want_without_a_part_is_still_read(self):
-        # Guards against a want that is never met because its row is taken as unused.
+        # Guards against a want that is never met because its row counts as unused.
         self.return_all()
         row = allowance.Row(parts={1: TEN})
         self.table.transact({}, {KEY: allowances._encode(row)})
--- a/test/test_entries.py
+++ b/test/test_entries.py
@@ -14,7 +14,7 @@
 
 
 class EntriesTest(testtools.TestCase):
-    """Real processes: two entries, one of which is lost."""
+    """Test with real processes: two daemons, one of which is killed."""
 
     def call(self, port, method, path, body=None, key="", **headers):
         named = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -28,8 +28,8 @@
             connection.close()
 
     def test_a_repeat_at_another_entry_gets_the_outcome_of_the_first_call(self):
-        # Guards against an order that runs twice, or is lost, with its entry VM and
-        # the owner of its partition.
+        # Guards against a request that runs twice, or is lost, when the daemon that
+        # received it, and may own its partition, is killed.
         self.cluster = cluster.Cluster(
             workers=3,
             backend_servers=3,
@@ -48,7 +48,7 @@
             self.wait_until_served(ports, key)
             ids = [f"order-{number}" for number in range(12)]
 
-            def order(port, request_id):
+            def send_request(port, request_id):
                 return self.call(
                     port,
                     "POST",
@@ -59,15 +59,19 @@
                     X_Request_Id=request_id,
                 )
 
-            def lose(request_id):
+            def call_killed_daemon(request_id):
                 with contextlib.suppress(OSError, http.client.HTTPException):
-                    order(first, request_id)
+                    send_request(first, request_id)
 
-            lost = [gevent.spawn(lose, request_id) for request_id in ids]
+            interrupted_calls = [
+                gevent.spawn(call_killed_daemon, request_id) for request_id in ids
+            ]
             gevent.sleep(0.7)
             self.cluster.kill_daemon("e1")
-            gevent.joinall(lost)
-            repeats = [gevent.spawn(order, second, request_id) for request_id in ids]
+            gevent.joinall(interrupted_calls)
+            repeats = [
+                gevent.spawn(send_request, second, request_id) for request_id in ids
+            ]
             gevent.joinall(repeats, raise_error=True)
             events = self.cluster.record("backend_servers")["events"]
             runs = collections.Counter(
@@ -81,7 +85,7 @@
                 self.assertEqual((200, answer), found)
 
     def wait_until_served(self, ports, key):
-        """Wait until all entries know the configuration and the key."""
+        """Wait until all daemons know the configuration and the key."""
         for port in ports:
             with gevent.Timeout(10):
                 while self.call(port, "POST", PATH, "{}", key)[0] != 200:
--- a/test/test_fleet.py
+++ b/test/test_fleet.py
@@ -15,7 +15,7 @@
 
 
 class LinkTest(testtools.TestCase):
-    """Run a link against a stand-in worker with leases of a second."""
+    """Run a link against a stand-in worker with leases of 1 s."""
 
     def setUp(self):
         super().setUp()
@@ -91,8 +91,8 @@
         self.wait(lambda: any(m.finished for m in self.messages(wire.Report)))
 
     def test_a_worker_is_lost_only_after_its_tasks_have_stopped(self):
-        # Guards against a second place for a task that still runs on a cut off
-        # worker: compares the loss with the worker's own record.
+        # Guards against a second copy of a task that still runs on an unreachable
+        # worker: once it is reported lost, the worker must have stopped its tasks.
         lost_at = []
 
         def post(message):
@@ -140,8 +140,8 @@
         return link
 
     def test_a_renewal_that_was_not_allowed_is_tried_again_before_the_next_report(self):
-        # Guards against leases that end because the owner was narrowed for a moment
-        # when a report arrived.
+        # Guards against worker leases that expire because the owner's own lease had
+        # expired for a moment when a report arrived.
         self.patch(worker_link, "RENEW_RETRY_S", 0.05)
         self.patch(worker_reports, "REPORT_INTERVAL_S", 3600.0)
         self.may_renew = False
@@ -158,7 +158,7 @@
         self.assertEqual(["a/0"], list(self.worker._running))
 
     def test_a_start_is_checked_again_after_the_new_tick(self):
-        # Guards against a late start in a zone that was taken out meanwhile.
+        # Guards against a delayed start in a zone that was taken out meanwhile.
         link = self.open_with_old_tick()
         start = wire.TaskStart("a/0", 1, CAPACITY, "labels", True)
         self.assertTrue(link.start([start], lambda: False))
@@ -168,7 +168,7 @@
         self.assertEqual({}, self.worker._running)
 
     def test_a_stop_does_not_overtake_a_start_that_waits_for_a_tick(self):
-        # Guards against a stopped task that starts afterwards.
+        # Guards against a task that starts after it was stopped.
         link = self.open_with_old_tick()
         start = wire.TaskStart("a/0", 1, CAPACITY, "labels", True, b'{"run_ms": 60000}')
         link.start([start], lambda: True)
@@ -177,8 +177,8 @@
         self.assertEqual({}, self.worker._running)
 
     def test_starts_that_wait_for_a_silent_worker_are_refused(self):
-        # Guards against tasks that wait for the worker's lease although their start
-        # was never sent.
+        # Guards against tasks that wait until the worker's lease expires although their
+        # start was never sent.
         self.patch(workers, "ANSWER_TIMEOUT_S", 0.2)
         link = self.open_with_old_tick()
         self.worker.pause()
@@ -189,7 +189,7 @@
         self.assertEqual([], self.posted[-2].unanswered)
 
     def test_a_released_worker_attaches_to_another_partition_at_once(self):
-        # Guards against a moved worker that is of no use until its lease has ended.
+        # Guards against a moved worker that cannot be used until its lease has expired.
         former = self.open(partition=1)
         self.wait(lambda: former.attached)
         self.patch(worker_link, "WORKER_LEASE_S", 60.0)
@@ -238,7 +238,7 @@
         self.assertEqual([2, 2, 2], counts)
 
     def test_assigned_workers_do_not_move(self):
-        # A worker that moved would run tasks of one partition under another.
+        # Guards against a worker that runs tasks of one partition under another.
         assigned = {"a": 0, "b": 0, "c": 0}
         fleet.assign(assigned, ["d"], 2)
         self.assertEqual({"a": 0, "b": 0, "c": 0, "d": 1}, assigned)
--- a/test/test_fleet_drops.py
+++ b/test/test_fleet_drops.py
@@ -12,7 +12,7 @@
 
 
 class Link:
-    """Stand for the link to a worker."""
+    """Stand in for the link to a worker."""
 
     def __init__(self, _partition, _epoch, vm, *_functions):
         self.vm = vm
@@ -45,7 +45,7 @@
         self.links = self.fleet.links(number)
 
     def poll(self, *names):
-        """Poll with a VM list that holds some workers."""
+        """Poll with a VM list of the named workers."""
         zone = {"availability_zone": "z", "resources": resources.Resources(1, 1)}
         self.listed = [
             vms.Vm(id=name, role=vms.Role.WORKER, address="", port=1, **zone)
@@ -79,7 +79,7 @@
         return found.partitions
 
     def poll_absent(self):
-        """Let all see a list without worker `b` for longer than the limit."""
+        """Let all owners poll a list without worker `b` for longer than the limit."""
         for _ in range(2):
             for owner in (self.first, self.second):
                 owner.poll("a")
@@ -88,8 +88,8 @@
             owner.poll("a")
 
     def test_a_worker_in_use_is_not_dropped(self):
-        # Guards against a successor that starts the tasks of a worker again while
-        # they run there, since it finds the worker no more in the row.
+        # Guards against a successor that restarts tasks while they still run on the
+        # worker, because the worker is no longer in the row.
         self.poll_absent()
         self.assertEqual({"a": 0, "b": 1}, self.row())
 
@@ -104,14 +104,14 @@
         self.assertFalse(self.second.links["b"].closed)
 
     def test_a_former_owner_drops_nothing(self):
-        # Guards against a worker that leaves while the successor uses it.
+        # Guards against a worker that is removed while the successor uses it.
         self.link.lose()
         self.own(1)
         self.poll_absent()
         self.assertEqual({"a": 0, "b": 1}, self.row())
 
     def test_a_worker_in_doubt_is_not_used_until_the_row_has_changed(self):
-        # Guards against a late transaction that drops a worker in use.
+        # Guards against a delayed transaction that removes a worker in use.
         self.link.lose()
         self.second.client.late[ROW] = 1
         self.second.client.drop[ROW] = 1
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -24,7 +24,8 @@
         return self.cell[process].submit(*(names or [self.name]), **fields)
 
     def test_work_stays_where_it_was_accepted_and_is_found_there(self):
-        # Guards against an ID that the new number maps away from its log.
+        # Guards against an ID that is not found any more because the new partition
+        # count maps it to another log.
         self.submit("a")
         self.cell.change(5)
         for process in "ab":
@@ -43,7 +44,7 @@
         self.assertEqual({self.name: [self.present]}, self.cell.accepted())
 
     def test_an_owner_that_has_not_seen_the_change_cannot_accept(self):
-        # Guards against an owner that was paused over the change and then writes.
+        # Guards against an owner that was paused during the change and then writes.
         owner = self.cell.owner(self.former)
         version = owner.journal._layout.view.version
         self.cell["a"].client.before_commit = None
@@ -63,7 +64,7 @@
         self.assertEqual({self.name: [self.present]}, self.cell.accepted())
 
     def test_one_id_through_processes_of_different_generations_is_accepted_once(self):
-        # Guards against two owners that each accept the ID under their own number.
+        # Guards against two owners that each accept the ID, under different counts.
         for index in range(10):
             with self.subTest(index=index):
                 cell = resized.Cell("a", "b")
@@ -78,7 +79,7 @@
                 cell.stop()
 
     def test_a_write_in_doubt_is_settled_before_an_owner_denies_an_id(self):
-        # Guards against a denial while an acceptance of before may take effect.
+        # Guards against a denial while an earlier acceptance may still take effect.
         name = self.cell.owners[self.former][0]
         other = "b" if name == "a" else "a"
         owner = self.cell.owner(self.former)
@@ -93,7 +94,7 @@
         self.assertEqual({self.name: [self.former]}, self.cell.accepted())
 
     def test_an_owner_denies_nothing_under_an_older_layout(self):
-        # Guards against a denial that counts what was settled before the last change.
+        # Guards against a denial based on a log check before the last layout change.
         name = resized.moved_id(2, 3, 5)
         number = job.partition_of(name, 5)
         self.cell.change(5)
@@ -125,7 +126,7 @@
         self.assertEqual({self.name: [self.former]}, self.cell.accepted())
 
     def test_nothing_is_accepted_while_a_former_owner_is_dead(self):
-        # Guards against an acceptance without an answer of the former partition.
+        # Guards against an acceptance without a response of the former partition.
         self.cell.change(5)
         name = self.cell.owners[self.former][0]
         self.cell.claim(self.present, "b" if name == "a" else "a")
@@ -138,7 +139,7 @@
         self.assertEqual([self.name], self.submit(process))
 
     def test_an_unknown_job_is_not_found_only_under_the_present_layout(self):
-        # Guards against `NotFound` by a process that asks under the former number.
+        # Guards against `NotFound` by a process that knows only the former count.
         self.cell.change(5, "a")
         self.submit("a")
         status = self.cell["b"].partitions.lookup(self.name)
@@ -154,7 +155,7 @@
         return service.begin_request(request_id or self.name, "server")
 
     def test_a_request_begun_before_the_change_is_not_begun_again(self):
-        # Guards against a non-idempotent request that runs under both numbers.
+        # Guards against a non-idempotent request that runs under both counts.
         before = self.cell.owners[self.former][0]
         self.assertIsInstance(self.begin(before), request_log.Begun)
         self.cell.change(5)
@@ -175,7 +176,7 @@
         self.assertEqual({self.name: [self.former]}, self.cell.accepted())
 
     def test_ended_work_moves_and_the_former_number_is_removed(self):
-        # Guards against outcomes that are lost, and against a number kept for ever.
+        # Guards against lost outcomes and against former counts that stay forever.
         names = [f"job-{index}" for index in range(40)]
         self.assertEqual(names, self.submit("a", *names))
         self.cell.change(5)
@@ -215,8 +216,8 @@
         self.assertEqual(2, self.cell["a"].layout.layout.count)
         self.assertTrue(self.cell.owner(self.former).holds_job(self.name))
 
-    def test_a_handover_of_before_a_change_fails(self):
-        # Guards against an ID that moves between the questions for it.
+    def test_a_handover_from_before_a_change_fails(self):
+        # Guards against an ID that is not found because it moves during the queries.
         self.submit("a")
         self.cell.change(5)
         self.cell.end(self.name)
@@ -231,9 +232,9 @@
         accepting = job.partition_of(self.name, 3)
         self.assertTrue(self.cell.owner(accepting).holds_job(self.name))
 
-    def test_handovers_that_cross_a_change_back_lose_nothing(self):
-        # Guards against two logs that both forget, since each was told that the other
-        # one has the work.
+    def test_a_handover_during_a_change_back_loses_nothing(self):
+        # Guards against two logs that both delete a job, since each owner was told that
+        # the other one has it.
         self.submit("a")
         self.cell.change(5)
         self.cell.end(self.name)
@@ -276,7 +277,7 @@
         self.assertTrue(state.is_finished(self.name))
         self.assertNotIn(self.name, self.cell.owner(self.former).journal.state.specs)
 
-    def test_at_rest_a_submission_asks_nobody(self):
+    def test_without_former_counts_a_submission_queries_no_other_owner(self):
         self.cell.change(5)
         self.cell.step(2)
         self.cell.reread()
--- a/test/test_journal.py
+++ b/test/test_journal.py
@@ -94,8 +94,8 @@
         self.assertTrue(owner.fenced)
         self.assertIsInstance(self.append(owner, "c"), errors.Fenced)
 
-    def test_a_write_that_landed_before_the_takeover_counts(self):
-        # The answer is lost and a successor claims the partition meanwhile: the
+    def test_a_write_that_took_effect_before_the_takeover_counts(self):
+        # The response is lost and a successor claims the partition meanwhile. The
         # record is durable, so the caller must not be told that it is not.
         owner = self.open()
         self.table.lose = {owner.key(1): 1}
@@ -105,15 +105,15 @@
         self.assertIsNone(result.get(timeout=5))
 
     def test_a_journal_that_ends_answers_all_writers(self):
-        # Guards against writers of a partition that was given up who wait for ever, and
-        # against a record in doubt that is reported as certainly not written.
+        # Guards against writers that wait forever after the partition was released, and
+        # against an ambiguous write that is reported as certainly not written.
         owner = self.open()
         self.table.late = {owner.key(1): 1000}
-        doubtful = owner.append(log_records.Accepted(spec("a")), True)
+        ambiguous = owner.append(log_records.Accepted(spec("a")), True)
         gevent.sleep(0.01)
         waiting = owner.append(log_records.Accepted(spec("b")), True)
         owner.__exit__()
-        self.assertIsInstance(doubtful.get(timeout=5), errors.Ambiguous)
+        self.assertIsInstance(ambiguous.get(timeout=5), errors.Ambiguous)
         self.assertIsInstance(waiting.get(timeout=5), errors.Fenced)
         self.assertIsInstance(self.append(owner, "c"), errors.Fenced)
 
@@ -141,7 +141,7 @@
         self.assertEqual(names, set(self.reload().state.specs))
 
     def test_a_snapshot_waits_until_the_log_has_grown_by_its_size(self):
-        # Guards against writing all kept jobs again for each few rows.
+        # Guards against rewriting all jobs after every few rows.
         self.patch(journal, "ROWS_BEFORE_SNAPSHOT", 2)
         owner = self.open()
         puts = []
@@ -160,7 +160,8 @@
         self.assertGreaterEqual(len(puts) - before, 5)
 
     def test_a_successor_knows_the_sizes_of_snapshot_and_log(self):
-        # Guards against a snapshot at each takeover, and against none for long.
+        # Guards against a snapshot at each takeover, and against a log that grows for a
+        # long time without one.
         self.patch(journal, "ROWS_BEFORE_SNAPSHOT", 2)
         owner = self.open()
         for index in range(20):
@@ -171,7 +172,7 @@
         self.assertEqual(owner._bytes_since, successor._bytes_since)
 
     def test_a_failed_snapshot_keeps_the_rows(self):
-        # Guards against deleting rows whose content is nowhere else.
+        # Guards against deleting the only copy of the records.
         self.patch(journal, "ROWS_BEFORE_SNAPSHOT", 2)
         self.objects.down = True
         owner = self.open()
@@ -192,8 +193,8 @@
             state.apply(record)
         self.assertEqual(job.State.DONE, state.outcomes["a"]["a/0"].state)
 
-    def test_jobs_that_a_text_starts_are_never_forgotten(self):
-        # Forgetting one would run it again at the next change of the text.
+    def test_jobs_that_the_configuration_starts_are_never_deleted(self):
+        # Guards against running one again at the next change of the configuration.
         state = log_records.State()
         for name in ("apply.nightly.1", "a", "b"):
             state.apply(log_records.Accepted(spec(name)))
@@ -203,14 +204,14 @@
         self.assertEqual(["apply.nightly.1"], list(state.specs))
 
     def test_acceptance_times_are_kept_in_a_snapshot(self):
-        # Guards against gangs that change their order after a takeover.
+        # Guards against gangs whose order changes after a takeover.
         state, copy = log_records.State(), log_records.State()
         state.apply(log_records.Accepted(spec("a"), 7))
         for record in state.to_records():
             copy.apply(record)
         self.assertEqual({"a": 7}, copy.accepted_ms)
 
-    def test_unfinished_work_is_never_forgotten(self):
+    def test_unfinished_work_is_never_deleted(self):
         state = log_records.State()
         state.apply(log_records.Accepted(spec("a")))
         state.apply(log_records.RequestStarted("r", "server-1", 3))
--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -29,7 +29,7 @@
         self.assertEqual(["w10"], p[1].fleet.closed)
 
     def test_a_donor_keeps_what_its_own_waiting_work_needs(self):
-        # Guards against workers that leave while own work is about to use them.
+        # Guards against moving workers away that the own work is about to use.
         p = self.in_need(1, 3)
         p.run(0.5)
         core = p[1].cell.scheduler._core
@@ -47,7 +47,7 @@
         self.assertEqual({"w10"}, p.row()[1])
 
     def test_a_busy_worker_does_not_move_for_waiting_work(self):
-        # Guards against work that is stopped or held back for work of another kind.
+        # Guards against work that is stopped or delayed for another partition's work.
         p = self.partitions(1, 2)
         p.submit(1, "own", demand=WHOLE, task_count=2)
         p.run(1)
@@ -57,8 +57,8 @@
         self.assertEqual(set(), p[1].cordoned_workers)
 
     def test_a_worker_named_by_an_incomplete_record_stays(self):
-        # Guards against a successor that cannot ask the worker about an end or a
-        # start whose record it lacks.
+        # Guards against a successor that cannot ask the worker about a start or an end
+        # that the log does not contain.
         p = self.in_need(1, 3)
         p[1].bound = frozenset({"w10", "w11", "w12"})
         p.run(5)
@@ -67,7 +67,7 @@
         self.assertEqual({"w10", "w11", "w12"}, p.row()[1])
 
     def test_a_worker_that_has_just_attached_counts_before_placement_uses_it(self):
-        # Guards against a second worker for a need that is met already.
+        # Guards against a second worker for a need that is already met.
         p = self.in_need(1, 2)
         p.run(1)
         self.assertEqual(1, len(p[0].mover.statements()[0].waiting))
@@ -77,7 +77,7 @@
         self.assertEqual([], p[0].mover.statements()[0].waiting)
 
     def return_moved(self):
-        """Move one worker, let it become idle, and let its donor lack it."""
+        """Move one worker, let it become idle, and let its donor need it."""
         p = self.in_need(1, 3)
         p.run(4)
         [task] = p.workers["w10"].running
@@ -86,8 +86,8 @@
         p.run(4)
         return p
 
-    def test_a_moved_worker_rests_before_it_moves_for_waiting_work(self):
-        # Guards against a worker that goes back and forth.
+    def test_a_moved_worker_moves_for_waiting_work_only_after_a_cooldown(self):
+        # Guards against a worker that moves back and forth.
         p = self.return_moved()
         self.assertEqual({"w00", "w10"}, p.row()[0])
         p.run(move_planner.MOVE_COOLDOWN_S)
@@ -126,7 +126,7 @@
         self.fail("no move was tried")
 
     def test_a_paused_former_donor_moves_nothing(self):
-        # Guards against a worker that leaves while the successor starts tasks there.
+        # Guards against moving a worker on which the successor starts tasks.
         p = self.cells
         self.run_until_moving(lambda: p.take_over(1))
         self.assertEqual({"w10", "w11", "w12"}, p.row()[1])
@@ -148,7 +148,7 @@
         self.assertEqual(2, p.running("a"))
 
     def test_the_successor_of_a_donor_that_died_after_a_move_lets_the_worker_go(self):
-        # Guards against an owner that starts tasks on a worker of another partition.
+        # Guards against starting tasks on a worker of another partition.
         p = self.cells
         self.donor.client.lose[ROW] = 1
         self.run_until_moving(lambda: None)
@@ -159,13 +159,13 @@
         self.assertEqual((2, 2), (p.running("a"), p.running("own")))
 
     def test_a_worker_in_doubt_is_not_used_until_the_row_is_read(self):
-        # Guards against tasks on a worker that may belong to the receiver already.
+        # Guards against tasks on a worker that may already belong to the receiver.
         p = self.cells
         client = self.donor.client
         client.lose[ROW] = 1
         self.run_until_moving(lambda: None)
         client.down = True
-        p[0].paused = True  # the need is not heard any more
+        p[0].paused = True  # its report is no longer received
         p.submit(1, "own", demand=WHOLE, task_count=3)
         p.run(3)
         self.assertEqual({}, p.workers["w10"].running)
@@ -189,8 +189,9 @@
         self.assertEqual([], self.donor.fleet.closed)
 
     def test_a_lost_transaction_is_repeated_until_its_effect_is_known(self):
-        # Guards against a doubt that lasts because nobody else writes the row, and
-        # against a late first transaction that takes the worker after its return.
+        # Guards against a move that stays ambiguous because no other process writes the
+        # row, and against a delayed first transaction that moves the worker after its
+        # return.
         p = self.cells
         self.donor.client.late[ROW] = 1
         self.run_until_moving(lambda: None)
@@ -201,7 +202,7 @@
         self.assertEqual(2, p.running("a"))
 
     def test_a_late_transaction_before_its_repetition_counts_as_the_move(self):
-        # Guards against a conflict with the own first attempt taken for a failure.
+        # Guards against taking a conflict with the own first attempt for a failure.
         p = self.cells
         client = self.donor.client
         client.late[ROW] = 1
@@ -230,18 +231,21 @@
         p.run(2)
         self.assertEqual(2, p.running("a"))
 
-    def test_a_statement_from_before_a_move_moves_no_second_worker(self):
-        # Guards against one need that is met once by each statement heard.
+    def test_a_report_from_before_a_move_moves_no_second_worker(self):
+        # Guards against one more worker for each time that the same need is reported.
         p = self.cells
         self.run_until_moving(lambda: None)
         p[0].paused = True
-        p[0].paused, p[0].step = False, lambda: None  # heard, but not renewed
+        p[0].paused, p[0].step = (
+            False,
+            lambda: None,
+        )  # its report is received but not updated
         p.run(5)
         self.assertEqual({"w00", "w10"}, p.row()[0])
 
 
 class FaultsTest(testtools.TestCase):
-    """Mix takeovers, paused former owners and lost writes at random."""
+    """Combine takeovers, paused former owners and lost writes at random."""
 
     def submit(self, p, rng):
         for number in range(15):
--- a/test/test_partition.py
+++ b/test/test_partition.py
@@ -22,7 +22,7 @@
         self.assertIsInstance(answer, errors.Conflict)
 
     def test_a_non_idempotent_task_starts_after_its_intent_is_in_the_log(self):
-        # Guards against a start that a successor cannot know of.
+        # Guards against a start that a successor does not know of.
         seen = []
 
         def check(tasks):
@@ -52,8 +52,8 @@
         self.wait(lambda: self.fleet.found["w2"].started == ["a/0"])
 
     def test_a_worker_that_left_before_it_was_attached_gets_no_work(self):
-        # The VM list dropped a worker just before its first attach; it was then used
-        # for as long as the list stayed the same (scenario vm_list).
+        # If a worker disappeared from the VM list just before its first attach, it was
+        # used until the list changed again (scenario vm_list).
         self.fleet.leaving.add("w1")
         self.owner.post(worker_link.Leaving("w1", True))
         self.attach(self.owner, "w1")
@@ -75,7 +75,7 @@
             self.wait(lambda name=name: f"{name}/0" in self.fleet.found["w1"].started)
 
     def test_a_job_that_has_ended_cannot_be_cancelled(self):
-        # Callers were told "cancelled" of work that was done.
+        # Guards against "cancelled" as the result for a job that has completed.
         self.attach(self.owner)
         self.submit(self.owner, "a", "b")
         self.wait(lambda: len(self.fleet.found["w1"].started) == 2)
@@ -114,7 +114,7 @@
         [answer] = result.get(timeout=5)
         self.assertIsInstance(answer, errors.Unavailable)
 
-    def test_a_failing_question_is_not_left_without_an_answer(self):
+    def test_a_failing_query_is_answered(self):
         found = self.ask(self.owner, lambda result: inbox.Ask(lambda _: 1 / 0, result))
         self.assertIsInstance(found, errors.Unknown)
 
@@ -130,7 +130,7 @@
         self.assertEqual("a", events[0].job_id)
 
     def test_what_happens_to_workers_is_published(self):
-        # Guards against losses and decisions that only the log of a process names.
+        # Guards against losses and decisions that appear only in the log of a process.
         owner = self.open(1)
         published = []
         for kind in event_kinds.KINDS:
--- a/test/test_partition_faults.py
+++ b/test/test_partition_faults.py
@@ -7,7 +7,7 @@
 
 class OutageTest(partition_case.PartitionCase):
     def test_a_worker_keeps_a_result_until_it_is_in_the_log(self):
-        # Guards against a result that only a dying owner knew.
+        # Guards against a result that is lost with its owner.
         self.attach(self.owner)
         self.submit(self.owner, "a")
         self.wait(lambda: self.fleet.found["w1"].started)
@@ -21,8 +21,8 @@
         self.assertTrue(self.owner.is_durable("a"))
 
     def test_a_worker_is_bound_until_its_results_are_in_the_log(self):
-        # Guards against a move that leaves the only record of a result behind: the
-        # successor would run the task again.
+        # Guards against moving the worker that has the only copy of a result, after
+        # which a successor would run the task again.
         self.attach(self.owner)
         self.submit(self.owner, "a")
         link = self.fleet.found["w1"]
@@ -35,8 +35,8 @@
         self.assertEqual(frozenset(), self.owner.bound_workers())
 
     def test_a_worker_is_bound_by_an_intent_without_outcome(self):
-        # Guards against an unknown outcome of a task that certainly never ran: its
-        # start was refused, and only this worker can tell a successor so.
+        # Guards against the outcome "unknown" for a task whose start was refused: only
+        # this worker can tell a successor that it never ran.
         self.attach(self.owner)
         self.submit(self.owner, "a", idempotent=False)
         self.wait(lambda: self.fleet.found["w1"].started)
@@ -76,7 +76,7 @@
         self.wait(lambda: self.fleet.found["w1"].started == ["a/0"])
 
     def test_a_successor_never_repeats_what_may_have_run(self):
-        # The worker restarted, so that nobody knows what it did before.
+        # The worker has restarted, so it is unknown what it ran before.
         successor = self.start_elsewhere(idempotent=False)
         self.attach(successor, incarnation=2)
         self.attach(successor, "w2")
@@ -100,7 +100,7 @@
         self.attach(successor, finished=[kept])
         self.wait(lambda: self.state(successor, "a") is job.State.DONE)
 
-    def test_a_fenced_owner_gives_the_partition_up(self):
+    def test_a_fenced_owner_releases_the_partition(self):
         self.take_over()
         claims = self.owner._kernel.find("claims")
         [answer] = self.submit(self.owner, "late")
--- a/test/test_partitions.py
+++ b/test/test_partitions.py
@@ -11,7 +11,7 @@
 
 
 class Owned:
-    """Stand in for a partition that answers nothing until it is closed."""
+    """Stand in for a partition that does not answer before it is closed."""
 
     number = 0
 
@@ -53,8 +53,8 @@
         return reply.encode_result(["a"])
 
     def test_a_call_that_waits_for_a_former_owner_goes_to_the_next_one(self):
-        # Guards against callers of a process that alone lost the store: each waited
-        # 4 s for the log of a partition that had another owner, and got no answer.
+        # Guards against failed calls if only this process cannot reach the store: each
+        # waited 4 s for the log of a partition that already had another owner.
         owned = self.service._owned[0] = Owned()
         submission = gevent.spawn(self.service.submit, [JOB])
         gevent.sleep(0)
@@ -68,8 +68,8 @@
         self.assertEqual(["entry-2"], self.called)
 
     def test_a_job_whose_record_is_in_doubt_is_submitted_again(self):
-        # Guards against a lost answer to a write of a former owner that is passed on
-        # although the successor can tell whether the job was accepted.
+        # Guards against an ambiguous result after a lost response to a former owner's
+        # write, although the successor knows whether the job was accepted.
         owned = self.service._owned[0] = Owned()
 
         def post(message):
@@ -82,7 +82,7 @@
         self.assertEqual(["entry-2"], self.called)
 
     def test_a_store_that_refuses_is_reported_at_once(self):
-        # Guards against a repeat of refusals until the limit, which callers outwait.
+        # Guards against refusals that are retried until the limit while callers wait.
         owned = self.service._owned[0] = Owned()
         refusal = errors.StoreUnavailable(reason="down")
         owned.post = lambda message: message.result.set([refusal])
@@ -90,7 +90,7 @@
         self.assertEqual([], self.called)
 
     def test_an_accepted_job_is_never_reported_as_certainly_not_accepted(self):
-        # Guards against one failed job of a submission that hides the accepted ones.
+        # Guards against one failed job that hides the accepted ones of a submission.
         failure = errors.Unavailable(reason="no answer of a former partition")
         self.assertIsNone(reply.resubmission_failure(["a", failure]))
         self.assertIsInstance(reply.resubmission_failure([failure]), errors.Unavailable)
@@ -100,7 +100,7 @@
             )
 
     def test_the_wait_for_an_owner_ends_when_it_is_replaced(self):
-        # Guards against calls sent right before a takeover that wait for the timeout.
+        # Guards against calls sent right before a takeover that wait until the timeout.
         self.service.submit([JOB])
         self.assertFalse(self.abandon())
         self.owners.append("entry-2")
--- a/test/test_recovery.py
+++ b/test/test_recovery.py
@@ -29,7 +29,7 @@
         self.assertEqual({"done": 120}, c.scheduler.lookup("a").counts)
 
     def test_new_work_starts_before_all_workers_are_attached(self):
-        # Guards against a stop of the whole partition by one unreachable worker.
+        # Guards against one unreachable worker that blocks the whole partition.
         c = cell.Cell(workers=2)
         c.take_over()
         c.attach("w0")
@@ -38,7 +38,7 @@
         self.assertEqual({"new/0": "w0"}, c.running())
 
     def test_an_intent_decides_what_follows_for_non_idempotent_work(self):
-        # Guards against a second start, and against giving up work that never ran.
+        # Guards against a second start, and against a loss of work that never ran.
         for fate in ("running", "ended", "never arrived", "restarted", "lost"):
             c = cell.Cell(workers=2)
             c.submit(cell.spec(idempotent=False))
@@ -105,8 +105,8 @@
         self.assertEqual({}, c.running("new"))
 
     def test_an_older_ended_attempt_does_not_hide_the_running_one(self):
-        # Guards against a second copy when an acknowledgement was lost before a retry
-        # on the same worker.
+        # Guards against a second copy if the acknowledgement was lost before a retry on
+        # the same worker.
         c = cell.Cell()
         c.submit(cell.spec())
         c.tick()
@@ -122,7 +122,7 @@
 
 class WorkerTest(testtools.TestCase):
     def test_the_rules_for_a_task_that_its_worker_does_not_know(self):
-        # Guards against a change of the table that the model in spec/ relies on.
+        # Guards against a change of the rules on which the model in spec/ relies.
         rules = {
             (State.INTENDED, False): "keep",
             (State.INTENDED, True): "never_ran",
@@ -152,7 +152,7 @@
         self.assertEqual({"a", "b"}, set(c.finished))
 
     def test_a_task_that_kills_its_workers_is_given_up(self):
-        # Guards against one task that takes down worker after worker.
+        # Guards against a task that crashes one worker after another.
         c = cell.Cell(workers=1)
         c.submit(cell.spec())
         while "a" not in c.finished:
@@ -163,7 +163,7 @@
         self.assertEqual(6, c.starts["a/0"])
 
     def test_an_unknown_task_on_a_worker_is_stopped_and_holds_room(self):
-        # Guards against work that nobody owns and against overcommitting its worker.
+        # Guards against orphan tasks and against overcommitting their worker.
         c = cell.Cell(workers=0)
         c.workers["w0"] = cell.Worker("w0", "z0", cell.CAPACITY)
         c.specs["gone"] = cell.spec("gone")
--- a/test/test_request_log.py
+++ b/test/test_request_log.py
@@ -44,7 +44,7 @@
         return state
 
     def test_a_successor_finds_the_server_that_was_named_last(self):
-        # Guards against a successor that asks a server that refused the request.
+        # Guards against a successor that asks a server which refused the request.
         self.log.begin("r", "first")
         self.assertEqual(request_log.Begun(1), self.log.move("r", "second"))
         entry = self.replay().requests["r"]
--- a/test/test_roster.py
+++ b/test/test_roster.py
@@ -10,7 +10,7 @@
 
 class RosterTest(testtools.TestCase):
     def test_an_older_read_changes_nothing(self):
-        # Guards against a worker that comes back to the owner that moved it.
+        # Guards against a worker that returns to the owner that moved it away.
         found = roster.Roster()
         found.apply_row(row(5, a=1), 1.0)
         found.apply_row(row(4, a=0), 2.0)
--- a/test/test_runner.py
+++ b/test/test_runner.py
@@ -16,7 +16,7 @@
         return super().serve(idempotent=False, **changes)
 
     def test_a_repeated_id_gets_the_same_answer_and_runs_once(self):
-        # Guards against two boxes shipped for one order.
+        # Guards against running a request again when it is repeated.
         for body in (b"whole", b"x" * LARGE):
             self.start(body, b"another")
             for _ in range(3):
@@ -30,7 +30,7 @@
         self.assertEqual(["r1"], self.client.ran)
 
     def test_an_id_cannot_be_used_for_another_request(self):
-        # Guards against an order that is answered with the answer to another one.
+        # Guards against answering a request with the response to another one.
         self.start()
         self.check_whole(self.serve())
         self.assertIsInstance(self.serve(body=b"other"), errors.Conflict)
@@ -42,8 +42,8 @@
         self.assertEqual(["r1"], self.partitions.begun)
 
     def test_a_server_that_stays_full_is_replaced_in_the_log_before_the_send(self):
-        # Guards against an order that is stuck with one server, and against a
-        # successor that asks the wrong server.
+        # Guards against a request that is bound to one server, and against a successor
+        # that asks the wrong server.
         self.patch(runner, "MOVE_AFTER_S", 0.0)
         self.start(request_fakes.REFUSED, request_fakes.UNREACHED, b"whole")
         named = []
@@ -62,7 +62,7 @@
         self.assertEqual(sent[-1], outcomes.decode_start(entry.server).server)
 
     def test_a_lost_answer_never_moves_a_request(self):
-        # Guards against one order at two servers.
+        # Guards against running one request at two servers.
         self.patch(runner, "MOVE_AFTER_S", 0.0)
         self.patch(inquiry, "UNSEEN_LIMIT_S", 0.1)
         self.start(request_fakes.REFUSED, request_fakes.LOST, b"whole")
@@ -91,7 +91,7 @@
         self.assertIsInstance(self.serve(deadline_s=0.2), errors.Unknown)
         self.assertEqual([], self.client.sent)
 
-    def test_an_unreached_server_ends_as_not_run_for_good(self):
+    def test_a_request_to_an_unreachable_server_is_recorded_as_not_run(self):
         self.patch(runner, "MOVE_AFTER_S", 0.05)
         self.start(request_fakes.UNREACHED)
         for _ in range(2):
@@ -114,7 +114,8 @@
             self.assertEqual([], self.client.sent)
 
     def test_a_dead_server_is_not_named_in_the_log(self):
-        # Guards against an order that ends as not run although others could run it.
+        # Guards against a request that ends as not run although other servers could run
+        # it.
         self.start(count=2)
         self.client.dead = {"10.0.0.1:80"}
         for number in range(8):
@@ -122,7 +123,7 @@
         self.assertEqual({"10.0.0.2:80"}, {server for server, _, _ in self.client.sent})
 
     def test_a_request_that_its_server_does_not_know_ends_as_unknown(self):
-        # Guards against callers that wait until their deadline for nothing.
+        # Guards against callers that wait until their deadline without a reason.
         self.start(request_fakes.LOST)
         clock = request_fakes.Clock()
         self.patch(inquiry, "gevent", clock.gevent)
@@ -141,7 +142,7 @@
         self.assertIsInstance(self.serve(), errors.Conflict)
         self.assertEqual([], self.client.sent)
 
-    def test_a_log_that_cannot_be_read_proves_nothing(self):
+    def test_a_request_is_not_refused_as_not_run_without_reading_the_log(self):
         # Guards against "not run" for the repeat of an ID that ran before.
         self.start()
         doubt = errors.Unavailable(reason="ownership is in doubt")
@@ -149,7 +150,7 @@
         self.assertIsInstance(self.serve(deadline_s=0.2), errors.Unavailable)
 
     def test_a_server_that_leaves_during_the_record_gets_nothing(self):
-        # Guards against new work on a leaving server after a slow write.
+        # Guards against a request to a leaving server after a slow log write.
         self.start()
         plain = self.partitions.begin_request
 
@@ -177,7 +178,7 @@
         self.assertEqual(b"whole", self.service.lookup("r1").body)
 
     def test_a_fenced_owner_reports_nothing_as_final(self):
-        # Guards against a paused owner whose refusal contradicts its successor.
+        # Guards against a paused owner whose refusal contradicts the successor.
         self.start(request_fakes.FENCED)
         self.client.raise_answer = errors.Fenced(epoch=9)
         self.assertIsInstance(self.serve(deadline_s=0.2), errors.Unknown)
@@ -197,14 +198,14 @@
         self.client.lookups = collections.deque([backend_servers.Running(), lookup])
 
     def test_a_successor_asks_the_server_after_raising_the_epoch(self):
-        # Guards against an order that runs twice, or is forgotten, with its owner.
+        # Guards against a request that runs twice, or is lost, when its owner dies.
         self.take_over(b"late")
         self.check_whole(self.serve(), b"late")
         self.assertEqual([("10.0.0.9:80", 2)], self.client.epochs)
         self.assertEqual([], self.client.sent)
         self.assertEqual(b"late", self.service.lookup("r1").body)
 
-    def test_a_request_that_the_server_never_saw_is_not_run_for_good(self):
+    def test_a_request_that_the_server_never_saw_is_recorded_as_not_run(self):
         self.take_over(errors.NotFound(reason="unseen"))
         run = self.service._runner.run
         for _ in range(2):
--- a/test/test_search.py
+++ b/test/test_search.py
@@ -34,8 +34,8 @@
 
         return search.find(self.service, NAME, ask)
 
-    def test_work_that_moves_between_the_questions_is_found(self):
-        # Guards against `NotFound` for a job that is handed over meanwhile.
+    def test_work_that_moves_between_the_queries_is_found(self):
+        # Guards against `NotFound` for a job that is handed over during the search.
         first, second = self.view.layout.possible_partitions(NAME)
         found = self.find(lambda: first if len(self.asked) > 2 else second)
         self.assertEqual(second, found)
@@ -43,13 +43,13 @@
         found = self.find(lambda: first if len(self.asked) > 1 else second)
         self.assertEqual(first, found)
 
-    def test_a_change_that_was_not_known_here_begins_another_round(self):
-        # Guards against `NotFound` under a former number.
+    def test_an_unknown_layout_change_starts_another_round(self):
+        # Guards against `NotFound` under a former partition count.
         self.stored = layout.VersionedLayout(layout.Layout(current=3, former=(2, 5)), 2)
         accepting = self.stored.layout.partition_of(NAME)
         self.assertEqual(accepting, self.find(lambda: accepting))
         self.assertEqual(UNKNOWN, self.find(lambda: None))
 
-    def test_without_the_store_nothing_is_certainly_absent(self):
+    def test_without_the_store_a_job_is_never_reported_as_not_found(self):
         self.reread = lambda: errors.Unavailable(reason="down")
         self.assertIsInstance(self.find(lambda: None), errors.Unavailable)
--- a/test/test_worker_events.py
+++ b/test/test_worker_events.py
@@ -29,13 +29,13 @@
         facts = effects.WorkerFacts("w1", incarnation, zero, "z1", "r1")
         self.events.attached(facts)
 
-    def test_a_first_attachment_and_a_new_stream_are_not_told(self):
+    def test_a_first_attach_and_a_new_stream_are_not_published(self):
         # Guards against an event for each worker after each takeover.
         self.attach()
         self.attach()
         self.assertEqual([], self.published)
 
-    def test_a_loss_and_the_return_are_told_with_the_place(self):
+    def test_a_loss_and_the_return_are_published_with_zone_and_rack(self):
         self.attach()
         self.events.lost("w1", 3)
         self.attach()
@@ -47,10 +47,10 @@
         ]
         self.assertEqual(expected, self.published)
 
-    def test_a_worker_that_the_vm_list_no_longer_names_is_told(self):
+    def test_the_loss_of_a_worker_without_a_link_is_published(self):
         self.events.lost("w2", 0)
         self.assertEqual([event_kinds.WorkerLost("w2", "", "", 2, 0)], self.published)
 
-    def test_a_refusal_tells_both_epochs(self):
+    def test_a_refusal_is_published_with_both_epochs(self):
         self.events.refused(worker_link.EpochRefused("w1", 9))
         self.assertEqual([event_kinds.EpochRefused("w1", 2, 7, 9)], self.published)
