--- a/test/partition_case.py
+++ b/test/partition_case.py
@@ -182,7 +182,8 @@
 
     def state(self, owner, name):
         status = self.ask(
-            owner, lambda result: inbox.Ask(lambda found: found.lookup(name), result)
+            owner,
+            lambda result: inbox.Ask(lambda scheduler: scheduler.lookup(name), result),
         )
         return status.outcome.state if status.outcome else None
 
--- a/test/resized.py
+++ b/test/resized.py
@@ -146,12 +146,12 @@
         self.dead, self.calls = set(), []
         self.owners = {}
         self.nodes = {name: Node(self, name, count) for name in names}
-        self.spread(count)
+        self.claim_unowned(count)
 
     def __getitem__(self, name):
         return self.nodes[name]
 
-    def spread(self, count):
+    def claim_unowned(self, count):
         """Give each partition without an owner to one of the processes in turn."""
         for number, name in zip(range(count), itertools.cycle(self.nodes)):
             if number not in self.owners:
@@ -174,7 +174,7 @@
         names = names or tuple(self.nodes)
         self.nodes[names[0]].change(number)
         self.reread(*names)
-        self.spread(number)
+        self.claim_unowned(number)
 
     def owner(self, number):
         return self.nodes[self.owners[number][0]].partitions.owned()[number]
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -59,7 +59,7 @@
         self.assertFalse(owner.journal.fenced)
         self.assertEqual({}, self.cell.accepted())
         self.cell.reread()
-        self.cell.spread(5)
+        self.cell.claim_unowned(5)
         self.assertEqual([self.name], self.submit(name))
         self.assertEqual({self.name: [self.present]}, self.cell.accepted())
 
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -144,7 +144,7 @@
         failure = owner.journal.append(entries, True, view.version).get()
         if failure is None and entries.jobs:
             now = self._clock()
-            failure = owner.ask(lambda found: found.adopt(entries.jobs, now))
+            failure = owner.ask(lambda scheduler: scheduler.adopt(entries.jobs, now))
         return reply.encode_result(failure or len(names))
 
     def _serve_remaining(self, _sender: str, envelope: bytes) -> bytes:
@@ -207,7 +207,7 @@
             self._remove_former_counts(owned[REMOVING_PARTITION])
 
     def _find_misplaced(self, owner: partition.Partition) -> Misplaced | errors.Failure:
-        """Return the IDs of other partitions that a verified owner holds."""
+        """Return the IDs held for other partitions, if the owner's log is verified."""
         current_layout = self._view.layout
         known = self._misplaced.get(owner.number)
         if not owner.log_check.is_verified():
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -124,11 +124,11 @@
         ambiguous = self._ambiguous_moves.get(number)
         if ambiguous is not None:
             self._resolve(owner, ambiguous)
-        statements = self.latest_reports()
-        latest = max((each.workers_version for each in statements.values()), default=0)
+        reports = self.latest_reports()
+        latest = max((each.workers_version for each in reports.values()), default=0)
         if latest > fleet.roster.version:
             fleet.reread()
-        facts = self._cell_view(owner)
+        cell_view = self._cell_view(owner)
         ambiguous = self._ambiguous_moves.get(number)
         moving = frozenset(ambiguous.batch.workers if ambiguous else ())
 
@@ -136,9 +136,9 @@
             scheduler: object,
         ) -> tuple[capacity_report.CapacityReport, move_planner.Batch | None]:
             now = self._clock()
-            report = scheduler.move_planner.report(facts, now)
+            report = scheduler.move_planner.report(cell_view, now)
             batch = scheduler.move_planner.plan(
-                number, {**statements, number: report}, facts, now, moving
+                number, {**reports, number: report}, cell_view, now, moving
             )
             return report, batch
 
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -50,12 +50,12 @@
             return errors.Unavailable(reason="this process does not own the partition")
         return owned
 
-    def _ask(self, number: int, make: object) -> object | errors.Failure:
+    def _ask(self, number: int, make_message: object) -> object | errors.Failure:
         owned = self._wait_until_ready(number)
         if isinstance(owned, errors.Failure):
             return owned
         result = gevent.event.AsyncResult()
-        owned.post(make(result))
+        owned.post(make_message(result))
         gevent.wait([result, owned.closed], timeout=routes.CALL_TIMEOUT_S, count=1)
         if result.ready():
             return result.get()
@@ -98,7 +98,8 @@
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
         name = body.decode()
         found = self._ask(
-            number, lambda result: inbox.Ask(lambda owner: owner.lookup(name), result)
+            number,
+            lambda result: inbox.Ask(lambda scheduler: scheduler.lookup(name), result),
         )
         owned = self._owned.get(number)
         if isinstance(found, effects.JobStatus) and not (
@@ -113,7 +114,9 @@
         return reply.encode_result(
             self._ask(
                 number,
-                lambda result: inbox.Ask(lambda owner: owner.explain(name), result),
+                lambda result: inbox.Ask(
+                    lambda scheduler: scheduler.explain(name), result
+                ),
             )
         )
 
@@ -134,5 +137,5 @@
         )
 
 
-def _free_resources(owner: object) -> dict[str, resources.Resources]:
-    return owner.free_by_worker()
+def _free_resources(scheduler: object) -> dict[str, resources.Resources]:
+    return scheduler.free_by_worker()
--- a/toucanspring/owners/recovery.py
+++ b/toucanspring/owners/recovery.py
@@ -149,8 +149,8 @@
     state.schedulable = True
     core.placement_needed = True
     if core.collecting_gang:
-        # It may have been moved here for the gang. `moves` releases it if the gang has
-        # enough workers.
+        # It may have been moved here for the gang. `move_planner` releases it if the
+        # gang has enough workers.
         core.collected_workers |= {worker}
     core.update_schedulable(worker, now)
     present = set()
--- a/toucanspring/owners/request_log.py
+++ b/toucanspring/owners/request_log.py
@@ -41,8 +41,8 @@
 class RequestLog:
     """Record the starts and outcomes of requests in a partition's log."""
 
-    def __init__(self, owner: journal.Journal) -> None:
-        self._journal = owner
+    def __init__(self, partition_journal: journal.Journal) -> None:
+        self._journal = partition_journal
         self._beginning: set[str] = set()
 
     def begin(
--- a/toucanspring/owners/roster.py
+++ b/toucanspring/owners/roster.py
@@ -20,9 +20,8 @@
         self.partitions: dict[str, int] = {}  # worker -> partition
         # Partition -> version of the row that last changed its set of workers.
         self.changed_at: dict[int, int] = {}
-        self.moved_at: dict[
-            str, float
-        ] = {}  # worker -> monotonic time when a move was read
+        # Worker -> monotonic time at which its last move was read.
+        self.moved_at: dict[str, float] = {}
 
     def apply_row(self, row: tables.Row, now: float) -> None:
         """Apply a row that was read, unless a later version is known.
