--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -236,10 +236,8 @@
         p = self.cells
         self.run_until_moving(lambda: None)
         p[0].paused = True
-        p[0].paused, p[0].step = (
-            False,
-            lambda: None,
-        )  # its report is received but not updated
+        # Its report is received but not updated.
+        p[0].paused, p[0].step = False, lambda: None
         p.run(5)
         self.assertEqual({"w00", "w10"}, p.row()[0])
 
