--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -1,4 +1,4 @@
-"""Partitions with an owner each that share a table service and their workers."""
+"""Partitions, each with its own owner, that share a table service and workers."""
 
 import types
 
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Follow the row `workers` and attach what belongs to the partition."""
+    """Read the row `workers` and attach the workers of the partition."""
 
     def __init__(self, owner):
         self.owner = owner
@@ -41,7 +41,7 @@
         rows = self.owner.client.read([roster.WORKERS_ROW])
         if isinstance(rows, errors.Failure):
             return rows
-        self.roster.take(rows[roster.WORKERS_ROW], self.owner.clock())
+        self.roster.apply_row(rows[roster.WORKERS_ROW], self.owner.clock())
         return None
 
     def follow(self):
@@ -55,7 +55,7 @@
     def listed(self, partition):
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition):
+    def listed_elsewhere(self, partition):
         return self._listed(lambda owner: owner != partition)
 
     def _listed(self, matches):
@@ -65,12 +65,12 @@
             if matches(self.roster.partitions.get(name))
         }
 
-    def hand_over(self, _number, worker):
+    def release_worker(self, _number, worker):
         self.closed.append(worker)
 
 
 class Owner:
-    """Run the scheduler and the mover of one partition; stands for the process."""
+    """Run the scheduler and the mover of one partition, as its process does."""
 
     def __init__(self, shared, number, epoch):
         self.shared, self.number, self.epoch = shared, number, epoch
@@ -115,7 +115,7 @@
             if owner is not self and not owner.paused
         }
 
-    # What the mover uses of a partition
+    # The interface of a partition that the mover uses
 
     def ask(self, function):
         return function(self.cell.scheduler)
@@ -127,7 +127,7 @@
         self.cell.call("worker_lost", message.worker)
         del self.cell.workers[message.worker]
 
-    def facts(self):
+    def attached_workers(self):
         return self.cell.scheduler._core.workers
 
     def bound_workers(self):
@@ -179,13 +179,13 @@
         )
 
     def row(self):
-        """Return the workers by partition as the row has them."""
+        """Return the workers by partition, as in the row."""
         found = roster.Roster()
-        found.take(self.tables.rows[roster.WORKERS_ROW], 0)
+        found.apply_row(self.tables.rows[roster.WORKERS_ROW], 0)
         return {number: found.workers_of(number) for number in self.specs}
 
     def take_over(self, number):
-        """Let a new owner claim a partition; return the former one."""
+        """Let a new owner claim a partition; return the former owner."""
         former = self.owners.get(number)
         epoch = former.epoch + 1 if former else 1
         self.owners[number] = Owner(self, number, epoch)
--- a/test/resized.py
+++ b/test/resized.py
@@ -1,4 +1,4 @@
-"""Processes with real partitions on one table service, while their number changes."""
+"""Processes with real partitions on one table service; their number can change."""
 
 import itertools
 import types
@@ -86,7 +86,7 @@
         return frozenset()
 
     def fresh(self, _now):
-        return False  # nothing starts, so that jobs end only as a test says
+        return False  # no task starts, so jobs end only by `Cell.end`
 
 
 class Members(Service):
@@ -98,7 +98,7 @@
 
 
 class Node:
-    """Run the partitions of one process; only `reread` shows it a change."""
+    """Run the partitions of one process; it sees layout changes only by `reread`."""
 
     def __init__(self, cell, name, count):
         self.cell, self.name = cell, name
@@ -146,19 +146,19 @@
         self.dead, self.calls = set(), []
         self.owners = {}
         self.nodes = {name: Node(self, name, count) for name in names}
-        self.spread(count)
+        self.claim_unowned(count)
 
     def __getitem__(self, name):
         return self.nodes[name]
 
-    def spread(self, count):
+    def claim_unowned(self, count):
         """Give each partition without an owner to one of the processes in turn."""
         for number, name in zip(range(count), itertools.cycle(self.nodes)):
             if number not in self.owners:
                 self.claim(number, name)
 
     def claim(self, number, name):
-        """Let a process claim a partition without news to its former owner."""
+        """Let a process claim a partition without the former owner's knowledge."""
         epoch = self.owners[number][1] + 1 if number in self.owners else 1
         key = ownership_rows.key_of(number)
         answer = self.shared.client().transact({}, {key: name.encode()}, ())
@@ -170,11 +170,11 @@
             self.nodes[name].layout.reread()
 
     def change(self, number, *names):
-        """Change the number; only the named processes, or all, see it."""
+        """Change the partition count; only the named processes, or all, read it."""
         names = names or tuple(self.nodes)
         self.nodes[names[0]].change(number)
         self.reread(*names)
-        self.spread(number)
+        self.claim_unowned(number)
 
     def owner(self, number):
         return self.nodes[self.owners[number][0]].partitions.owned()[number]
@@ -207,7 +207,7 @@
     def step(self, times=1):
         for _ in range(times):
             for node in self.nodes.values():
-                node.handover._next_release = 0.0
+                node.handover._next_removal = 0.0
                 node.handover.step()
             gevent.sleep(0)
 
@@ -227,7 +227,7 @@
 
 
 def moved_id(*numbers):
-    """Return an ID that each number of partitions maps to another partition."""
+    """Return an ID that each partition count maps to a different partition."""
     names = (f"job-{index}" for index in itertools.count())
     return next(
         name
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -1,4 +1,4 @@
-"""Streams to the workers of the partitions that this process owns."""
+"""Service `fleet`: links to the workers of the partitions that this process owns."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 log = logbook.Logger(__name__)
 
 POLL_INTERVAL_S = 1.0
+# A lost worker that the VM list has not contained for this long is removed.
 FORGET_ABSENT_S = 600.0
 WORKERS_ROW = roster.WORKERS_ROW
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holder:
-    """Describe the ownership of a partition that uses workers."""
+class PartitionOwnership:
+    """Ownership of a partition by this process."""
 
     epoch: int
     row_version: int  # of the ownership row
@@ -33,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drop:
-    """Hold lost workers that leave the row; they are not used meanwhile.
+    """Lost workers that are being removed from the row; they are not used meanwhile.
 
-    The transaction may take effect while the row has the version that it checks.
+    The transaction may still take effect while the row has the version it checks.
     """
 
     checked_version: int
@@ -43,7 +44,7 @@
 
 
 class Service:
-    """Keep links to the workers of owned partitions (kernel name `fleet`)."""
+    """Maintain links to the workers of owned partitions (kernel name `fleet`)."""
 
     def __init__(
         self,
@@ -59,13 +60,13 @@
         self._vms: dict[str, vms.Vm] = {}
         self._last_list: list[vms.Vm] | None = None
         self._absent_since: dict[str, float] = {}
-        self._holders: dict[int, Holder] = {}
+        self._ownerships: dict[int, PartitionOwnership] = {}
         self._drops: dict[int, Drop] = {}
         self._leaving: dict[str, bool] = {}
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin polling the VM list and the worker map."""
+        """Start polling the VM list and the row `workers`."""
         self._kernel.find("claims").is_pinned = self.has_unreachable
         self._greenlet = gevent.spawn(self._poll)
 
@@ -73,7 +74,7 @@
         """Close all links."""
         if self._greenlet is not None:
             self._greenlet.kill()
-        for partition in list(self._holders):
+        for partition in list(self._ownerships):
             self.remove_partition(partition)
 
     def add_partition(
@@ -84,13 +85,13 @@
         post: Callable[[object], None],
     ) -> None:
         """Connect to the workers of a partition and post their messages."""
-        self._holders[partition] = Holder(epoch, row_version, post)
+        self._ownerships[partition] = PartitionOwnership(epoch, row_version, post)
         self._links[partition] = {}
         self._update_links(partition)
 
     def remove_partition(self, partition: int) -> None:
         """Close the links of a partition."""
-        self._holders.pop(partition, None)
+        self._ownerships.pop(partition, None)
         self._drops.pop(partition, None)
         for link in self._links.pop(partition, {}).values():
             link.close()
@@ -100,7 +101,7 @@
         return self._links.get(partition, {}).get(worker)
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes sent to and received from workers over present streams."""
+        """Return the bytes sent to and received from workers over current streams."""
         pairs = [
             link.traffic() for links in self._links.values() for link in links.values()
         ]
@@ -111,40 +112,42 @@
         return self._links.get(partition, {})
 
     def has_unreachable(self, partition: int) -> bool:
-        """Return whether a worker may still run tasks but cannot be reached.
+        """Return whether any worker may still run tasks but cannot be reached.
 
-        A new owner would have to wait for its lease from the beginning.
+        A new owner would have to wait for the whole lease of this worker.
         """
         return any(
             not (link.attached or link.lost) for link in self.links(partition).values()
         )
 
     def is_leaving(self, worker: str) -> bool:
-        """Return whether the VM list shows a worker as leaving or not at all."""
+        """Return whether the VM list has a worker as leaving, or not at all."""
         return self._leaving.get(worker, False)
 
     def assigned(
         self, partition: int
     ) -> dict[str, resources.Resources | None] | errors.Failure:
-        """Read which workers belong to a partition, with their listed capacity."""
+        """Read the workers of a partition, with their capacity in the VM list."""
         failure = self._read_assignment()
         if failure is not None:
             return failure
         if not self._vms:
             listed = self._kernel.find("store").vms.list(vms.SHARED_AGE_S)
             if not isinstance(listed, errors.Failure):
-                self._see_vms(listed)
+                self._update_vms(listed)
         return {
             worker: self._capacity(worker)
             for worker in self.roster.workers_of(partition)
         }
 
     def listed(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
-        """Return the workers of a partition by their entries in the VM list."""
+        """Return the workers of a partition that the VM list has contained."""
         return self._listed(lambda owner: owner == partition)
 
-    def elsewhere(self, partition: int) -> dict[str, capacity_report.ListedWorker]:
-        """Return the workers of all other partitions."""
+    def listed_elsewhere(
+        self, partition: int
+    ) -> dict[str, capacity_report.ListedWorker]:
+        """Return those workers of all other partitions."""
         return self._listed(lambda owner: owner != partition)
 
     def _listed(
@@ -161,14 +164,14 @@
         }
 
     def reread(self) -> None | errors.Failure:
-        """Read which workers belong to which partition, and follow changes."""
+        """Read the row `workers` and update the links."""
         failure = self._read_assignment()
         if failure is None:
-            for partition in list(self._holders):
+            for partition in list(self._ownerships):
                 self._update_links(partition)
         return failure
 
-    def hand_over(self, partition: int, worker: str) -> None:
+    def release_worker(self, partition: int, worker: str) -> None:
         """Close the link to a worker that was moved to another partition."""
         link = self._links.get(partition, {}).pop(worker, None)
         if link is not None:
@@ -189,21 +192,21 @@
             gevent.sleep(POLL_INTERVAL_S)
 
     def _poll_once(self) -> None:
-        if not self._holders:
+        if not self._ownerships:
             return
         listed = self._kernel.find("store").vms.list(vms.SHARED_AGE_S)
         if not isinstance(listed, errors.Failure):
-            self._see_vms(listed)
+            self._update_vms(listed)
         if self._read_assignment() is None:
-            if 0 in self._holders:
+            if 0 in self._ownerships:
                 self._assign_workers()
-            for partition in list(self._holders):
-                if partition in self._holders:  # may be lost during a transaction
+            for partition in list(self._ownerships):
+                if partition in self._ownerships:  # may be lost during a transaction
                     self._drop_lost(partition)
-        for partition in list(self._holders):
+        for partition in list(self._ownerships):
             self._update_links(partition)
 
-    def _see_vms(self, listed: list[vms.Vm]) -> None:
+    def _update_vms(self, listed: list[vms.Vm]) -> None:
         if listed is self._last_list:
             return
         self._last_list = listed
@@ -223,22 +226,22 @@
                 self._post_leaving(worker, leaving)
 
     def _post_leaving(self, worker: str, leaving: bool) -> None:
-        holder = self._holders.get(self.roster.partitions.get(worker, -1))
-        if holder is not None:
-            holder.post(worker_link.Leaving(worker, leaving))
+        ownership = self._ownerships.get(self.roster.partitions.get(worker, -1))
+        if ownership is not None:
+            ownership.post(worker_link.Leaving(worker, leaving))
 
     def _read_assignment(self) -> None | errors.Failure:
         rows = self._kernel.find("store").tables.read([WORKERS_ROW])
         if isinstance(rows, errors.Failure):
             return rows
         row = rows[WORKERS_ROW]
-        self.roster.take(row, time.monotonic())
+        self.roster.apply_row(row, time.monotonic())
         return None
 
     def _assign_workers(self) -> None:
-        """Give new workers to the partitions that have the fewest."""
+        """Assign new workers to the partitions with the fewest workers."""
         layout = self._kernel.find("layout").layout
-        # A move that another process had decided on before the number shrank.
+        # Workers that another process moved before it knew of a lower partition count.
         surplus = {
             worker
             for worker, number in self.roster.partitions.items()
@@ -267,10 +270,10 @@
         self._read_assignment()
 
     def _drop_lost(self, partition: int) -> None:
-        """Take lost workers that are long absent from the VM list out of the row.
+        """Remove lost workers from the row that have long been absent from the VM list.
 
-        Only the owner knows that no task of the partition can run on a worker; its
-        successor starts again what ran on a worker that the row does not name.
+        Only the owner knows that no task of the partition can be running on a worker: a
+        successor restarts the tasks of workers that are not in the row.
         """
         drop = self._drops.get(partition)
         if drop is None or drop.checked_version != self.roster.version:
@@ -278,7 +281,7 @@
             drop = self._choose_drop(partition)
             if drop is None:
                 return
-            # Closed before the transaction, since the worker might return.
+            # Closed before the transaction, since the worker could attach again.
             for worker in drop.workers:
                 self._links[partition].pop(worker).close()
             self._drops[partition] = drop
@@ -290,13 +293,17 @@
         answer = self._kernel.find("store").tables.transact(
             {
                 WORKERS_ROW: drop.checked_version,
-                ownership_rows.key_of(partition): self._holders[partition].row_version,
+                ownership_rows.key_of(partition): self._ownerships[
+                    partition
+                ].row_version,
             },
             {WORKERS_ROW: roster.encode(left)},
             (),
         )
         if isinstance(answer, tables.Committed):
-            log.info("partition {}: dropped {}", partition, sorted(drop.workers))
+            log.info(
+                "partition {}: removed lost workers {}", partition, sorted(drop.workers)
+            )
         self._read_assignment()
 
     def _choose_drop(self, partition: int) -> Drop | None:
@@ -311,7 +318,7 @@
         return Drop(self.roster.version, workers) if workers else None
 
     def _update_links(self, partition: int) -> None:
-        holder = self._holders[partition]
+        ownership = self._ownerships[partition]
         owners = self._kernel.find("claims")
         links = self._links[partition]
         wanted = self.roster.workers_of(partition) & self._vms.keys()
@@ -321,15 +328,15 @@
         for worker in wanted - links.keys():
             links[worker] = worker_link.Link(
                 partition,
-                holder.epoch,
+                ownership.epoch,
                 self._vms[worker],
-                holder.post,
+                ownership.post,
                 lambda: owners.may_renew_workers(partition, time.monotonic()),
                 lambda: owners.previous_owner_gone(partition, time.monotonic()),
                 self._settings.process,
             )
             if self._leaving.get(worker):
-                holder.post(worker_link.Leaving(worker, True))
+                ownership.post(worker_link.Leaving(worker, True))
         for worker in wanted & links.keys():
             links[worker].vm = self._vms[worker]  # a replaced VM has a new address
         for worker in links.keys() - wanted:
@@ -338,7 +345,7 @@
 
 
 def assign(assigned: dict[str, int], new: list[str], partitions: int) -> None:
-    """Add new workers to a worker map, each to the partition with the fewest."""
+    """Assign each new worker to the partition with the fewest workers."""
     counts = dict.fromkeys(range(partitions), 0)
     for partition in assigned.values():
         if partition in counts:
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -1,4 +1,4 @@
-"""Answers of an owner to calls for its partitions."""
+"""Handlers of the calls to the owner of a partition."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from toucanspring import errors, job, kernel, resources
 from toucanspring.cell import reply
-from toucanspring.owners import clearance, inbox, partition, routes
+from toucanspring.owners import duplicate_check, inbox, partition, routes
 from toucanspring.reporting import survey
 from toucanspring.scheduling import effects
 
@@ -19,20 +19,20 @@
 
 
 class OwnerCalls:
-    """Serve the calls that `routes` sends to the owner of a partition."""
+    """Serve the calls that `routes.Routes` sends to the owner of a partition."""
 
     def __init__(
         self,
         core: kernel.Kernel,
         owned: Mapping[int, partition.Partition],
-        questions: clearance.Clearance,
+        duplicates: duplicate_check.DuplicateCheck,
     ) -> None:
         self._kernel = core
         self._owned = owned
-        self._clearance = questions
+        self._duplicate_check = duplicates
 
     def serve(self, calls: routes.Routes) -> None:
-        """Answer calls of this and of other processes."""
+        """Register the handlers for calls of this and other processes."""
         for method, function in (
             ("submit", self._serve_submit),
             ("lookup", self._serve_lookup),
@@ -42,18 +42,20 @@
         ):
             calls.serve(method, function)
 
-    def _ready_to_ask(self, number: int) -> partition.Partition | errors.Unavailable:
+    def _wait_until_ready(
+        self, number: int
+    ) -> partition.Partition | errors.Unavailable:
         owned = self._owned.get(number)
         if owned is None or not owned.ready.wait(READY_LIMIT_S):
             return errors.Unavailable(reason="this process does not own the partition")
         return owned
 
-    def _ask(self, number: int, make: object) -> object | errors.Failure:
-        owned = self._ready_to_ask(number)
+    def _ask(self, number: int, make_message: object) -> object | errors.Failure:
+        owned = self._wait_until_ready(number)
         if isinstance(owned, errors.Failure):
             return owned
         result = gevent.event.AsyncResult()
-        owned.post(make(result))
+        owned.post(make_message(result))
         gevent.wait([result, owned.closed], timeout=routes.CALL_TIMEOUT_S, count=1)
         if result.ready():
             return result.get()
@@ -64,14 +66,14 @@
     def _serve_submit(self, _sender: str, envelope: bytes) -> bytes:
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
         specs = msgspec.msgpack.decode(body, type=list[job.JobSpec])
-        owned = self._ready_to_ask(number)
+        owned = self._wait_until_ready(number)
         if isinstance(owned, errors.Failure):
             return reply.encode_result(owned)
-        cleared = self._clearance.clear(owned, specs)
+        checked = self._duplicate_check.check_jobs(owned, specs)
         found = self._ask(
             number,
             lambda result: inbox.Submit(
-                specs, result, cleared.layout_version, cleared.answers
+                specs, result, checked.layout_version, checked.answers
             ),
         )
         if isinstance(found, list):
@@ -85,7 +87,7 @@
         names = msgspec.msgpack.decode(body, type=list[str])
         found = self._ask(number, lambda result: inbox.Cancel(names, result))
         if isinstance(found, dict):
-            # A cancellation may be repeated, so the successor is asked for all.
+            # Cancellations are idempotent, so all of them are sent to the successor.
             for item in found.values():
                 if isinstance(item, errors.Ambiguous | errors.Fenced):
                     return reply.encode_result(errors.Fenced(reason=item.reason))
@@ -96,7 +98,8 @@
         number, body = msgspec.msgpack.decode(envelope, type=tuple[int, bytes])
         name = body.decode()
         found = self._ask(
-            number, lambda result: inbox.Ask(lambda owner: owner.lookup(name), result)
+            number,
+            lambda result: inbox.Ask(lambda scheduler: scheduler.lookup(name), result),
         )
         owned = self._owned.get(number)
         if isinstance(found, effects.JobStatus) and not (
@@ -111,7 +114,9 @@
         return reply.encode_result(
             self._ask(
                 number,
-                lambda result: inbox.Ask(lambda owner: owner.explain(name), result),
+                lambda result: inbox.Ask(
+                    lambda scheduler: scheduler.explain(name), result
+                ),
             )
         )
 
@@ -120,15 +125,17 @@
         owned = self._owned.get(number)
         if owned is None:
             return reply.encode_result(errors.Unavailable(reason="not the owner"))
-        found = self._ask(number, lambda result: inbox.Ask(_free, result))
+        found = self._ask(number, lambda result: inbox.Ask(_free_resources, result))
         if isinstance(found, errors.Failure):
             return reply.encode_result(found)
         links = self._kernel.find("fleet").links(number)
         is_leaving = self._kernel.find("fleet").is_leaving
         return reply.encode_result(
-            survey.list_workers(number, links, owned.facts(), found, is_leaving)
+            survey.list_workers(
+                number, links, owned.attached_workers(), found, is_leaving
+            )
         )
 
 
-def _free(owner: object) -> dict[str, resources.Resources]:
-    return owner.free_by_worker()
+def _free_resources(scheduler: object) -> dict[str, resources.Resources]:
+    return scheduler.free_by_worker()
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -1,4 +1,4 @@
-"""The task that owns one partition: its queue, its log and its workers."""
+"""The owner of one partition: a task with a message queue, a log and workers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     execution,
     inbox,
     journal,
+    log_check,
     log_records,
     request_log,
-    seal,
+    worker_events,
     worker_link,
-    worker_watch,
 )
 from toucanspring.scheduling import effects, fairness, scheduler, tick_interval
 
@@ -30,12 +30,12 @@
 
 MAX_MESSAGES_PER_ROUND = 256
 LOAD_RETRY_S = 0.3
-DRAIN_LIMIT_S = 2.0
+DRAIN_LIMIT_S = 2.0  # for the last log writes when the partition is released
 ASK_TIMEOUT_S = 3.0
 
 
 class Partition:
-    """Own one partition from the moment it is claimed until it is lost."""
+    """Run one partition from its claim until it is lost or released."""
 
     def __init__(
         self,
@@ -58,9 +58,10 @@
         self._greenlet: gevent.Greenlet | None = None
         self._layout = core.find("layout")
         count = self._layout.layout.count
-        self._spread = False  # whether other partitions have workers to give
-        self._follow_count(count)
-        # Of this epoch: a later one of the same process must not be used for it.
+        self._moves_possible = False  # whether workers can move between partitions
+        self._apply_partition_count(count)
+        # The version of this epoch. If this process claims the partition again, the
+        # new version must not be used for the old epoch.
         self.row_version = core.find("claims").row_version(number)
         store = core.find("store")
         self.journal = journal.Journal(
@@ -72,14 +73,14 @@
             journal.flush_interval(count),
             self._layout,
         )
-        self.seal = seal.Seal(core, self.journal, self.row_version)
-        self.allowances = allowances.Keeper(
+        self.log_check = log_check.LogCheck(core, self.journal, self.row_version)
+        self.allowances = allowances.AllowanceManager(
             number,
             core,
             lambda held, limits: self.post(inbox.AllowancesChanged(held, limits)),
         )
         self.requests = request_log.RequestLog(self.journal)
-        self._watch = worker_watch.Watch(number, epoch, core)
+        self._worker_events = worker_events.WorkerEvents(number, epoch, core)
         self._executor = execution.Executor(
             number, core, self._scheduler, self.journal, self.allowances, self.post
         )
@@ -108,12 +109,15 @@
         """Queue a message for the partition's task."""
         self._inbox.put(message)
 
-    def facts(self) -> dict[str, effects.WorkerFacts]:
-        """Return the workers that have attached."""
+    def attached_workers(self) -> dict[str, effects.WorkerFacts]:
+        """Return the attached workers."""
         return dict(self._executor.workers)
 
     def ask(self, function: Callable[[scheduler.Scheduler], object]) -> object:
-        """Return what a function says of the scheduler, or a failure."""
+        """Run a function of the scheduler in the partition's task; return its result.
+
+        Returns a failure if the function raises or the task does not answer in time.
+        """
         result = gevent.event.AsyncResult()
         self.post(inbox.Ask(function, result))
         try:
@@ -122,31 +126,32 @@
             return errors.Timeout(reason="the partition did not answer in time")
 
     def holds_job(self, job_id: str) -> bool:
-        """Return whether a job was accepted here, durably or not yet."""
+        """Return whether a job was accepted here, even if not durably yet."""
         return self._acceptance.holds(job_id)
 
-    def follow_layout(self) -> None:
-        """Take in another number of partitions."""
+    def apply_layout(self) -> None:
+        """Apply a changed partition count."""
         count = self._layout.layout.count
         self.journal.interval_s = journal.flush_interval(count)
-        # The listener must not wait for the partition's task.
+        # Posted without waiting: event listeners must not block on the task.
         self.post(
             inbox.Ask(
-                lambda _scheduler: self._follow_count(count),
+                lambda _scheduler: self._apply_partition_count(count),
                 gevent.event.AsyncResult(),
             )
         )
 
-    def _follow_count(self, count: int) -> None:
-        spread = count > 1 and self._settings.moves == "on"
-        if spread != self._spread:
-            self._spread = spread
-            self._scheduler.expect_other_partitions(spread)
+    def _apply_partition_count(self, count: int) -> None:
+        moves_possible = count > 1 and self._settings.moves == "on"
+        if moves_possible != self._moves_possible:
+            self._moves_possible = moves_possible
+            self._scheduler.expect_other_partitions(moves_possible)
 
     def bound_workers(self) -> frozenset[str]:
-        """Return the workers of incomplete records, which must stay here.
+        """Return the workers named in incomplete records, which must not be moved.
 
-        A successor asks them about ends and starts whose records it lacks.
+        After a takeover, only they know whether a task was started or has ended if the
+        log does not say so.
         """
         intents = self.journal.state.intents.values()
         return frozenset(intent.worker for intent in intents).union(
@@ -154,7 +159,7 @@
         )
 
     def is_durable(self, job_id: str) -> bool:
-        """Return whether all outcomes of a job so far are in the log."""
+        """Return whether all outcomes of a job that are known so far are in the log."""
         return self._executor.is_durable(job_id)
 
     # The task
@@ -179,7 +184,7 @@
                     idle_ticks, self._scheduler.is_quiescent
                 )
         log.warning("partition {}: fenced under epoch {}", self.number, self.epoch)
-        # In a greenlet of its own, because the release ends this one.
+        # Spawned because the release kills this greenlet.
         gevent.spawn(self._kernel.find("claims").release, self.number)
 
     def _handle_messages(self, wait_s: float) -> int:
@@ -195,22 +200,26 @@
             try:
                 self._handle(message)
             except Exception:
-                log.exception("partition {}: {!r}", self.number, type(message))
+                log.exception(
+                    "partition {}: handling {!r} failed", self.number, type(message)
+                )
         return handled
 
     def _load(self) -> None:
-        """Read the log and the worker map, then rebuild the scheduler."""
+        """Read the log and the worker map, and rebuild the scheduler's state."""
         while True:
             failure = self.journal.load()
             expected = self._kernel.find("fleet").assigned(self.number)
             if failure is None and isinstance(expected, dict):
                 break
-            log.warning("partition {}: loading: {}", self.number, failure or expected)
+            log.warning(
+                "partition {}: loading failed: {}", self.number, failure or expected
+            )
             self.journal.state = log_records.State()
             gevent.sleep(LOAD_RETRY_S)
         state = self.journal.state
         now = time.monotonic()
-        self._update_documents(now)
+        self._apply_documents(now)
         self._executor.carry_out(
             self._scheduler.restore(
                 list(state.specs.values()),
@@ -239,7 +248,7 @@
             case worker_link.FromWorker(worker=worker, message=content):
                 self._handle_worker(worker, content, now)
             case worker_link.EpochRefused() | worker_link.Lost() | inbox.WorkerMoved():
-                self._handle_absence(message, now)
+                self._handle_unavailable_worker(message, now)
             case worker_link.Disconnected(worker=worker, unanswered=unanswered):
                 self._executor.carry_out(
                     self._scheduler.starts_unanswered(worker, unanswered, now)
@@ -257,7 +266,7 @@
             case inbox.Durable(action=action, failure=failure):
                 self._executor.carry_out(action(failure))
             case inbox.TeamsChanged():
-                self._update_documents(now)
+                self._apply_documents(now)
             case inbox.DependencyFinished(job_id=job_id, outcome=outcome):
                 self._executor.carry_out(
                     self._scheduler.dependency_finished(job_id, outcome, now)
@@ -269,21 +278,21 @@
             case _:
                 log.error("partition {}: unexpected {!r}", self.number, message)
 
-    def _handle_absence(
+    def _handle_unavailable_worker(
         self,
         message: worker_link.EpochRefused | worker_link.Lost | inbox.WorkerMoved,
         now: float,
     ) -> None:
         worker = message.worker
         if isinstance(message, worker_link.EpochRefused):
-            self._watch.refused(message)
+            self._worker_events.refused(message)
             return
         if isinstance(message, worker_link.Lost):
-            self._watch.lost(worker, self._scheduler.count_tasks(worker))
+            self._worker_events.lost(worker, self._scheduler.count_tasks(worker))
         self._executor.workers.pop(worker, None)
         self._executor.carry_out(self._scheduler.worker_lost(worker, now))
 
-    def _update_documents(self, now: float) -> None:
+    def _apply_documents(self, now: float) -> None:
         documents = self._kernel.find("documents")
         teams = {
             team.name: fairness.Team(
@@ -310,13 +319,13 @@
                     message.rack,
                 )
                 self._executor.workers[worker] = facts
-                self._watch.attached(facts)
+                self._worker_events.attached(facts)
                 self._executor.carry_out(
                     self._scheduler.worker_attached(
                         facts, message.running, message.finished, now
                     )
                 )
-                # What the VM list said before the worker was known had no effect.
+                # `Leaving` messages for a worker that is not attached have no effect.
                 leaving = self._kernel.find("fleet").is_leaving(worker)
                 self._executor.carry_out(
                     self._scheduler.worker_leaving(worker, leaving, now)
@@ -337,11 +346,11 @@
         try:
             return function(self._scheduler)
         except Exception:
-            log.exception("partition {}: a question failed", self.number)
+            log.exception("partition {}: query of the scheduler failed", self.number)
             return errors.Unknown(reason="internal error")
 
     def _refuse_inbox(self) -> None:
-        """Answer callers whose messages were not handled; nothing of them ran."""
+        """Answer callers whose messages were not handled and had no effect."""
         failure = errors.Unavailable(reason="the partition is moving to another owner")
         while True:
             try:
