--- a/scenarios/actions.py
+++ b/scenarios/actions.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from scenarios import cell, disturbances, language, loads
+from scenarios import cell, fault_steps, language, loads
 
 DEFAULT_RUN_S = 0.01
 DEFAULT_ANSWER_BYTES = 400
@@ -18,7 +18,7 @@
 FIRST_CLAIMS_S = 10.0
 
 
-class Player(disturbances.Disturbances):
+class Player(fault_steps.Disturbances):
     """Run steps against a cell; `say` prints a line of progress."""
 
     def __init__(self, running: cell.Cell, say: Callable[[str], None]) -> None:
--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from spec import coordination, model, moves_model, resizing, runs, search
+from spec import coordination, moves_model, ownership_model, resizing, runs, search
 
 
 def print_result(run: runs.Run, result: search.Result) -> bool:
@@ -33,7 +33,7 @@
     started = time.monotonic()
     print("actions and their implementation:")
     implemented = (
-        model.ACTIONS,
+        ownership_model.ACTIONS,
         moves_model.ACTIONS,
         resizing.ACTIONS,
         coordination.ACTIONS,
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -1,16 +1,16 @@
 """Transitions of the model of worker moves.
 
 Two partitions share one worker that can move; each has one idempotent task, which may
-run there or on a worker of its own that never moves. `model.py` covers leases of
-ownership by time; here an ownership ends in one step, and a claim needs that step.
-A pause is any order in which an owner takes no step while others go on.
+run there or on a worker of its own that never moves. `ownership_model.py` covers
+leases of ownership by time; here an ownership ends in one step, and a claim needs that
+step. A pause is any order in which an owner takes no step while others go on.
 """
 
 from __future__ import annotations
 
 import minicheck
 
-from spec import moves_hosting, moves_world
+from spec import moves_states, moves_worker_steps
 from toucanspring.owners import recovery, roster
 
 # Action -> the function of the product that implements it.
@@ -55,7 +55,7 @@
 )
 
 
-def is_forced(label: str, s: moves_world.State) -> bool:
+def is_forced(label: str, s: moves_states.State) -> bool:
     """Return whether a step belongs to a run without further faults."""
     if label == "time passes":
         # An owner that has the worker renews its lease, so time alone changes nothing.
@@ -65,7 +65,7 @@
     return not label.startswith(UNFORCED) and "answer lost" not in label
 
 
-class Model(moves_hosting.Hosting):
+class Model(moves_worker_steps.Hosting):
     """Enumerate the transitions under some rules and bounds."""
 
     def protocol(self) -> minicheck.Protocol:
@@ -73,13 +73,15 @@
         return minicheck.Protocol(
             name="moves",
             candidate=False,
-            fields=moves_world.State._fields,
-            initial=moves_world.initial(self._bounds),
+            fields=moves_states.State._fields,
+            initial=moves_states.initial(self._bounds),
             transitions=self.transitions,
-            invariants=moves_world.INVARIANTS,
+            invariants=moves_states.INVARIANTS,
         )
 
-    def transitions(self, s: moves_world.State) -> list[tuple[str, moves_world.State]]:
+    def transitions(
+        self, s: moves_states.State
+    ) -> list[tuple[str, moves_states.State]]:
         """Return all labelled successors of a state."""
         found = [("time passes", _pass_time(s))]
         for p in (0, 1):
@@ -97,7 +99,7 @@
         found = [(label, self._reduce(after)) for label, after in found]
         return [(label, after) for label, after in found if after != s]
 
-    def _reduce(self, s: moves_world.State) -> moves_world.State:
+    def _reduce(self, s: moves_states.State) -> moves_states.State:
         """Drop what can no longer have an effect, which keeps the space small."""
         s = _forget(s)
         last = len(s.rows) - 1
@@ -115,32 +117,32 @@
 
     # Ownership
 
-    def _claim(self, s: moves_world.State, p: int) -> moves_world.Steps:
+    def _claim(self, s: moves_states.State, p: int) -> moves_states.Steps:
         former = s.owners[p][-1]
         if s.epochs[p] == self._bounds.epochs[p] or (former and former.holds):
             return
         epochs = tuple(e + (q == p) for q, e in enumerate(s.epochs))
-        fresh = moves_world.Owner(
-            True, moves_world.UNLOADED, "none", 0, None, "held", 1
+        fresh = moves_states.Owner(
+            True, moves_states.UNLOADED, "none", 0, None, "held", 1
         )
         owners = list(s.owners)
         owners[p] = (*owners[p], fresh)
         yield f"claim {p}", s._replace(epochs=epochs, owners=tuple(owners))
 
     def _own(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         if e < self._bounds.epochs[p]:
             dead = s._replace(
                 starts=frozenset(
                     x for x in s.starts if (x.partition, x.epoch) != (p, e)
                 )
             )
-            yield f"owner dies {p}.{e}", moves_world.with_owner(dead, p, e, None)
+            yield f"owner dies {p}.{e}", moves_states.with_owner(dead, p, e, None)
             if me.holds:
                 ended = me._replace(holds=False)
-                yield f"ownership ends {p}.{e}", moves_world.with_owner(s, p, e, ended)
-        if me.seen == moves_world.UNLOADED:
+                yield f"ownership ends {p}.{e}", moves_states.with_owner(s, p, e, ended)
+        if me.seen == moves_states.UNLOADED:
             if not me.holds:
                 return
             yield f"load {p}.{e}", self._load(s, p, e, me)
@@ -149,8 +151,8 @@
         yield from self._move(s, p, e, me)
 
     def _load(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.State:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.State:
         mine = s.rows[-1] == p
         if p in s.final:
             task = "final"
@@ -166,18 +168,18 @@
             task=task,
             attempt=number,
         )
-        return moves_world.with_owner(s, p, e, me)
+        return moves_states.with_owner(s, p, e, me)
 
     # Moves
 
     def _move(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         last = len(s.rows) - 1
         if me.seen < last or (me.link == "none" and s.rows[last] == p):
             yield (
                 f"read row {p}.{e}",
-                moves_world.with_owner(s, p, e, self._read(s, p, me)),
+                moves_states.with_owner(s, p, e, self._read(s, p, me)),
             )
         if me.move is None:
             yield from self._plan(s, p, e, me)
@@ -186,7 +188,7 @@
                 changed = self._read(s, p, me._replace(move=None))
                 yield (
                     f"send transaction {p}.{e}: not needed",
-                    moves_world.with_owner(s, p, e, changed),
+                    moves_states.with_owner(s, p, e, changed),
                 )
             else:
                 yield (
@@ -195,57 +197,57 @@
                 )
         elif me.move.state in ("sent", "resent"):
             lost = me._replace(move=me.move._replace(state="doubt"))
-            yield f"answer lost {p}.{e}", moves_world.with_owner(s, p, e, lost)
+            yield f"answer lost {p}.{e}", moves_states.with_owner(s, p, e, lost)
         elif me.holds:
             yield from self._resolve(s, p, e, self._read(s, p, me))
 
     def _plan(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         if not me.holds or len(s.rows) >= self._bounds.versions:
             return
-        empty = me.task != "worker" and not moves_world.present(s.worker)
+        empty = me.task != "worker" and not moves_states.present(s.worker)
         if me.link == "attached" and (empty or not self._rules.drain):
-            move = moves_world.Move("planned", me.seen, 1 - p)
+            move = moves_states.Move("planned", me.seen, 1 - p)
             yield (
                 f"plan move {p}.{e}",
-                moves_world.with_owner(s, p, e, me._replace(move=move)),
+                moves_states.with_owner(s, p, e, me._replace(move=move)),
             )
         if self._bounds.drops and self._rules.own_drop and me.link == "lost":
-            move = moves_world.Move("planned", me.seen, moves_world.NOWHERE)
+            move = moves_states.Move("planned", me.seen, moves_states.NOWHERE)
             yield (
                 f"plan drop {p}.{e}",
-                moves_world.with_owner(s, p, e, me._replace(move=move, link="none")),
+                moves_states.with_owner(s, p, e, me._replace(move=move, link="none")),
             )
 
     def _send(
         self,
-        s: moves_world.State,
+        s: moves_states.State,
         p: int,
         e: int,
-        me: moves_world.Owner,
+        me: moves_states.Owner,
         version: int,
         state: str,
-    ) -> moves_world.State:
+    ) -> moves_states.State:
         repeated = state == "resent"
-        write = moves_world.Write(p, e, version, me.move.target, repeated)
-        me = me._replace(move=moves_world.Move(state, version, me.move.target))
+        write = moves_states.Write(p, e, version, me.move.target, repeated)
+        me = me._replace(move=moves_states.Move(state, version, me.move.target))
         after = s._replace(writes=s.writes | {write})
-        return moves_world.with_owner(after, p, e, me)
+        return moves_states.with_owner(after, p, e, me)
 
     def _read(
-        self, s: moves_world.State, p: int, me: moves_world.Owner
-    ) -> moves_world.Owner:
+        self, s: moves_states.State, p: int, me: moves_states.Owner
+    ) -> moves_states.Owner:
         last = len(s.rows) - 1
         link, waited = me.link, me.waited
-        dropping = me.move is not None and me.move.target == moves_world.NOWHERE
+        dropping = me.move is not None and me.move.target == moves_states.NOWHERE
         if link == "none" and s.rows[last] == p and not dropping:
             link, waited = "open", 0
         return me._replace(seen=last, link=link, waited=waited)
 
     def _resolve(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         mine = s.rows[me.seen] == p
         label = f"resolve {p}.{e}"
         match roster.after_doubt(me.seen, me.move.version, mine):
@@ -255,11 +257,11 @@
                 yield label, self._hand_over(s, p, e, me)
             case _:
                 me = me._replace(move=None)
-                yield label, moves_world.with_owner(s, p, e, me)
+                yield label, moves_states.with_owner(s, p, e, me)
 
     def _deliver(
-        self, s: moves_world.State, write: moves_world.Write
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, write: moves_states.Write
+    ) -> moves_states.Steps:
         p, e, version, target, repeated = write
         s = s._replace(writes=s.writes - {write})
         me = s.owners[p][e - 1]
@@ -283,53 +285,53 @@
             me = self._read(s, p, me._replace(move=me.move._replace(state="doubt")))
             yield (
                 f"{name} conflicts",
-                moves_world.with_owner(s, p, e, me),
+                moves_states.with_owner(s, p, e, me),
             )
         else:
             me = self._read(s, p, me._replace(move=None))
-            yield f"{name} conflicts", moves_world.with_owner(s, p, e, me)
+            yield f"{name} conflicts", moves_states.with_owner(s, p, e, me)
 
-    def _doubt(self, s: moves_world.State, p: int, e: int) -> moves_world.State:
+    def _doubt(self, s: moves_states.State, p: int, e: int) -> moves_states.State:
         me = s.owners[p][e - 1]
         me = me._replace(move=me.move._replace(state="doubt"))
-        return moves_world.with_owner(s, p, e, me)
+        return moves_states.with_owner(s, p, e, me)
 
     def _hand_over(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.State:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.State:
         me = me._replace(move=None)
         if not self._rules.release:
-            return moves_world.with_owner(s, p, e, me)
+            return moves_states.with_owner(s, p, e, me)
         worker = s.worker
         speaks = (worker.partition, worker.epochs[p]) == (p, e)
-        if me.link == "attached" and speaks and not moves_world.present(worker):
-            worker = worker._replace(lease=moves_world.LEASE)
+        if me.link == "attached" and speaks and not moves_states.present(worker):
+            worker = worker._replace(lease=moves_states.LEASE)
         starts = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
-        me = moves_hosting.lost(me._replace(link="none"))
+        me = moves_worker_steps.lost(me._replace(link="none"))
         after = s._replace(worker=worker, starts=starts)
-        return moves_world.with_owner(after, p, e, me)
+        return moves_states.with_owner(after, p, e, me)
 
-    def _write_others(self, s: moves_world.State) -> moves_world.Steps:
+    def _write_others(self, s: moves_states.State) -> moves_states.Steps:
         last = s.rows[-1]
-        if last == moves_world.NOWHERE:
+        if last == moves_states.NOWHERE:
             for p in (0, 1):
                 yield f"assign to {p}", s._replace(rows=(*s.rows, p))
         elif len(s.rows) < self._bounds.versions:
             if self._bounds.writes:
                 yield "other write", s._replace(rows=(*s.rows, last))
             if self._bounds.drops and not self._rules.own_drop:
-                dropped = s._replace(rows=(*s.rows, moves_world.NOWHERE))
+                dropped = s._replace(rows=(*s.rows, moves_states.NOWHERE))
                 yield "drop by another", dropped
 
 
-def _awaits(me: moves_world.Owner | None, write: moves_world.Write) -> bool:
+def _awaits(me: moves_states.Owner | None, write: moves_states.Write) -> bool:
     """Return whether an owner still waits for the answer to a transaction."""
     if me is None or me.move is None or me.move.version != write.version:
         return False
     return me.move.state == ("resent" if write.repeated else "sent")
 
 
-def _forget(s: moves_world.State) -> moves_world.State:
+def _forget(s: moves_states.State) -> moves_states.State:
     for p in (0, 1):
         for e, me in enumerate(s.owners[p], 1):
             if me is None or me.holds:
@@ -347,7 +349,7 @@
             if e < s.worker.epochs[p]:
                 reduced = reduced._replace(link="none")  # would be refused
             if reduced != me:
-                s = moves_world.with_owner(s, p, e, reduced)
+                s = moves_states.with_owner(s, p, e, reduced)
     worker = s.worker
     ended = frozenset(entry for entry in worker.ended if entry[0] not in s.final)
     if len(ended) != len(worker.ended):
@@ -355,26 +357,26 @@
     return s
 
 
-def _renew_in_time(s: moves_world.State, p: int, e: int) -> moves_world.State:
+def _renew_in_time(s: moves_states.State, p: int, e: int) -> moves_states.State:
     """Let time pass while an owner keeps the worker's lease valid."""
     before = s._replace(worker=s.worker._replace(lease=-1))
     after = _pass_time(before)
     me = after.owners[p][e - 1]._replace(waited=0)
-    return moves_world.with_owner(after, p, e, me)
+    return moves_states.with_owner(after, p, e, me)
 
 
-def _pass_time(s: moves_world.State) -> moves_world.State:
+def _pass_time(s: moves_states.State) -> moves_states.State:
     owners = tuple(
         tuple(
-            me and me._replace(waited=min(me.waited + 1, moves_world.STOPPED))
+            me and me._replace(waited=min(me.waited + 1, moves_states.STOPPED))
             for me in own
         )
         for own in s.owners
     )
     worker = s.worker
-    lease = min(worker.lease + 1, moves_world.LEASE)
+    lease = min(worker.lease + 1, moves_states.LEASE)
     ended = worker.ended | worker.stopping
-    if lease == moves_world.LEASE:
+    if lease == moves_states.LEASE:
         running, stopping = frozenset(), worker.running
     else:
         running, stopping = worker.running, frozenset()
--- a/spec/moves_hosting.py
+++ b/spec/moves_worker_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spec import moves_world
+from spec import moves_states
 from toucanspring import job
 from toucanspring.owners import recovery
 from toucanspring.scheduling import attempt
@@ -11,18 +11,18 @@
 class Hosting:
     """Enumerate what owners do with the worker and what it does itself."""
 
-    def __init__(self, rules: moves_world.Rules, bounds: moves_world.Bounds) -> None:
+    def __init__(self, rules: moves_states.Rules, bounds: moves_states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
     def _use(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         if me.link in ("open", "lost"):
             yield from self._attach(s, p, e, me)
-        if me.link == "open" and me.waited == moves_world.STOPPED:
+        if me.link == "open" and me.waited == moves_states.STOPPED:
             alone = lost(me)._replace(link="lost")
-            yield f"lose worker {p}.{e}", moves_world.with_owner(s, p, e, alone)
+            yield f"lose worker {p}.{e}", moves_states.with_owner(s, p, e, alone)
         if me.link == "attached" and me.holds:
             yield from self._use_link(s, p, e, me)
         # The worker that never moves is fenced by the latest epoch.
@@ -31,17 +31,20 @@
         if me.holds and me.task == "waiting":
             after = s._replace(home=s.home | {p})
             started = me._replace(task="home")
-            yield f"start at home {p}.{e}", moves_world.with_owner(after, p, e, started)
+            yield (
+                f"start at home {p}.{e}",
+                moves_states.with_owner(after, p, e, started),
+            )
         if me.task == "home":
             after = s._replace(home=s.home - {p}, final=s.final | {p})
             ended = me._replace(task="final")
-            yield f"end at home {p}.{e}", moves_world.with_owner(after, p, e, ended)
+            yield f"end at home {p}.{e}", moves_states.with_owner(after, p, e, ended)
 
     def _use_link(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
-        def then(owner: moves_world.Owner, **fields: object) -> moves_world.State:
-            return moves_world.with_owner(s._replace(**fields), p, e, owner)
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
+        def then(owner: moves_states.Owner, **fields: object) -> moves_states.State:
+            return moves_states.with_owner(s._replace(**fields), p, e, owner)
 
         worker = s.worker
         broken = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
@@ -52,7 +55,7 @@
         withheld = me.move is not None and self._rules.withhold
         may_start = me.task == "waiting" and me.attempt <= self._bounds.attempts
         if may_start and not withheld:
-            starts = s.starts | {moves_world.Start(p, e, me.attempt)}
+            starts = s.starts | {moves_states.Start(p, e, me.attempt)}
             started = me._replace(task="worker")
             yield f"start on worker by {p}.{e}", then(started, starts=starts)
         if e == s.epochs[p]:
@@ -64,12 +67,12 @@
                 yield f"orphan stops {entry}", s._replace(worker=rest)
 
     def _attach(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         worker = s.worker
         if e < worker.epochs[p]:
             return
-        other = worker.partition != p and worker.lease < moves_world.LEASE
+        other = worker.partition != p and worker.lease < moves_states.LEASE
         if other and self._rules.lease_wait:
             return
         owners = tuple(
@@ -80,7 +83,7 @@
             for own in s.owners
         )
         epochs = tuple(e if q == p else x for q, x in enumerate(worker.epochs))
-        there = moves_world.present(worker) | worker.ended
+        there = moves_states.present(worker) | worker.ended
         known = {number for q, number in there if q == p}
         if me.task == "held":
             if known:
@@ -99,31 +102,31 @@
             worker=worker._replace(partition=p, epochs=epochs),
         )
         me = me._replace(link="attached")
-        yield f"attach {p}.{e}", moves_world.with_owner(after, p, e, me)
+        yield f"attach {p}.{e}", moves_states.with_owner(after, p, e, me)
 
     def _report(
         self,
-        s: moves_world.State,
+        s: moves_states.State,
         p: int,
         e: int,
-        me: moves_world.Owner,
+        me: moves_states.Owner,
         entry: tuple[int, int],
-    ) -> moves_world.State:
+    ) -> moves_states.State:
         worker = s.worker._replace(ended=s.worker.ended - {entry})
         s = s._replace(worker=worker)
         if me.task == "worker" and entry == (p, me.attempt):
             s = s._replace(final=s.final | {p})
-            return moves_world.with_owner(s, p, e, me._replace(task="final"))
+            return moves_states.with_owner(s, p, e, me._replace(task="final"))
         return s
 
-    def host(self, s: moves_world.State) -> moves_world.Steps:
+    def host(self, s: moves_states.State) -> moves_states.Steps:
         """Return what may happen on the worker."""
         worker = s.worker
         for start in s.starts:
             p, e, number = start
             after = s._replace(starts=s.starts - {start})
             valid = worker.partition == p and e >= worker.epochs[p]
-            if valid and worker.lease < moves_world.LEASE:
+            if valid and worker.lease < moves_states.LEASE:
                 entry = (p, number)
                 ran = worker._replace(running=worker.running | {entry})
                 yield f"start arrives from {p}.{e}", after._replace(worker=ran)
@@ -131,9 +134,9 @@
             me = s.owners[p][e - 1]
             if me is not None and me.task == "worker" and me.attempt == number:
                 me = me._replace(task="waiting", attempt=number + 1)
-                after = moves_world.with_owner(after, p, e, me)
+                after = moves_states.with_owner(after, p, e, me)
             yield f"start arrives from {p}.{e}, refused", after
-        for entry in moves_world.present(worker):
+        for entry in moves_states.present(worker):
             ended = worker._replace(
                 running=worker.running - {entry},
                 stopping=worker.stopping - {entry},
@@ -142,7 +145,7 @@
             yield f"task ends {entry}", s._replace(worker=ended)
 
 
-def lost(me: moves_world.Owner) -> moves_world.Owner:
+def lost(me: moves_states.Owner) -> moves_states.Owner:
     """Return what an owner knows of its task once it does not count the worker."""
     if me.task == "worker":
         if attempt.after_loss(job.State.RUNNING, True) == "unknown":
--- a/spec/serving.py
+++ b/spec/owner_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spec import world
+from spec import states
 from toucanspring.owners import recovery
 from toucanspring.scheduling import attempt
 
@@ -10,40 +10,40 @@
 class Serving:
     """Enumerate what an owner does with one worker."""
 
-    def __init__(self, rules: world.Rules, bounds: world.Bounds) -> None:
+    def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
-    def steps(self, s: world.State, p: int, w: int) -> world.Steps:
+    def steps(self, s: states.State, p: int, w: int) -> states.Steps:
         """Return what owner `p` may do with worker `w`."""
         me, worker = s.processes[p], s.workers[w]
         if not me.attached[w]:
             yield from self._attach(s, p, w)
-            if me.waited[w] >= world.WORKER_LEASE or not self._rules.lost_wait:
+            if me.waited[w] >= states.WORKER_LEASE or not self._rules.lost_wait:
                 yield from self._lose(s, p, w)
             return
-        broken = me._replace(attached=world.put(me.attached, w, False))
-        yield f"stream breaks between {p} and {w}", world.with_process(s, p, broken)
+        broken = me._replace(attached=states.put(me.attached, w, False))
+        yield f"stream breaks between {p} and {w}", states.with_process(s, p, broken)
         if me.epoch < worker.epoch:
             return
         if worker.lease or me.waited[w]:
             renewed = s._replace(
-                workers=world.put(s.workers, w, worker._replace(lease=0))
+                workers=states.put(s.workers, w, worker._replace(lease=0))
             )
-            renewer = me._replace(waited=world.put(me.waited, w, 0))
-            yield f"renew worker {w} by {p}", world.with_process(renewed, p, renewer)
-        for task in world.IDEMPOTENT:
+            renewer = me._replace(waited=states.put(me.waited, w, 0))
+            yield f"renew worker {w} by {p}", states.with_process(renewed, p, renewer)
+        for task in states.IDEMPOTENT:
             yield from self._place(s, p, w, task)
         yield from self._write_intent(s, p, w)
         for task, number in worker.ended:
             yield from self._report(s, p, w, task, number)
 
-    def _attach(self, s: world.State, p: int, w: int) -> world.Steps:
+    def _attach(self, s: states.State, p: int, w: int) -> states.Steps:
         me, worker = s.processes[p], s.workers[w]
         if me.epoch < worker.epoch and self._rules.fence:
             yield (
                 f"attach by {p} is fenced",
-                world.with_process(s, p, me._replace(epoch=0)),
+                states.with_process(s, p, me._replace(epoch=0)),
             )
             return
         # The worker closes older streams of the same epoch, so their starts are lost.
@@ -52,148 +52,150 @@
         )
         known = worker.running | worker.ended
         ended = worker.running
-        me = me._replace(attached=world.put(me.attached, w, True))
+        me = me._replace(attached=states.put(me.attached, w, True))
         lost = []
-        for task in world.IDEMPOTENT:
-            view = world.view_of(me, task)
+        for task in states.IDEMPOTENT:
+            view = states.view_of(me, task)
             here = [number for name, number in known if name == task]
             # Running attempts count before ended ones, the latest first.
             here.sort(key=lambda n: ((task, n) in worker.running, n), reverse=True)
             mine = (
-                view.state in (world.INTENDED, world.STARTING, world.RUNNING)
+                view.state in (states.INTENDED, states.STARTING, states.RUNNING)
                 and view.worker == w
             )
             if view.state == "held" and here:
-                view = world.View(world.RUNNING, w, here[0], worker.incarnation)
+                view = states.View(states.RUNNING, w, here[0], worker.incarnation)
             elif mine and view.attempt in here:
-                view = world.View(world.RUNNING, w, view.attempt, worker.incarnation)
+                view = states.View(states.RUNNING, w, view.attempt, worker.incarnation)
             elif mine:
                 view, gone = self._absent(view, worker)
                 lost += [task] if gone else []
-            if not (view.state is world.RUNNING and view.worker == w):
+            if not (view.state is states.RUNNING and view.worker == w):
                 # Nobody owns it: the worker is told to stop it.
                 ended = frozenset(entry for entry in ended if entry[0] != task)
-            me = world.with_view(me, task, view)
-        workers = world.put(
+            me = states.with_view(me, task, view)
+        workers = states.put(
             s.workers, w, worker._replace(epoch=me.epoch, running=ended)
         )
         after = s._replace(workers=workers, starts=starts)
         yield from self._settle(
-            f"attach {w} by {p}", world.with_process(after, p, me), p, w, lost
+            f"attach {w} by {p}", states.with_process(after, p, me), p, w, lost
         )
 
     def _absent(
-        self, view: world.View, worker: world.Worker
-    ) -> tuple[world.View, bool]:
+        self, view: states.View, worker: states.Worker
+    ) -> tuple[states.View, bool]:
         """Return the view of a task its worker does not know, and if it is final."""
         restarted = view.incarnation != worker.incarnation
         match recovery.absent_task(view.state, restarted):
             case "keep":
                 return view, False
             case "never_ran":
-                return world.waiting(view.attempt + 1), False
+                return states.waiting(view.attempt + 1), False
         return view, True
 
-    def _lose(self, s: world.State, p: int, w: int) -> world.Steps:
+    def _lose(self, s: states.State, p: int, w: int) -> states.Steps:
         me = s.processes[p]
         lost = [
             task
-            for task in world.IDEMPOTENT
-            if world.view_of(me, task).state
-            in (world.INTENDED, world.STARTING, world.RUNNING)
-            and world.view_of(me, task).worker == w
+            for task in states.IDEMPOTENT
+            if states.view_of(me, task).state
+            in (states.INTENDED, states.STARTING, states.RUNNING)
+            and states.view_of(me, task).worker == w
         ]
         if not lost and me.settled[w]:
             return
         yield from self._settle(f"lose worker {w} by {p}", s, p, w, lost)
 
     def _settle(
-        self, label: str, s: world.State, p: int, w: int, lost: list[str]
-    ) -> world.Steps:
+        self, label: str, s: states.State, p: int, w: int, lost: list[str]
+    ) -> states.Steps:
         """Apply lost attempts, and release held work once all workers are settled."""
         me = s.processes[p]
-        me = me._replace(settled=world.put(me.settled, w, True))
+        me = me._replace(settled=states.put(me.settled, w, True))
         final = set(s.final)
         for task in lost:
-            view = world.view_of(me, task)
-            follows = attempt.after_loss(view.state, world.IDEMPOTENT[task])
+            view = states.view_of(me, task)
+            follows = attempt.after_loss(view.state, states.IDEMPOTENT[task])
             if follows == "unknown":
                 if me.epoch != s.epoch:
                     yield (
                         f"{label}, log is fenced",
-                        world.with_process(s, p, s.processes[p]._replace(epoch=0)),
+                        states.with_process(s, p, s.processes[p]._replace(epoch=0)),
                     )
                     return
                 final.add(task)
-                view = world.FINAL
+                view = states.FINAL
             else:
-                view = world.waiting(view.attempt + 1)
-            me = world.with_view(me, task, view)
+                view = states.waiting(view.attempt + 1)
+            me = states.with_view(me, task, view)
         if all(me.settled) and me.i.state == "held":
-            me = me._replace(i=world.waiting(me.i.attempt))
-        yield label, world.with_process(s._replace(final=tuple(sorted(final))), p, me)
+            me = me._replace(i=states.waiting(me.i.attempt))
+        yield label, states.with_process(s._replace(final=tuple(sorted(final))), p, me)
 
-    def _place(self, s: world.State, p: int, w: int, task: str) -> world.Steps:
+    def _place(self, s: states.State, p: int, w: int, task: str) -> states.Steps:
         me = s.processes[p]
-        view = world.view_of(me, task)
+        view = states.view_of(me, task)
         if view.state != "waiting" or view.attempt > self._bounds.attempts:
             return
         incarnation = s.workers[w].incarnation
-        direct = world.IDEMPOTENT[task] or not self._rules.intent_record
+        direct = states.IDEMPOTENT[task] or not self._rules.intent_record
         after = s
         if direct:
             after = s._replace(
-                starts=s.starts | {world.Start(me.epoch, task, view.attempt, w)}
+                starts=s.starts | {states.Start(me.epoch, task, view.attempt, w)}
             )
-        state = world.STARTING if direct else world.INTENDED
-        me = world.with_view(me, task, world.View(state, w, view.attempt, incarnation))
-        yield f"place {task} on {w} by {p}", world.with_process(after, p, me)
+        state = states.STARTING if direct else states.INTENDED
+        me = states.with_view(
+            me, task, states.View(state, w, view.attempt, incarnation)
+        )
+        yield f"place {task} on {w} by {p}", states.with_process(after, p, me)
 
-    def _write_intent(self, s: world.State, p: int, w: int) -> world.Steps:
+    def _write_intent(self, s: states.State, p: int, w: int) -> states.Steps:
         me = s.processes[p]
         state, worker, number, incarnation = me.n
-        if state is not world.INTENDED or worker != w:
+        if state is not states.INTENDED or worker != w:
             return
         if me.epoch != s.epoch:
             yield (
                 f"intent fails at {p}, log is fenced",
-                world.with_process(s, p, me._replace(epoch=0)),
+                states.with_process(s, p, me._replace(epoch=0)),
             )
             return
-        written = s._replace(intent=world.Intent(w, number, incarnation))
+        written = s._replace(intent=states.Intent(w, number, incarnation))
         sent = written._replace(
-            starts=s.starts | {world.Start(me.epoch, "N", number, w)}
+            starts=s.starts | {states.Start(me.epoch, "N", number, w)}
         )
-        started = me._replace(n=world.View(world.STARTING, w, number, incarnation))
-        yield f"write intent by {p}", world.with_process(sent, p, started)
+        started = me._replace(n=states.View(states.STARTING, w, number, incarnation))
+        yield f"write intent by {p}", states.with_process(sent, p, started)
         if s.intent != written.intent:
             yield f"intent answer lost by {p}", written
-        failed = me._replace(n=world.waiting(number + 1))
-        yield f"intent fails at {p}", world.with_process(s, p, failed)
+        failed = me._replace(n=states.waiting(number + 1))
+        yield f"intent fails at {p}", states.with_process(s, p, failed)
 
     def _report(
-        self, s: world.State, p: int, w: int, task: str, number: int
-    ) -> world.Steps:
+        self, s: states.State, p: int, w: int, task: str, number: int
+    ) -> states.Steps:
         me, worker = s.processes[p], s.workers[w]
         if me.epoch != s.epoch:
             yield (
                 f"report to {p}, log is fenced",
-                world.with_process(s, p, me._replace(epoch=0)),
+                states.with_process(s, p, me._replace(epoch=0)),
             )
             return
-        view = world.view_of(me, task)
+        view = states.view_of(me, task)
         after = s
-        if view.state in (world.STARTING, world.RUNNING) and (
+        if view.state in (states.STARTING, states.RUNNING) and (
             view.worker,
             view.attempt,
         ) == (w, number):
             after = s._replace(final=tuple(sorted({*s.final, task})))
-            me = world.with_view(me, task, world.FINAL)
+            me = states.with_view(me, task, states.FINAL)
         forgotten = worker._replace(ended=worker.ended - {(task, number)})
-        acknowledged = after._replace(workers=world.put(s.workers, w, forgotten))
-        yield f"report {task} to {p}", world.with_process(acknowledged, p, me)
+        acknowledged = after._replace(workers=states.put(s.workers, w, forgotten))
+        yield f"report {task} to {p}", states.with_process(acknowledged, p, me)
         if after is not s:
             yield (
                 f"report {task} to {p}, acknowledgement lost",
-                world.with_process(after, p, me),
+                states.with_process(after, p, me),
             )
--- a/spec/model.py
+++ b/spec/ownership_model.py
@@ -15,7 +15,7 @@
 
 import minicheck
 
-from spec import hosting, serving, tenure, world
+from spec import owner_steps, ownership_steps, states, worker_steps
 
 # Action -> the function of the product that implements it.
 ACTIONS = {
@@ -45,30 +45,30 @@
 class Model:
     """Enumerate the transitions under some rules and bounds."""
 
-    def __init__(self, rules: world.Rules, bounds: world.Bounds) -> None:
+    def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
-        self._tenure = tenure.Tenure(rules, bounds)
-        self._serving = serving.Serving(rules, bounds)
-        self._hosting = hosting.Hosting(rules, bounds)
+        self._tenure = ownership_steps.Tenure(rules, bounds)
+        self._serving = owner_steps.Serving(rules, bounds)
+        self._hosting = worker_steps.Hosting(rules, bounds)
 
     def protocol(self) -> minicheck.Protocol:
         """Return the model in the form that minicheck checks."""
         return minicheck.Protocol(
             name="ownership",
             candidate=False,
-            fields=world.State._fields,
-            initial=world.initial(self._bounds),
+            fields=states.State._fields,
+            initial=states.initial(self._bounds),
             transitions=self.transitions,
-            invariants=world.INVARIANTS,
+            invariants=states.INVARIANTS,
         )
 
-    def transitions(self, state: world.State) -> list[tuple[str, world.State]]:
+    def transitions(self, state: states.State) -> list[tuple[str, states.State]]:
         """Return all labelled successors of a state."""
         found = [("time passes", self._pass_time(state))]
         for p in (0, 1):
             found += self._tenure.steps(state, p)
-            if world.holds(state.processes[p]):
+            if states.holds(state.processes[p]):
                 for w in range(self._bounds.workers):
                     found += self._serving.steps(state, p, w)
         for start in state.starts:
@@ -77,7 +77,7 @@
             found += self._hosting.work(state, w)
         return [(label, self._reduce(after)) for label, after in found]
 
-    def _reduce(self, s: world.State) -> world.State:
+    def _reduce(self, s: states.State) -> states.State:
         """Drop what can no longer have an effect, which keeps the space small."""
         for p in (0, 1):
             me = s.processes[p]
@@ -86,13 +86,13 @@
                 reduced = reduced._replace(seen=-1)  # it does not claim
             else:
                 reduced = reduced._replace(renewal=-1, written=False)
-                if not world.holds(reduced):
+                if not states.holds(reduced):
                     # It starts nothing any more, and no renewal can resume it.
                     reduced = reduced._replace(epoch=0)
             if not reduced.epoch:
-                reduced = world.forget(reduced)
+                reduced = states.forget(reduced)
             if reduced != me:
-                s = s._replace(processes=world.put(s.processes, p, reduced))
+                s = s._replace(processes=states.put(s.processes, p, reduced))
         if self._rules.fence:
             starts = frozenset(
                 start
@@ -103,20 +103,22 @@
                 s = s._replace(starts=starts)  # they would be refused
         return s
 
-    def _pass_time(self, s: world.State) -> world.State:
+    def _pass_time(self, s: states.State) -> states.State:
         processes = tuple(
             p._replace(
-                age=min(p.age + 1, world.LEASE),
-                renewal=p.renewal if p.renewal < 0 else min(p.renewal + 1, world.LEASE),
-                seen=p.seen if p.seen < 0 else min(p.seen + 1, world.LEASE),
-                waited=tuple(min(age + 1, world.WORKER_LEASE) for age in p.waited),
+                age=min(p.age + 1, states.LEASE),
+                renewal=p.renewal
+                if p.renewal < 0
+                else min(p.renewal + 1, states.LEASE),
+                seen=p.seen if p.seen < 0 else min(p.seen + 1, states.LEASE),
+                waited=tuple(min(age + 1, states.WORKER_LEASE) for age in p.waited),
             )
             for p in s.processes
         )
         workers = []
         for worker in s.workers:
-            lease = min(worker.lease + 1, world.WORKER_LEASE)
-            if lease >= world.WORKER_LEASE and worker.running:
+            lease = min(worker.lease + 1, states.WORKER_LEASE)
+            if lease >= states.WORKER_LEASE and worker.running:
                 # The lease expired: the tasks are checkpointed and stop.
                 ended = worker.ended | worker.running
                 worker = worker._replace(running=frozenset(), ended=ended)
--- a/spec/tenure.py
+++ b/spec/ownership_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spec import world
+from spec import states
 from toucanspring.cell import ownership
 from toucanspring.owners import recovery
 
@@ -10,11 +10,11 @@
 class Tenure:
     """Enumerate the renewals and claims of one process."""
 
-    def __init__(self, rules: world.Rules, bounds: world.Bounds) -> None:
+    def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
-    def steps(self, s: world.State, p: int) -> world.Steps:
+    def steps(self, s: states.State, p: int) -> states.Steps:
         """Return what process `p` may do about its ownership."""
         me, other = s.processes[p], s.processes[1 - p]
         if me.renewal < 0 and (me.epoch or s.owner == p):
@@ -22,7 +22,7 @@
         if me.renewal >= 0:
             if not me.written:
                 stale = s._replace(
-                    processes=world.put(s.processes, 1 - p, other._replace(seen=-1))
+                    processes=states.put(s.processes, 1 - p, other._replace(seen=-1))
                 )
                 yield _step(stale, p, "renewal reaches store", written=True)
             else:
@@ -35,18 +35,18 @@
         elif s.epoch < self._bounds.epochs and self._may_claim(me):
             claimed = s._replace(epoch=s.epoch + 1, owner=p)
             owner = self._take_over(claimed, p, 0)
-            yield f"claim by {p}", world.with_process(claimed, p, owner)
+            yield f"claim by {p}", states.with_process(claimed, p, owner)
             lost = me._replace(epoch=0)
-            yield f"claim answer lost by {p}", world.with_process(claimed, p, lost)
+            yield f"claim answer lost by {p}", states.with_process(claimed, p, lost)
 
-    def _may_claim(self, me: world.Process) -> bool:
+    def _may_claim(self, me: states.Process) -> bool:
         if not self._rules.takeover_wait:
             return True
         sighting = ownership.Observation(1, 1, -me.seen, -me.seen)
-        silent = ownership.is_lease_expired(sighting, 1, 0, world.TIMING)
-        return ownership.may_claim(silent, ownership.NEVER, 0, world.TIMING)
+        silent = ownership.is_lease_expired(sighting, 1, 0, states.TIMING)
+        return ownership.may_claim(silent, ownership.NEVER, 0, states.TIMING)
 
-    def _answer_renewal(self, s: world.State, p: int) -> tuple[str, world.State]:
+    def _answer_renewal(self, s: states.State, p: int) -> tuple[str, states.State]:
         me = s.processes[p]._replace(renewal=-1)
         if s.owner != p:
             me = me._replace(epoch=0)
@@ -55,24 +55,24 @@
         else:
             # The claim had succeeded although its answer was lost.
             me = self._take_over(s, p, s.processes[p].renewal)._replace(renewal=-1)
-        return f"renewal answered to {p}", world.with_process(s, p, me)
+        return f"renewal answered to {p}", states.with_process(s, p, me)
 
-    def _take_over(self, s: world.State, p: int, age: int) -> world.Process:
+    def _take_over(self, s: states.State, p: int, age: int) -> states.Process:
         """Return the process after it has rebuilt its state from the log."""
         count = self._bounds.workers
         nobody = (False,) * count
         views = {}
-        for task, idempotent in world.IDEMPOTENT.items():
+        for task, idempotent in states.IDEMPOTENT.items():
             intent = s.intent is not None and not idempotent
             match recovery.restored_task(idempotent, intent, expected=True):
                 case _ if task in s.final:
-                    views[task] = world.FINAL
+                    views[task] = states.FINAL
                 case "held" if self._rules.hold:
-                    views[task] = world.HELD
+                    views[task] = states.HELD
                 case "attributed":
-                    views[task] = world.View(world.STARTING, *s.intent)
+                    views[task] = states.View(states.STARTING, *s.intent)
                 case _:
-                    views[task] = world.WAITING
+                    views[task] = states.WAITING
         return s.processes[p]._replace(
             epoch=s.epoch,
             age=age,
@@ -85,7 +85,7 @@
 
 
 def _step(
-    s: world.State, p: int, label: str, **fields: object
-) -> tuple[str, world.State]:
+    s: states.State, p: int, label: str, **fields: object
+) -> tuple[str, states.State]:
     changed = s.processes[p]._replace(**fields)
-    return f"{label} by {p}", world.with_process(s, p, changed)
+    return f"{label} by {p}", states.with_process(s, p, changed)
--- a/spec/runs.py
+++ b/spec/runs.py
@@ -6,12 +6,12 @@
 
 from spec import (
     coordination,
-    model,
     moves_model,
-    moves_world,
+    moves_states,
+    ownership_model,
     resizing,
     search,
-    world,
+    states,
 )
 
 MAX_STATES = 2_000_000
@@ -26,7 +26,7 @@
     `without` is the removed rule; then a property must be broken.
     """
 
-    bounds: world.Bounds | moves_world.Bounds | resizing.Bounds | coordination.Bounds
+    bounds: states.Bounds | moves_states.Bounds | resizing.Bounds | coordination.Bounds
     without: str = ""
 
 
@@ -35,11 +35,11 @@
 SPACES = tuple(
     Run(bounds)
     for bounds in (
-        world.Bounds(workers=1, epochs=2, attempts=2),
-        world.Bounds(workers=2, epochs=2, attempts=2, tasks="I"),
-        world.Bounds(workers=2, epochs=2, attempts=2, tasks="N"),
-        world.Bounds(workers=1, epochs=2, attempts=2, restarts=1, tasks="N"),
-        world.Bounds(workers=1, epochs=3, attempts=2, tasks="N"),
+        states.Bounds(workers=1, epochs=2, attempts=2),
+        states.Bounds(workers=2, epochs=2, attempts=2, tasks="I"),
+        states.Bounds(workers=2, epochs=2, attempts=2, tasks="N"),
+        states.Bounds(workers=1, epochs=2, attempts=2, restarts=1, tasks="N"),
+        states.Bounds(workers=1, epochs=3, attempts=2, tasks="N"),
     )
 )
 
@@ -49,30 +49,30 @@
 MOVES_SPACES = tuple(
     Run(bounds)
     for bounds in (
-        moves_world.Bounds(epochs=(1, 1), writes=True),
-        moves_world.Bounds(epochs=(2, 1), versions=2),
-        moves_world.Bounds(epochs=(1, 2), versions=2),
-        moves_world.Bounds(epochs=(1, 1), versions=2, tasks=(0, 1)),
-        moves_world.Bounds(epochs=(2, 1), versions=2, drops=True),
+        moves_states.Bounds(epochs=(1, 1), writes=True),
+        moves_states.Bounds(epochs=(2, 1), versions=2),
+        moves_states.Bounds(epochs=(1, 2), versions=2),
+        moves_states.Bounds(epochs=(1, 1), versions=2, tasks=(0, 1)),
+        moves_states.Bounds(epochs=(2, 1), versions=2, drops=True),
     )
 )
 
 # Removed rule -> bounds that are large enough for the shortest counterexample.
 REMOVALS = (
-    Run(world.Bounds(tasks="N"), "fence"),
-    Run(world.Bounds(workers=2, tasks="I"), "takeover_wait"),
-    Run(world.Bounds(tasks="N"), "intent_record"),
-    Run(world.Bounds(workers=2, tasks="I"), "hold"),
-    Run(world.Bounds(workers=2, tasks="I"), "lost_wait"),
+    Run(states.Bounds(tasks="N"), "fence"),
+    Run(states.Bounds(workers=2, tasks="I"), "takeover_wait"),
+    Run(states.Bounds(tasks="N"), "intent_record"),
+    Run(states.Bounds(workers=2, tasks="I"), "hold"),
+    Run(states.Bounds(workers=2, tasks="I"), "lost_wait"),
 )
 MOVES_REMOVALS = (
-    Run(moves_world.Bounds(epochs=(2, 1), versions=2), "ownership_check"),
-    Run(moves_world.Bounds(epochs=(1, 1), versions=2, writes=True), "version_check"),
-    Run(moves_world.Bounds(epochs=(1, 1), versions=3), "lease_wait"),
-    Run(moves_world.Bounds(epochs=(1, 1), versions=2), "drain"),
-    Run(moves_world.Bounds(epochs=(1, 1), versions=2), "withhold"),
-    Run(moves_world.Bounds(epochs=(1, 1), versions=2), "release"),
-    Run(moves_world.Bounds(versions=2, drops=True), "own_drop"),
+    Run(moves_states.Bounds(epochs=(2, 1), versions=2), "ownership_check"),
+    Run(moves_states.Bounds(epochs=(1, 1), versions=2, writes=True), "version_check"),
+    Run(moves_states.Bounds(epochs=(1, 1), versions=3), "lease_wait"),
+    Run(moves_states.Bounds(epochs=(1, 1), versions=2), "drain"),
+    Run(moves_states.Bounds(epochs=(1, 1), versions=2), "withhold"),
+    Run(moves_states.Bounds(epochs=(1, 1), versions=2), "release"),
+    Run(moves_states.Bounds(versions=2, drops=True), "own_drop"),
 )
 
 RESIZING_SPACES = tuple(Run(bounds) for bounds in resizing.SPACES)
@@ -101,8 +101,8 @@
     """Search the space of one run."""
     removed = {run.without: False} if run.without else {}
     most = REMOVAL_STATES if run.without else MAX_STATES
-    if isinstance(run.bounds, world.Bounds):
-        protocol = model.Model(world.Rules(**removed), run.bounds).protocol()
+    if isinstance(run.bounds, states.Bounds):
+        protocol = ownership_model.Model(states.Rules(**removed), run.bounds).protocol()
         return search.check(protocol, most)
     if isinstance(run.bounds, resizing.Bounds):
         protocol = resizing.Model(resizing.Rules(**removed), run.bounds).protocol()
@@ -110,12 +110,12 @@
     if isinstance(run.bounds, coordination.Bounds):
         rules = coordination.Rules(**removed)
         return search.check(coordination.Model(rules, run.bounds).protocol(), most)
-    rules = moves_world.Rules(**removed)
+    rules = moves_states.Rules(**removed)
     protocol = moves_model.Model(rules, run.bounds).protocol()
     return search.check(
         protocol,
         most,
-        moves_world.GOALS,
+        moves_states.GOALS,
         moves_model.is_forced,
         stop_early=bool(run.without),
     )
--- a/spec/world.py
+++ b/spec/states.py
@@ -166,8 +166,8 @@
     """Return whether a process may act as the owner, by its own clock."""
     if not process.epoch:
         return False
-    tenure = ownership.renew(ownership.Lease(), -process.age, TIMING)
-    return ownership.lease_state(tenure, 0) is ownership.LeaseState.HELD
+    lease = ownership.renew(ownership.Lease(), -process.age, TIMING)
+    return ownership.lease_state(lease, 0) is ownership.LeaseState.HELD
 
 
 def forget(me: Process) -> Process:
--- a/spec/hosting.py
+++ b/spec/worker_steps.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from spec import world
+from spec import states
 
 
 class Hosting:
     """Enumerate what happens on workers."""
 
-    def __init__(self, rules: world.Rules, bounds: world.Bounds) -> None:
+    def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
-    def deliver(self, s: world.State, start: world.Start) -> world.Steps:
+    def deliver(self, s: states.State, start: states.Start) -> states.Steps:
         """Return what may follow when a start reaches its worker."""
         epoch, task, number, w = start
         worker = s.workers[w]
@@ -21,25 +21,27 @@
         known = any(name == task for name, _ in worker.running) or any(
             name == task and number <= other for name, other in worker.ended
         )
-        if fenced or known or worker.lease >= world.WORKER_LEASE:
+        if fenced or known or worker.lease >= states.WORKER_LEASE:
             yield f"start of {task} refused by {w}", _refuse(after, start)
             yield f"start of {task} refused by {w}, answer lost", after
             return
         runs = s.n_runs + (task == "N")
         accepted = worker._replace(running=worker.running | {(task, number)})
-        after = after._replace(workers=world.put(s.workers, w, accepted), n_runs=runs)
+        after = after._replace(workers=states.put(s.workers, w, accepted), n_runs=runs)
         yield f"start of {task} arrives at {w}, answer lost", after
         for p, me in enumerate(s.processes):
-            view = world.view_of(me, task)
-            mine = me.epoch == epoch and me.attached[w] and view.state is world.STARTING
+            view = states.view_of(me, task)
+            mine = (
+                me.epoch == epoch and me.attached[w] and view.state is states.STARTING
+            )
             if mine and (view.worker, view.attempt) == (w, number):
-                seen = world.with_view(me, task, view._replace(state=world.RUNNING))
+                seen = states.with_view(me, task, view._replace(state=states.RUNNING))
                 yield (
                     f"start of {task} arrives at {w}",
-                    world.with_process(after, p, seen),
+                    states.with_process(after, p, seen),
                 )
 
-    def work(self, s: world.State, w: int) -> world.Steps:
+    def work(self, s: states.State, w: int) -> states.Steps:
         """Return what may happen on worker `w` without a message."""
         worker = s.workers[w]
         for entry in worker.running:
@@ -48,33 +50,33 @@
             )
             yield (
                 f"task {entry[0]} ends on {w}",
-                s._replace(workers=world.put(s.workers, w, ended)),
+                s._replace(workers=states.put(s.workers, w, ended)),
             )
         if w == 0 and worker.incarnation < self._bounds.restarts:
-            fresh = world.Worker(
-                0, world.WORKER_LEASE, worker.incarnation + 1, frozenset(), frozenset()
+            fresh = states.Worker(
+                0, states.WORKER_LEASE, worker.incarnation + 1, frozenset(), frozenset()
             )
             processes = tuple(
-                p._replace(attached=world.put(p.attached, w, False))
+                p._replace(attached=states.put(p.attached, w, False))
                 for p in s.processes
             )
             yield (
                 f"restart worker {w}",
                 s._replace(
-                    workers=world.put(s.workers, w, fresh),
+                    workers=states.put(s.workers, w, fresh),
                     processes=processes,
                     starts=frozenset(start for start in s.starts if start.worker != w),
                 ),
             )
 
 
-def _refuse(s: world.State, start: world.Start) -> world.State:
+def _refuse(s: states.State, start: states.Start) -> states.State:
     epoch, task, number, w = start
     for p, me in enumerate(s.processes):
-        view = world.view_of(me, task)
-        mine = me.epoch == epoch and me.attached[w] and view.state is world.STARTING
+        view = states.view_of(me, task)
+        mine = me.epoch == epoch and me.attached[w] and view.state is states.STARTING
         if mine and (view.worker, view.attempt) == (w, number):
-            return world.with_process(
-                s, p, world.with_view(me, task, world.waiting(number + 1))
+            return states.with_process(
+                s, p, states.with_view(me, task, states.waiting(number + 1))
             )
     return s
--- a/test/test_spec.py
+++ b/test/test_spec.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from spec import coordination, model, resizing, runs, world
+from spec import coordination, ownership_model, resizing, runs, states
 
 
 class SpecTest(testtools.TestCase):
@@ -51,13 +51,15 @@
     def test_every_action_names_an_existing_implementation(self):
         # Guards against a model of functions that were renamed or removed.
         seen = set()
-        protocol = model.Model(world.Rules(), world.Bounds(tasks="N")).protocol()
+        protocol = ownership_model.Model(
+            states.Rules(), states.Bounds(tasks="N")
+        ).protocol()
         frontier = [protocol.initial]
         for _ in range(9):
             following = [step for s in frontier for step in protocol.transitions(s)]
             seen.update(label for label, _ in following)
             frontier = {after for _, after in following}
-        named = set(model.ACTIONS)
+        named = set(ownership_model.ACTIONS)
         unseen = set(named)
         for label in seen:
             found = {name for name in named if label.startswith(name)}
@@ -65,7 +67,7 @@
             unseen -= found
         self.assertEqual({"restart worker"}, unseen)  # outside of these bounds
         for name in [
-            *model.ACTIONS.values(),
+            *ownership_model.ACTIONS.values(),
             *resizing.ACTIONS.values(),
             *coordination.ACTIONS.values(),
         ]:
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -9,7 +9,7 @@
 import testtools
 from gevent import event
 
-from spec import moves_model, moves_world, runs
+from spec import moves_model, moves_states, runs
 from test import fake_tables
 from toucanspring import errors, kernel, resources
 from toucanspring.adapters import vms
@@ -199,8 +199,8 @@
 
     def walk(self, rng, bounds, steps):
         """Return a random path through the model; moves are likelier than others."""
-        states = moves_model.Model(moves_world.Rules(), bounds)
-        state = moves_world.initial(bounds)
+        states = moves_model.Model(moves_states.Rules(), bounds)
+        state = moves_states.initial(bounds)
         for _ in range(steps):
             found = states.transitions(state)
             if not found:
@@ -230,7 +230,7 @@
 
     def test_the_product_follows_the_traces_of_the_model(self):
         # Guards against a model that proves properties of another protocol.
-        bounds = moves_world.Bounds(epochs=(2, 2), versions=4, writes=True)
+        bounds = moves_states.Bounds(epochs=(2, 2), versions=4, writes=True)
         kinds = set()
         for seed in range(300):
             replay = Replay()
@@ -275,7 +275,7 @@
         # Guards against a model of functions that were renamed or removed.
         for name in moves_model.ACTIONS.values():
             pkgutil.resolve_name(name)
-        bounds = moves_world.Bounds(epochs=(2, 2), writes=True, drops=True)
+        bounds = moves_states.Bounds(epochs=(2, 2), writes=True, drops=True)
         unseen = set(moves_model.ACTIONS)
         for seed in range(300):
             for label, _ in self.walk(random.Random(seed), bounds, 60):
