--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -18,20 +18,20 @@
 
 ACTIONS = {
     "claim": "toucanspring.coordinator.leader_lease.acquire",
-    "expire": "toucanspring.coordinator.leadership.Leadership.may_renew",
-    "intend": "toucanspring.coordinator.cell_state.CellState.allocate",
+    "leader lease expires": "toucanspring.coordinator.leadership.Leadership.may_renew",
+    "allocate": "toucanspring.coordinator.cell_state.CellState.allocate",
     "write": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
     "write fails": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
-    "late copy": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
+    "delayed duplicate": "toucanspring.coordinator.fenced_writer.FencedWriter.commit",
     "order": "toucanspring.coordinator.dispatch.Dispatcher.start",
-    "arrive": "standins.lease_workers.LeaseWorkers.start",
-    "end": "standins.lease_workers.LeaseWorkers.poll",
-    "lapse": "standins.lease_workers.LeaseWorkers.poll",
-    "look": "toucanspring.coordinator.reports.apply_poll_reply",
-    "note": "toucanspring.coordinator.leadership.Leadership.acknowledge_ends",
-    "give up": "toucanspring.coordinator.reports.mark_lost",
+    "order arrives": "standins.lease_workers.LeaseWorkers.start",
+    "task ends": "standins.lease_workers.LeaseWorkers.poll",
+    "worker lease expires": "standins.lease_workers.LeaseWorkers.poll",
+    "poll": "toucanspring.coordinator.reports.apply_poll_reply",
+    "acknowledge": "toucanspring.coordinator.leadership.Leadership.acknowledge_ends",
+    "mark lost": "toucanspring.coordinator.reports.mark_lost",
 }
-NOWHERE = -1
+NO_WORKER = -1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -47,9 +47,9 @@
 class Rules:
     """Say which rules are in force; removing one must break an invariant."""
 
-    intent: bool = True  # a start is ordered once its record is durable
-    seat_check: bool = True  # a write checks the seat's row
-    rewrite: bool = True  # and rewrites it, so that a late copy fails
+    durable_intent: bool = True  # a start is ordered once its record is durable
+    leader_lease_check: bool = True  # a write checks the seat's row
+    lease_rewrite: bool = True  # and rewrites it, so that a late copy fails
     fence: bool = True  # workers refuse lower epochs
     durable_end: bool = True  # an end is noted once its record is durable
     lease_wait: bool = True  # an unreachable worker is waited for
@@ -60,7 +60,7 @@
     """The durable row of the task: its run, where it may be, and whether it is done."""
 
     run: int = 0
-    worker: int = NOWHERE
+    worker: int = NO_WORKER
     done: bool = False
 
 
@@ -90,8 +90,8 @@
     epoch: int
     version: int
     record: Record
-    copies: frozenset[tuple[int, Record]]
-    noted: bool
+    duplicates: frozenset[tuple[int, Record]]
+    acknowledged: bool
     coordinators: tuple[Coordinator, ...]
     workers: tuple[Worker, ...]
     orders: frozenset[tuple[int, int, int]]  # epoch, run, worker
@@ -131,41 +131,47 @@
                     coordinators=(*s.coordinators, new),
                 ),
             )
-        for index, holder in enumerate(s.coordinators):
-            if not holder.expired:
+        for index, coordinator in enumerate(s.coordinators):
+            if not coordinator.expired:
                 # Only with a successor: alone it renews its lease.
-                if holder.epoch < s.epoch:
-                    yield "expire", _put(s, index, holder._replace(expired=True))
-                yield from self._decide(s, index, holder)
-                yield from self._look(s, index, holder)
-            if holder.write is not None:
-                yield self._write(s, index, holder)
-        for version, record in s.copies:
+                if coordinator.epoch < s.epoch:
+                    yield (
+                        "leader lease expires",
+                        _with_coordinator(s, index, coordinator._replace(expired=True)),
+                    )
+                yield from self._decide(s, index, coordinator)
+                yield from self._poll(s, index, coordinator)
+            if coordinator.write is not None:
+                yield self._write(s, index, coordinator)
+        for version, record in s.duplicates:
             if version == s.version:
-                copied = s._replace(record=record, copies=frozenset())
-                yield "late copy", copied
-        yield from self._work(s)
+                copied = s._replace(record=record, duplicates=frozenset())
+                yield "delayed duplicate", copied
+        yield from self._worker_steps(s)
 
     def _decide(self, s: State, index: int, c: Coordinator) -> Steps:
         record = c.record
         free = c.write is None and not c.placing and not record.done
-        if free and record.worker == NOWHERE and record.run < self._bounds.runs:
+        if free and record.worker == NO_WORKER and record.run < self._bounds.runs:
             for worker in range(self._bounds.workers):
                 placed = Record(record.run + 1, worker, False)
-                if self._rules.intent:
-                    yield "intend", _put(s, index, c._replace(write=placed))
+                if self._rules.durable_intent:
+                    yield (
+                        "allocate",
+                        _with_coordinator(s, index, c._replace(write=placed)),
+                    )
                 else:
                     chosen = c._replace(record=placed, placing=True)
-                    yield "intend", _put(s, index, chosen)
+                    yield "allocate", _with_coordinator(s, index, chosen)
         if c.placing:
             order = (c.epoch, record.run, record.worker)
-            sent = _put(s, index, c._replace(placing=False))
+            sent = _with_coordinator(s, index, c._replace(placing=False))
             yield "order", sent._replace(orders=s.orders | {order})
-        if free and record.worker != NOWHERE and self._is_lost(s, c):
-            gone = c._replace(record=record._replace(worker=NOWHERE))
-            yield "give up", _put(s, index, gone)
+        if free and record.worker != NO_WORKER and self._may_mark_lost(s, c):
+            gone = c._replace(record=record._replace(worker=NO_WORKER))
+            yield "mark lost", _with_coordinator(s, index, gone)
 
-    def _is_lost(self, s: State, c: Coordinator) -> bool:
+    def _may_mark_lost(self, s: State, c: Coordinator) -> bool:
         """Return whether a worker's lease must be over, as far as rules demand it."""
         if not self._rules.lease_wait:
             return True
@@ -178,20 +184,22 @@
         return not (s.workers[name].running or under_way or active)
 
     def _write(self, s: State, index: int, c: Coordinator) -> tuple[str, State]:
-        if self._rules.seat_check and c.version != s.version:
+        if self._rules.leader_lease_check and c.version != s.version:
             lost = c._replace(write=None, expired=True)
-            return "write fails", _put(s, index, lost)
-        version = s.version + 1 if self._rules.rewrite else s.version
-        started = c.write.worker != NOWHERE and not c.write.done
+            return "write fails", _with_coordinator(s, index, lost)
+        version = s.version + 1 if self._rules.lease_rewrite else s.version
+        started = c.write.worker != NO_WORKER and not c.write.done
         written = c._replace(
             record=c.write, write=None, placing=started, version=version
         )
-        after = _put(s, index, written)
+        after = _with_coordinator(s, index, written)
         return "write", after._replace(
-            record=c.write, version=version, copies=s.copies | {(s.version, c.write)}
+            record=c.write,
+            version=version,
+            duplicates=s.duplicates | {(s.version, c.write)},
         )
 
-    def _look(self, s: State, index: int, c: Coordinator) -> Steps:
+    def _poll(self, s: State, index: int, c: Coordinator) -> Steps:
         record = c.record
         for name, worker in enumerate(s.workers):
             if self._rules.fence and worker.epoch > c.epoch:
@@ -201,69 +209,77 @@
             if worker.ended and worker.ended == record.run:
                 if not record.done and ours:
                     ended = c._replace(write=record._replace(done=True))
-                    yield "look", _worker(_put(s, index, ended), name, seen)
+                    yield (
+                        "poll",
+                        _with_worker(_with_coordinator(s, index, ended), name, seen),
+                    )
                 if record.done or not self._rules.durable_end:
-                    noted = _worker(s, name, seen._replace(ended=0))
-                    yield "note", noted._replace(noted=True)
+                    acknowledged = _with_worker(s, name, seen._replace(ended=0))
+                    yield "acknowledge", acknowledged._replace(acknowledged=True)
                 continue
             if worker.running and worker.running != record.run:
                 # Not what this coordinator placed: it is stopped.
-                yield "look", _worker(s, name, seen._replace(running=0))
+                yield "poll", _with_worker(s, name, seen._replace(running=0))
                 continue
             answered = (c.epoch, record.run, name) not in s.orders
             if ours and not record.done and not worker.running and answered:
-                free = c._replace(record=record._replace(worker=NOWHERE))
-                yield "look", _worker(_put(s, index, free), name, seen)
+                free = c._replace(record=record._replace(worker=NO_WORKER))
+                yield (
+                    "poll",
+                    _with_worker(_with_coordinator(s, index, free), name, seen),
+                )
             elif seen != worker:
-                yield "look", _worker(s, name, seen)
+                yield "poll", _with_worker(s, name, seen)
 
-    def _work(self, s: State) -> Steps:
+    def _worker_steps(self, s: State) -> Steps:
         for order in s.orders:
             epoch, run, name = order
             worker = s.workers[name]
             left = s._replace(orders=s.orders - {order})
             fenced = self._rules.fence and epoch < worker.epoch
             if fenced or run <= worker.highest:
-                yield "arrive", left
+                yield "order arrives", left
                 continue
             started = Worker(max(epoch, worker.epoch), run, worker.ended, run)
-            yield "arrive", _worker(left, name, started)
+            yield "order arrives", _with_worker(left, name, started)
         for name, worker in enumerate(s.workers):
             if not worker.running:
                 continue
             ended = worker._replace(running=0, ended=worker.running)
-            yield "end", _worker(s, name, ended)
+            yield "task ends", _with_worker(s, name, ended)
             # An order carries a lease, so what is under way is too late as well.
             kept = frozenset(order for order in s.orders if order[2] != name)
-            lapsed = _worker(s, name, worker._replace(running=0))
-            yield "lapse", lapsed._replace(orders=kept)
+            lapsed = _with_worker(s, name, worker._replace(running=0))
+            yield "worker lease expires", lapsed._replace(orders=kept)
 
 
-def _put(s: State, index: int, changed: Coordinator) -> State:
+def _with_coordinator(s: State, index: int, changed: Coordinator) -> State:
     coordinators = (*s.coordinators[:index], changed, *s.coordinators[index + 1 :])
     return s._replace(coordinators=coordinators)
 
 
-def _worker(s: State, name: int, changed: Worker) -> State:
+def _with_worker(s: State, name: int, changed: Worker) -> State:
     return s._replace(workers=(*s.workers[:name], changed, *s.workers[name + 1 :]))
 
 
-def _runs_once(fields: dict) -> bool:
+def _runs_in_one_place(fields: dict) -> bool:
     return sum(worker.running > 0 for worker in fields["workers"]) <= 1
 
 
 def _stays_ended(fields: dict) -> bool:
-    return not fields["noted"] or not any(each.running for each in fields["workers"])
+    return not fields["acknowledged"] or not any(
+        each.running for each in fields["workers"]
+    )
 
 
 def _is_recorded(fields: dict) -> bool:
-    return not fields["noted"] or fields["record"].done
+    return not fields["acknowledged"] or fields["record"].done
 
 
 INVARIANTS = {
-    "the task runs in one place": _runs_once,
-    "nothing runs after a noted end": _stays_ended,
-    "a noted end is recorded": _is_recorded,
+    "the task runs in one place": _runs_in_one_place,
+    "nothing runs after an acknowledged end": _stays_ended,
+    "an acknowledged end is recorded": _is_recorded,
 }
 SPACES = (
     Bounds(workers=2, claims=2, runs=2),
@@ -271,9 +287,9 @@
 )
 # Removed rule -> bounds that are large enough for the shortest counterexample.
 REMOVALS = {
-    "intent": Bounds(),
-    "seat_check": Bounds(),
-    "rewrite": Bounds(claims=1, runs=2),
+    "durable_intent": Bounds(),
+    "leader_lease_check": Bounds(),
+    "lease_rewrite": Bounds(claims=1, runs=2),
     "fence": Bounds(),
     "durable_end": Bounds(claims=1, runs=1),
     "lease_wait": Bounds(claims=1),
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -26,8 +26,8 @@
     "renew": "toucanspring.owners.worker_link.Link",
     "lose": "toucanspring.owners.recovery.lose",
     "start on worker": "toucanspring.scheduling.lifecycle.Lifecycle.start",
-    "start at home": "toucanspring.scheduling.lifecycle.Lifecycle.start",
-    "end at home": "toucanspring.scheduling.attempt.report",
+    "start on fixed worker": "toucanspring.scheduling.lifecycle.Lifecycle.start",
+    "end on fixed worker": "toucanspring.scheduling.attempt.report",
     "report": "toucanspring.scheduling.attempt.report",
     "plan move": "toucanspring.scheduling.move_planner.MovePlanner.plan",
     "plan drop": "toucanspring.owners.fleet.Service",
@@ -65,7 +65,7 @@
     return not label.startswith(UNFORCED) and "answer lost" not in label
 
 
-class Model(moves_worker_steps.Hosting):
+class Model(moves_worker_steps.WorkerSteps):
     """Enumerate the transitions under some rules and bounds."""
 
     def protocol(self) -> minicheck.Protocol:
@@ -91,8 +91,8 @@
                     if me.holds and me.link == "attached":
                         after = _renew_in_time(s, p, e)
                         found.append(("time passes, lease renewed", after))
-                    found += self._own(s, p, e, me)
-        found += self.host(s)
+                    found += self._owner_steps(s, p, e, me)
+        found += self.worker_events(s)
         for write in s.writes:
             found += self._deliver(s, write)
         found += self._write_others(s)
@@ -101,7 +101,7 @@
 
     def _reduce(self, s: moves_states.State) -> moves_states.State:
         """Drop what can no longer have an effect, which keeps the space small."""
-        s = _forget(s)
+        s = _reduce_ended(s)
         last = len(s.rows) - 1
         writes = frozenset(
             each
@@ -111,7 +111,7 @@
                 each.epoch == s.epochs[each.partition]
                 or not self._rules.ownership_check
             )
-            or _awaits(s.owners[each.partition][each.epoch - 1], each)
+            or _awaits_answer(s.owners[each.partition][each.epoch - 1], each)
         )
         return s if len(writes) == len(s.writes) else s._replace(writes=writes)
 
@@ -129,7 +129,7 @@
         owners[p] = (*owners[p], fresh)
         yield f"claim {p}", s._replace(epochs=epochs, owners=tuple(owners))
 
-    def _own(
+    def _owner_steps(
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
     ) -> moves_states.Steps:
         if e < self._bounds.epochs[p]:
@@ -147,7 +147,7 @@
                 return
             yield f"load {p}.{e}", self._load(s, p, e, me)
             return
-        yield from self._use(s, p, e, me)
+        yield from self._use_worker(s, p, e, me)
         yield from self._move(s, p, e, me)
 
     def _load(
@@ -156,15 +156,15 @@
         mine = s.rows[-1] == p
         if p in s.final:
             task = "final"
-        elif p in s.home:
-            task = "home"
+        elif p in s.on_fixed_worker:
+            task = "fixed_worker"
         else:
             task = recovery.restored_task(True, False, mine) if mine else "waiting"
         number = me.attempt
         me = me._replace(
             seen=len(s.rows) - 1,
             link="open" if mine else "none",
-            waited=0,
+            since_renewal=0,
             task=task,
             attempt=number,
         )
@@ -179,13 +179,13 @@
         if me.seen < last or (me.link == "none" and s.rows[last] == p):
             yield (
                 f"read row {p}.{e}",
-                moves_states.with_owner(s, p, e, self._read(s, p, me)),
+                moves_states.with_owner(s, p, e, self._read_row(s, p, me)),
             )
         if me.move is None:
             yield from self._plan(s, p, e, me)
         elif me.move.state == "planned":
             if s.rows[me.seen] != p:
-                changed = self._read(s, p, me._replace(move=None))
+                changed = self._read_row(s, p, me._replace(move=None))
                 yield (
                     f"send transaction {p}.{e}: not needed",
                     moves_states.with_owner(s, p, e, changed),
@@ -199,14 +199,14 @@
             lost = me._replace(move=me.move._replace(state="doubt"))
             yield f"answer lost {p}.{e}", moves_states.with_owner(s, p, e, lost)
         elif me.holds:
-            yield from self._resolve(s, p, e, self._read(s, p, me))
+            yield from self._resolve(s, p, e, self._read_row(s, p, me))
 
     def _plan(
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
     ) -> moves_states.Steps:
         if not me.holds or len(s.rows) >= self._bounds.versions:
             return
-        empty = me.task != "worker" and not moves_states.present(s.worker)
+        empty = me.task != "worker" and not moves_states.running_or_stopping(s.worker)
         if me.link == "attached" and (empty or not self._rules.drain):
             move = moves_states.Move("planned", me.seen, 1 - p)
             yield (
@@ -214,7 +214,7 @@
                 moves_states.with_owner(s, p, e, me._replace(move=move)),
             )
         if self._bounds.drops and self._rules.own_drop and me.link == "lost":
-            move = moves_states.Move("planned", me.seen, moves_states.NOWHERE)
+            move = moves_states.Move("planned", me.seen, moves_states.UNASSIGNED)
             yield (
                 f"plan drop {p}.{e}",
                 moves_states.with_owner(s, p, e, me._replace(move=move, link="none")),
@@ -235,15 +235,15 @@
         after = s._replace(writes=s.writes | {write})
         return moves_states.with_owner(after, p, e, me)
 
-    def _read(
+    def _read_row(
         self, s: moves_states.State, p: int, me: moves_states.Owner
     ) -> moves_states.Owner:
         last = len(s.rows) - 1
-        link, waited = me.link, me.waited
-        dropping = me.move is not None and me.move.target == moves_states.NOWHERE
+        link, since_renewal = me.link, me.since_renewal
+        dropping = me.move is not None and me.move.target == moves_states.UNASSIGNED
         if link == "none" and s.rows[last] == p and not dropping:
-            link, waited = "open", 0
-        return me._replace(seen=last, link=link, waited=waited)
+            link, since_renewal = "open", 0
+        return me._replace(seen=last, link=link, since_renewal=since_renewal)
 
     def _resolve(
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
@@ -265,7 +265,7 @@
         p, e, version, target, repeated = write
         s = s._replace(writes=s.writes - {write})
         me = s.owners[p][e - 1]
-        awaited = _awaits(me, write)
+        awaited = _awaits_answer(me, write)
         name = f"{'repeated ' if repeated else ''}transaction of {p}.{e}"
         current = version == len(s.rows) - 1 or not self._rules.version_check
         owned = e == s.epochs[p] or not self._rules.ownership_check
@@ -282,13 +282,13 @@
             yield f"{name} conflicts", s
         elif repeated:
             # The first attempt may be what conflicts.
-            me = self._read(s, p, me._replace(move=me.move._replace(state="doubt")))
+            me = self._read_row(s, p, me._replace(move=me.move._replace(state="doubt")))
             yield (
                 f"{name} conflicts",
                 moves_states.with_owner(s, p, e, me),
             )
         else:
-            me = self._read(s, p, me._replace(move=None))
+            me = self._read_row(s, p, me._replace(move=None))
             yield f"{name} conflicts", moves_states.with_owner(s, p, e, me)
 
     def _doubt(self, s: moves_states.State, p: int, e: int) -> moves_states.State:
@@ -303,35 +303,39 @@
         if not self._rules.release:
             return moves_states.with_owner(s, p, e, me)
         worker = s.worker
-        speaks = (worker.partition, worker.epochs[p]) == (p, e)
-        if me.link == "attached" and speaks and not moves_states.present(worker):
+        is_latest = (worker.partition, worker.epochs[p]) == (p, e)
+        if (
+            me.link == "attached"
+            and is_latest
+            and not moves_states.running_or_stopping(worker)
+        ):
             worker = worker._replace(lease=moves_states.LEASE)
         starts = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
-        me = moves_worker_steps.lost(me._replace(link="none"))
+        me = moves_worker_steps.after_worker_loss(me._replace(link="none"))
         after = s._replace(worker=worker, starts=starts)
         return moves_states.with_owner(after, p, e, me)
 
     def _write_others(self, s: moves_states.State) -> moves_states.Steps:
         last = s.rows[-1]
-        if last == moves_states.NOWHERE:
+        if last == moves_states.UNASSIGNED:
             for p in (0, 1):
                 yield f"assign to {p}", s._replace(rows=(*s.rows, p))
         elif len(s.rows) < self._bounds.versions:
             if self._bounds.writes:
                 yield "other write", s._replace(rows=(*s.rows, last))
             if self._bounds.drops and not self._rules.own_drop:
-                dropped = s._replace(rows=(*s.rows, moves_states.NOWHERE))
+                dropped = s._replace(rows=(*s.rows, moves_states.UNASSIGNED))
                 yield "drop by another", dropped
 
 
-def _awaits(me: moves_states.Owner | None, write: moves_states.Write) -> bool:
+def _awaits_answer(me: moves_states.Owner | None, write: moves_states.Write) -> bool:
     """Return whether an owner still waits for the answer to a transaction."""
     if me is None or me.move is None or me.move.version != write.version:
         return False
     return me.move.state == ("resent" if write.repeated else "sent")
 
 
-def _forget(s: moves_states.State) -> moves_states.State:
+def _reduce_ended(s: moves_states.State) -> moves_states.State:
     for p in (0, 1):
         for e, me in enumerate(s.owners[p], 1):
             if me is None or me.holds:
@@ -341,7 +345,7 @@
             reduced = me._replace(
                 seen=me.seen if planned else min(me.seen, 0),
                 link="open" if me.link in ("open", "lost") else "none",
-                waited=0,
+                since_renewal=0,
                 move=me.move if planned else None,
                 task="final",
                 attempt=1,
@@ -361,14 +365,17 @@
     """Let time pass while an owner keeps the worker's lease valid."""
     before = s._replace(worker=s.worker._replace(lease=-1))
     after = _pass_time(before)
-    me = after.owners[p][e - 1]._replace(waited=0)
+    me = after.owners[p][e - 1]._replace(since_renewal=0)
     return moves_states.with_owner(after, p, e, me)
 
 
 def _pass_time(s: moves_states.State) -> moves_states.State:
     owners = tuple(
         tuple(
-            me and me._replace(waited=min(me.waited + 1, moves_states.STOPPED))
+            me
+            and me._replace(
+                since_renewal=min(me.since_renewal + 1, moves_states.STOPPED)
+            )
             for me in own
         )
         for own in s.owners
--- a/spec/moves_states.py
+++ b/spec/moves_states.py
@@ -8,7 +8,7 @@
 
 LEASE = 1  # units of time; a worker refuses starts from this age of its lease
 STOPPED = 2  # units after a renewal at which the tasks have ended
-NOWHERE = -1  # the row has no entry for the worker
+UNASSIGNED = -1  # the row has no entry for the worker
 UNLOADED = -1  # an owner that has not read the row yet
 
 
@@ -38,7 +38,7 @@
 
 
 class Move(NamedTuple):
-    """A transaction of an owner; `target` is a partition or `NOWHERE`."""
+    """A transaction of an owner; `target` is a partition or `UNASSIGNED`."""
 
     state: str  # planned, sent, doubt or resent
     version: int
@@ -51,9 +51,9 @@
     holds: bool  # by its own clock
     seen: int  # version of the row, or UNLOADED
     link: str  # none, open, attached or lost
-    waited: int  # since it last renewed the worker
+    since_renewal: int  # since it last renewed the worker
     move: Move | None
-    task: str  # held, waiting, worker, home or final
+    task: str  # held, waiting, worker, fixed_worker or final
     attempt: int
 
 
@@ -96,7 +96,9 @@
     epochs: tuple[int, int]
     owners: tuple[tuple[Owner | None, ...], tuple[Owner | None, ...]]  # None: dead
     worker: Worker
-    home: frozenset[int]  # partitions whose task runs on a worker that never moves
+    on_fixed_worker: frozenset[
+        int
+    ]  # partitions whose task runs on a worker that never moves
     final: frozenset[int]
     writes: frozenset[Write]
     starts: frozenset[Start]
@@ -131,7 +133,7 @@
     return s._replace(owners=(own, s.owners[1]) if p == 0 else (s.owners[0], own))
 
 
-def present(worker: Worker) -> frozenset[tuple[int, int]]:
+def running_or_stopping(worker: Worker) -> frozenset[tuple[int, int]]:
     """Return what runs on the worker, its stopping tasks included."""
     return worker.running | worker.stopping
 
@@ -139,7 +141,7 @@
 def is_served(s: State) -> bool:
     """Return whether the partition that the row names has the worker."""
     p = s.rows[-1]
-    if p == NOWHERE:
+    if p == UNASSIGNED:
         return False
     owner = s.owners[p][s.epochs[p] - 1]
     return owner is not None and owner.holds and owner.link == "attached"
@@ -152,15 +154,17 @@
 
 INVARIANTS = {
     "a worker runs tasks of one partition at a time": lambda d: (
-        len({p for p, _ in present(d["worker"])}) <= 1
+        len({p for p, _ in running_or_stopping(d["worker"])}) <= 1
     ),
     "no task runs in two places": lambda d: all(
-        sum(p == name for name, _ in present(d["worker"])) + (p in d["home"]) <= 1
+        sum(p == name for name, _ in running_or_stopping(d["worker"]))
+        + (p in d["on_fixed_worker"])
+        <= 1
         for p in (0, 1)
     ),
 }
 # From each state, steps without further faults must lead to such a state.
 GOALS = {
-    "a worker never belongs to no partition for good": is_served,
+    "the worker is eventually attached to its owner": is_served,
     "no task is lost": is_finished,
 }
--- a/spec/moves_worker_steps.py
+++ b/spec/moves_worker_steps.py
@@ -8,39 +8,44 @@
 from toucanspring.scheduling import attempt
 
 
-class Hosting:
+class WorkerSteps:
     """Enumerate what owners do with the worker and what it does itself."""
 
     def __init__(self, rules: moves_states.Rules, bounds: moves_states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
-    def _use(
+    def _use_worker(
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
     ) -> moves_states.Steps:
         if me.link in ("open", "lost"):
             yield from self._attach(s, p, e, me)
-        if me.link == "open" and me.waited == moves_states.STOPPED:
-            alone = lost(me)._replace(link="lost")
-            yield f"lose worker {p}.{e}", moves_states.with_owner(s, p, e, alone)
+        if me.link == "open" and me.since_renewal == moves_states.STOPPED:
+            changed = after_worker_loss(me)._replace(link="lost")
+            yield f"lose worker {p}.{e}", moves_states.with_owner(s, p, e, changed)
         if me.link == "attached" and me.holds:
-            yield from self._use_link(s, p, e, me)
+            yield from self._use_attached_worker(s, p, e, me)
         # The worker that never moves is fenced by the latest epoch.
         if e != s.epochs[p]:
             return
         if me.holds and me.task == "waiting":
-            after = s._replace(home=s.home | {p})
-            started = me._replace(task="home")
+            after = s._replace(on_fixed_worker=s.on_fixed_worker | {p})
+            started = me._replace(task="fixed_worker")
             yield (
-                f"start at home {p}.{e}",
+                f"start on fixed worker {p}.{e}",
                 moves_states.with_owner(after, p, e, started),
             )
-        if me.task == "home":
-            after = s._replace(home=s.home - {p}, final=s.final | {p})
+        if me.task == "fixed_worker":
+            after = s._replace(
+                on_fixed_worker=s.on_fixed_worker - {p}, final=s.final | {p}
+            )
             ended = me._replace(task="final")
-            yield f"end at home {p}.{e}", moves_states.with_owner(after, p, e, ended)
+            yield (
+                f"end on fixed worker {p}.{e}",
+                moves_states.with_owner(after, p, e, ended),
+            )
 
-    def _use_link(
+    def _use_attached_worker(
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
     ) -> moves_states.Steps:
         def then(owner: moves_states.Owner, **fields: object) -> moves_states.State:
@@ -49,9 +54,9 @@
         worker = s.worker
         broken = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
         yield f"stream breaks {p}.{e}", then(me._replace(link="open"), starts=broken)
-        if worker.lease or me.waited:
+        if worker.lease or me.since_renewal:
             renewed = worker._replace(lease=0)
-            yield f"renew {p}.{e}", then(me._replace(waited=0), worker=renewed)
+            yield f"renew {p}.{e}", then(me._replace(since_renewal=0), worker=renewed)
         withheld = me.move is not None and self._rules.withhold
         may_start = me.task == "waiting" and me.attempt <= self._bounds.attempts
         if may_start and not withheld:
@@ -83,7 +88,7 @@
             for own in s.owners
         )
         epochs = tuple(e if q == p else x for q, x in enumerate(worker.epochs))
-        there = moves_states.present(worker) | worker.ended
+        there = moves_states.running_or_stopping(worker) | worker.ended
         known = {number for q, number in there if q == p}
         if me.task == "held":
             if known:
@@ -119,7 +124,7 @@
             return moves_states.with_owner(s, p, e, me._replace(task="final"))
         return s
 
-    def host(self, s: moves_states.State) -> moves_states.Steps:
+    def worker_events(self, s: moves_states.State) -> moves_states.Steps:
         """Return what may happen on the worker."""
         worker = s.worker
         for start in s.starts:
@@ -136,7 +141,7 @@
                 me = me._replace(task="waiting", attempt=number + 1)
                 after = moves_states.with_owner(after, p, e, me)
             yield f"start arrives from {p}.{e}, refused", after
-        for entry in moves_states.present(worker):
+        for entry in moves_states.running_or_stopping(worker):
             ended = worker._replace(
                 running=worker.running - {entry},
                 stopping=worker.stopping - {entry},
@@ -145,7 +150,7 @@
             yield f"task ends {entry}", s._replace(worker=ended)
 
 
-def lost(me: moves_states.Owner) -> moves_states.Owner:
+def after_worker_loss(me: moves_states.Owner) -> moves_states.Owner:
     """Return what an owner knows of its task once it does not count the worker."""
     if me.task == "worker":
         if attempt.after_loss(job.State.RUNNING, True) == "unknown":
--- a/spec/owner_steps.py
+++ b/spec/owner_steps.py
@@ -7,7 +7,7 @@
 from toucanspring.scheduling import attempt
 
 
-class Serving:
+class OwnerSteps:
     """Enumerate what an owner does with one worker."""
 
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
@@ -19,18 +19,20 @@
         me, worker = s.processes[p], s.workers[w]
         if not me.attached[w]:
             yield from self._attach(s, p, w)
-            if me.waited[w] >= states.WORKER_LEASE or not self._rules.lost_wait:
+            if me.since_renewal[w] >= states.WORKER_LEASE or not self._rules.lost_wait:
                 yield from self._lose(s, p, w)
             return
-        broken = me._replace(attached=states.put(me.attached, w, False))
+        broken = me._replace(attached=states.with_item(me.attached, w, False))
         yield f"stream breaks between {p} and {w}", states.with_process(s, p, broken)
         if me.epoch < worker.epoch:
             return
-        if worker.lease or me.waited[w]:
+        if worker.lease or me.since_renewal[w]:
             renewed = s._replace(
-                workers=states.put(s.workers, w, worker._replace(lease=0))
+                workers=states.with_item(s.workers, w, worker._replace(lease=0))
+            )
+            renewer = me._replace(
+                since_renewal=states.with_item(me.since_renewal, w, 0)
             )
-            renewer = me._replace(waited=states.put(me.waited, w, 0))
             yield f"renew worker {w} by {p}", states.with_process(renewed, p, renewer)
         for task in states.IDEMPOTENT:
             yield from self._place(s, p, w, task)
@@ -52,20 +54,20 @@
         )
         known = worker.running | worker.ended
         ended = worker.running
-        me = me._replace(attached=states.put(me.attached, w, True))
+        me = me._replace(attached=states.with_item(me.attached, w, True))
         lost = []
         for task in states.IDEMPOTENT:
             view = states.view_of(me, task)
-            here = [number for name, number in known if name == task]
+            attempts = [number for name, number in known if name == task]
             # Running attempts count before ended ones, the latest first.
-            here.sort(key=lambda n: ((task, n) in worker.running, n), reverse=True)
+            attempts.sort(key=lambda n: ((task, n) in worker.running, n), reverse=True)
             mine = (
                 view.state in (states.INTENDED, states.STARTING, states.RUNNING)
                 and view.worker == w
             )
-            if view.state == "held" and here:
-                view = states.View(states.RUNNING, w, here[0], worker.incarnation)
-            elif mine and view.attempt in here:
+            if view.state == "held" and attempts:
+                view = states.View(states.RUNNING, w, attempts[0], worker.incarnation)
+            elif mine and view.attempt in attempts:
                 view = states.View(states.RUNNING, w, view.attempt, worker.incarnation)
             elif mine:
                 view, gone = self._absent(view, worker)
@@ -74,7 +76,7 @@
                 # Nobody owns it: the worker is told to stop it.
                 ended = frozenset(entry for entry in ended if entry[0] != task)
             me = states.with_view(me, task, view)
-        workers = states.put(
+        workers = states.with_item(
             s.workers, w, worker._replace(epoch=me.epoch, running=ended)
         )
         after = s._replace(workers=workers, starts=starts)
@@ -112,7 +114,7 @@
     ) -> states.Steps:
         """Apply lost attempts, and release held work once all workers are settled."""
         me = s.processes[p]
-        me = me._replace(settled=states.put(me.settled, w, True))
+        me = me._replace(settled=states.with_item(me.settled, w, True))
         final = set(s.final)
         for task in lost:
             view = states.view_of(me, task)
@@ -192,7 +194,7 @@
             after = s._replace(final=tuple(sorted({*s.final, task})))
             me = states.with_view(me, task, states.FINAL)
         forgotten = worker._replace(ended=worker.ended - {(task, number)})
-        acknowledged = after._replace(workers=states.put(s.workers, w, forgotten))
+        acknowledged = after._replace(workers=states.with_item(s.workers, w, forgotten))
         yield f"report {task} to {p}", states.with_process(acknowledged, p, me)
         if after is not s:
             yield (
--- a/spec/ownership_model.py
+++ b/spec/ownership_model.py
@@ -48,9 +48,9 @@
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
-        self._tenure = ownership_steps.Tenure(rules, bounds)
-        self._serving = owner_steps.Serving(rules, bounds)
-        self._hosting = worker_steps.Hosting(rules, bounds)
+        self._ownership_steps = ownership_steps.OwnershipSteps(rules, bounds)
+        self._owner_steps = owner_steps.OwnerSteps(rules, bounds)
+        self._worker_steps = worker_steps.WorkerSteps(rules, bounds)
 
     def protocol(self) -> minicheck.Protocol:
         """Return the model in the form that minicheck checks."""
@@ -67,14 +67,14 @@
         """Return all labelled successors of a state."""
         found = [("time passes", self._pass_time(state))]
         for p in (0, 1):
-            found += self._tenure.steps(state, p)
-            if states.holds(state.processes[p]):
+            found += self._ownership_steps.steps(state, p)
+            if states.holds_lease(state.processes[p]):
                 for w in range(self._bounds.workers):
-                    found += self._serving.steps(state, p, w)
+                    found += self._owner_steps.steps(state, p, w)
         for start in state.starts:
-            found += self._hosting.deliver(state, start)
+            found += self._worker_steps.deliver(state, start)
         for w in range(self._bounds.workers):
-            found += self._hosting.work(state, w)
+            found += self._worker_steps.local_steps(state, w)
         return [(label, self._reduce(after)) for label, after in found]
 
     def _reduce(self, s: states.State) -> states.State:
@@ -86,13 +86,13 @@
                 reduced = reduced._replace(seen=-1)  # it does not claim
             else:
                 reduced = reduced._replace(renewal=-1, written=False)
-                if not states.holds(reduced):
+                if not states.holds_lease(reduced):
                     # It starts nothing any more, and no renewal can resume it.
                     reduced = reduced._replace(epoch=0)
             if not reduced.epoch:
-                reduced = states.forget(reduced)
+                reduced = states.without_partition_state(reduced)
             if reduced != me:
-                s = s._replace(processes=states.put(s.processes, p, reduced))
+                s = s._replace(processes=states.with_item(s.processes, p, reduced))
         if self._rules.fence:
             starts = frozenset(
                 start
@@ -111,7 +111,9 @@
                 if p.renewal < 0
                 else min(p.renewal + 1, states.LEASE),
                 seen=p.seen if p.seen < 0 else min(p.seen + 1, states.LEASE),
-                waited=tuple(min(age + 1, states.WORKER_LEASE) for age in p.waited),
+                since_renewal=tuple(
+                    min(age + 1, states.WORKER_LEASE) for age in p.since_renewal
+                ),
             )
             for p in s.processes
         )
--- a/spec/ownership_steps.py
+++ b/spec/ownership_steps.py
@@ -7,7 +7,7 @@
 from toucanspring.owners import recovery
 
 
-class Tenure:
+class OwnershipSteps:
     """Enumerate the renewals and claims of one process."""
 
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
@@ -22,7 +22,9 @@
         if me.renewal >= 0:
             if not me.written:
                 stale = s._replace(
-                    processes=states.put(s.processes, 1 - p, other._replace(seen=-1))
+                    processes=states.with_item(
+                        s.processes, 1 - p, other._replace(seen=-1)
+                    )
                 )
                 yield _step(stale, p, "renewal reaches store", written=True)
             else:
@@ -42,9 +44,9 @@
     def _may_claim(self, me: states.Process) -> bool:
         if not self._rules.takeover_wait:
             return True
-        sighting = ownership.Observation(1, 1, -me.seen, -me.seen)
-        silent = ownership.is_lease_expired(sighting, 1, 0, states.TIMING)
-        return ownership.may_claim(silent, ownership.NEVER, 0, states.TIMING)
+        observation = ownership.Observation(1, 1, -me.seen, -me.seen)
+        expired = ownership.is_lease_expired(observation, 1, 0, states.TIMING)
+        return ownership.may_claim(expired, ownership.NEVER, 0, states.TIMING)
 
     def _answer_renewal(self, s: states.State, p: int) -> tuple[str, states.State]:
         me = s.processes[p]._replace(renewal=-1)
@@ -60,14 +62,14 @@
     def _take_over(self, s: states.State, p: int, age: int) -> states.Process:
         """Return the process after it has rebuilt its state from the log."""
         count = self._bounds.workers
-        nobody = (False,) * count
+        unattached = (False,) * count
         views = {}
         for task, idempotent in states.IDEMPOTENT.items():
             intent = s.intent is not None and not idempotent
             match recovery.restored_task(idempotent, intent, expected=True):
                 case _ if task in s.final:
                     views[task] = states.FINAL
-                case "held" if self._rules.hold:
+                case "held" if self._rules.restore_wait:
                     views[task] = states.HELD
                 case "attributed":
                     views[task] = states.View(states.STARTING, *s.intent)
@@ -76,9 +78,9 @@
         return s.processes[p]._replace(
             epoch=s.epoch,
             age=age,
-            attached=nobody,
-            settled=nobody,
-            waited=(0,) * count,
+            attached=unattached,
+            settled=unattached,
+            since_renewal=(0,) * count,
             n=views["N"],
             i=views["I"],
         )
--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -20,12 +20,12 @@
     "change": "toucanspring.cell.layout.Service.change",
     "release": "toucanspring.cell.layout.Service.remove_former",
     "read row": "toucanspring.cell.layout.Service.reread",
-    "say empty": "toucanspring.owners.handover.Service.step",
+    "report empty": "toucanspring.owners.handover.Service.step",
     "ask": "toucanspring.owners.clearance.Clearance.clear",
     "answer": "toucanspring.owners.seal.Seal.renew",
     "accept": "toucanspring.owners.journal.Journal.append",
     "write": "toucanspring.owners.journal.Journal.append",
-    "told": "toucanspring.owners.journal.Journal.append",
+    "write answered": "toucanspring.owners.journal.Journal.append",
     "end": "toucanspring.owners.execution.Executor.carry_out",
     "hand over": "toucanspring.owners.handover.Service.step",
     "forget": "toucanspring.owners.handover.Service.step",
@@ -48,10 +48,10 @@
     """Say which rules are in force; removing one must break an invariant."""
 
     row_check: bool = True  # an acceptance checks the version of the row
-    questions: bool = True  # owners of former partitions are asked
-    settling: bool = True  # a write under way is settled before an answer
-    ownership: bool = True  # the ownership row is read before an answer
-    generation: bool = True  # nobody answers under an older generation
+    ask_former: bool = True  # owners of former partitions are asked
+    settle_writes: bool = True  # a write under way is settled before an answer
+    ownership_check: bool = True  # the ownership row is read before an answer
+    generation_check: bool = True  # nobody answers under an older generation
     forgetting_check: bool = True  # so does the record that forgets ended work
     adopted_first: bool = True  # ended work is forgotten once it is durable elsewhere
 
@@ -131,7 +131,7 @@
         if len(s.rows) <= self._bounds.changes:
             yield from self._change(s)
         for index, owner in enumerate(s.owners):
-            yield from self._learn(s, index, owner)
+            yield from self._read(s, index, owner)
             yield from self._accept(s, index, owner)
             yield from self._write(s, index, owner)
             yield from self._hand_over(s, index, owner)
@@ -147,23 +147,23 @@
             released = Row(row.present, frozenset())
             yield "release", s._replace(rows=(*s.rows, released), empty=frozenset())
 
-    def _learn(self, s: State, index: int, o: Owner) -> Steps:
+    def _read(self, s: State, index: int, o: Owner) -> Steps:
         if o.view < len(s.rows) - 1:
-            yield "read row", _put(s, index, o._replace(view=len(s.rows) - 1))
+            yield "read row", _with_owner(s, index, o._replace(view=len(s.rows) - 1))
         sealed = self._seal(s, o)
         last = len(s.rows) - 1
         fits = o.known == NONE or o.partition == s.rows[-1].present
         if sealed and sealed.view == last and fits and o.partition not in s.empty:
-            after = _put(s, index, sealed)
-            yield "say empty", after._replace(empty=s.empty | {o.partition})
+            after = _with_owner(s, index, sealed)
+            yield "report empty", after._replace(empty=s.empty | {o.partition})
 
     def _seal(self, s: State, o: Owner) -> Owner | None:
         """Return an owner that may deny the ID, if it may."""
         if o.sealed == o.view:
             return o
-        if self._rules.settling and o.write is not None:
+        if self._rules.settle_writes and o.write is not None:
             return None
-        if self._rules.ownership and s.logs[o.partition][0] != o.epoch:
+        if self._rules.ownership_check and s.logs[o.partition][0] != o.epoch:
             return None
         return o._replace(sealed=o.view)
 
@@ -172,27 +172,27 @@
         free = o.known == NONE and o.write is None
         if free and o.asking < 0 and row.present == o.partition:
             asking = o._replace(asking=o.view, denied=frozenset())
-            yield "ask", _put(s, index, asking)
+            yield "ask", _with_owner(s, index, asking)
         if o.asking < 0:
             return
         for other, asked in enumerate(s.owners):
             if asked.partition not in s.rows[o.asking].former - o.denied:
                 continue
-            if self._rules.generation and asked.view < o.asking:
+            if self._rules.generation_check and asked.view < o.asking:
                 continue
             sealed = self._seal(s, asked)
             if sealed is None:
                 continue
             if asked.known == NONE:
-                heard = o._replace(denied=o.denied | {asked.partition})
+                answered = o._replace(denied=o.denied | {asked.partition})
             else:
-                heard = o._replace(asking=-1, denied=frozenset())
-            yield "answer", _put(_put(s, other, sealed), index, heard)
-        waits = self._rules.questions and s.rows[o.asking].former - o.denied
+                answered = o._replace(asking=-1, denied=frozenset())
+            yield "answer", _with_owner(_with_owner(s, other, sealed), index, answered)
+        waits = self._rules.ask_former and s.rows[o.asking].former - o.denied
         if free and not waits:
             write = Write(o.asking, False, -1)
             sent = o._replace(write=write, asking=-1, denied=frozenset())
-            yield "accept", _put(s, index, sent)
+            yield "accept", _with_owner(s, index, sent)
 
     def _write(self, s: State, index: int, o: Owner) -> Steps:
         write = o.write
@@ -200,51 +200,53 @@
             return
         if write.written:
             known = s.logs[o.partition][1] if write.sender < 0 else ENDED
-            after = _put(s, index, o._replace(write=None, known=known))
+            after = _with_owner(s, index, o._replace(write=None, known=known))
             if write.sender >= 0:
-                after = _allow(after, write.sender, write.generation)
-            yield "told", after
+                after = _allow_forgetting(after, write.sender, write.generation)
+            yield "write answered", after
             return
         # The check of an adoption breaks no invariant if it is removed: it keeps
         # copies out of partitions that have said that they hold nothing.
         checked = self._rules.row_check or write.sender >= 0
         epoch, held = s.logs[o.partition]
         if epoch != o.epoch or (checked and write.generation != len(s.rows) - 1):
-            yield "write fails", _put(s, index, o._replace(write=None))
+            yield "write fails", _with_owner(s, index, o._replace(write=None))
             return
-        done = _put(s, index, o._replace(write=write._replace(written=True)))
+        done = _with_owner(s, index, o._replace(write=write._replace(written=True)))
         if write.sender >= 0:
-            yield "write", _log(done, o.partition, ENDED if held == NONE else held)
+            yield "write", _with_log(done, o.partition, ENDED if held == NONE else held)
         elif held == NONE:
             accepted = done._replace(acceptances=s.acceptances + 1)
-            yield "write", _log(accepted, o.partition, LIVE)
+            yield "write", _with_log(accepted, o.partition, LIVE)
 
     def _hand_over(self, s: State, index: int, o: Owner) -> Steps:
         owned = s.logs[o.partition][0] == o.epoch
         if owned and o.known == LIVE and o.write is None:
             yield (
                 "end",
-                _log(_put(s, index, o._replace(known=ENDED)), o.partition, ENDED),
+                _with_log(
+                    _with_owner(s, index, o._replace(known=ENDED)), o.partition, ENDED
+                ),
             )
         present = s.rows[o.view].present
         if o.known == ENDED and present != o.partition and o.may_forget < 0:
             if not self._rules.adopted_first:
-                yield "hand over", _put(s, index, o._replace(may_forget=o.view))
+                yield "hand over", _with_owner(s, index, o._replace(may_forget=o.view))
             for other, receiver in enumerate(s.owners):
                 if receiver.partition != present or receiver.write is not None:
                     continue
                 if receiver.view == o.view:
                     write = Write(o.view, False, index)
                     sent = receiver._replace(write=write)
-                    yield "hand over", _put(s, other, sent)
+                    yield "hand over", _with_owner(s, other, sent)
         if o.may_forget < 0:
             return
         last = len(s.rows) - 1
         if not owned or (self._rules.forgetting_check and o.may_forget != last):
-            yield "forgetting fails", _put(s, index, o._replace(may_forget=-1))
+            yield "forgetting fails", _with_owner(s, index, o._replace(may_forget=-1))
         else:
             gone = o._replace(known=NONE, may_forget=-1)
-            yield "forget", _log(_put(s, index, gone), o.partition, NONE)
+            yield "forget", _with_log(_with_owner(s, index, gone), o.partition, NONE)
 
     def _take_over(self, s: State) -> Steps:
         if len(s.owners) >= self._bounds.partitions + self._bounds.takeovers:
@@ -256,19 +258,19 @@
             yield "take over", s._replace(logs=logs, owners=(*s.owners, new))
 
 
-def _put(s: State, index: int, owner: Owner) -> State:
+def _with_owner(s: State, index: int, owner: Owner) -> State:
     return s._replace(owners=(*s.owners[:index], owner, *s.owners[index + 1 :]))
 
 
-def _allow(s: State, index: int, generation: int) -> State:
+def _allow_forgetting(s: State, index: int, generation: int) -> State:
     """Let the sender of a handover forget what it sent, if it still has it."""
     sender = s.owners[index]
     if sender.known != ENDED:
         return s
-    return _put(s, index, sender._replace(may_forget=generation))
+    return _with_owner(s, index, sender._replace(may_forget=generation))
 
 
-def _log(s: State, p: int, held: str) -> State:
+def _with_log(s: State, p: int, held: str) -> State:
     logs = (*s.logs[:p], (s.logs[p][0], held), *s.logs[p + 1 :])
     return s._replace(logs=logs)
 
@@ -295,10 +297,10 @@
 # Removed rule -> bounds that are large enough for the shortest counterexample.
 REMOVALS = {
     "row_check": Bounds(takeovers=0),
-    "questions": Bounds(takeovers=0),
-    "settling": Bounds(takeovers=0),
-    "ownership": Bounds(changes=1),
-    "generation": Bounds(takeovers=0),
+    "ask_former": Bounds(takeovers=0),
+    "settle_writes": Bounds(takeovers=0),
+    "ownership_check": Bounds(changes=1),
+    "generation_check": Bounds(takeovers=0),
     "forgetting_check": Bounds(takeovers=0),
     "adopted_first": Bounds(takeovers=0),
 }
--- a/spec/runs.py
+++ b/spec/runs.py
@@ -62,7 +62,7 @@
     Run(states.Bounds(tasks="N"), "fence"),
     Run(states.Bounds(workers=2, tasks="I"), "takeover_wait"),
     Run(states.Bounds(tasks="N"), "intent_record"),
-    Run(states.Bounds(workers=2, tasks="I"), "hold"),
+    Run(states.Bounds(workers=2, tasks="I"), "restore_wait"),
     Run(states.Bounds(workers=2, tasks="I"), "lost_wait"),
 )
 MOVES_REMOVALS = (
@@ -100,21 +100,23 @@
 def check(run: Run) -> search.Result:
     """Search the space of one run."""
     removed = {run.without: False} if run.without else {}
-    most = REMOVAL_STATES if run.without else MAX_STATES
+    max_states = REMOVAL_STATES if run.without else MAX_STATES
     if isinstance(run.bounds, states.Bounds):
         protocol = ownership_model.Model(states.Rules(**removed), run.bounds).protocol()
-        return search.check(protocol, most)
+        return search.check(protocol, max_states)
     if isinstance(run.bounds, resizing.Bounds):
         protocol = resizing.Model(resizing.Rules(**removed), run.bounds).protocol()
-        return search.check(protocol, most)
+        return search.check(protocol, max_states)
     if isinstance(run.bounds, coordination.Bounds):
         rules = coordination.Rules(**removed)
-        return search.check(coordination.Model(rules, run.bounds).protocol(), most)
+        return search.check(
+            coordination.Model(rules, run.bounds).protocol(), max_states
+        )
     rules = moves_states.Rules(**removed)
     protocol = moves_model.Model(rules, run.bounds).protocol()
     return search.check(
         protocol,
-        most,
+        max_states,
         moves_states.GOALS,
         moves_model.is_forced,
         stop_early=bool(run.without),
--- a/spec/search.py
+++ b/spec/search.py
@@ -41,7 +41,7 @@
         self._initial = protocol.initial
         self._parents: dict[State, tuple[State, str] | None] = {self._initial: None}
         self._depths = {self._initial: 0}
-        self._before: dict[State, list[State]] = collections.defaultdict(list)
+        self._predecessors: dict[State, list[State]] = collections.defaultdict(list)
         self.depth = 0
         protocol.transitions = self._record
 
@@ -54,7 +54,7 @@
                 if self._is_forced is not None:
                     self._parents[after] = state, label
             if self._is_forced is not None and self._is_forced(label, state):
-                self._before[after].append(state)
+                self._predecessors[after].append(state)
         return found
 
     def stuck(self, goal: Callable[[State], bool]) -> list[str] | None:
@@ -62,7 +62,7 @@
         reached = {state for state in self._parents if goal(state)}
         frontier = list(reached)
         while frontier:
-            for state in self._before[frontier.pop()]:
+            for state in self._predecessors[frontier.pop()]:
                 if state not in reached:
                     reached.add(state)
                     frontier.append(state)
--- a/spec/states.py
+++ b/spec/states.py
@@ -35,7 +35,7 @@
     fence: bool = True  # workers refuse lower epochs
     takeover_wait: bool = True  # a claim waits for the owner's lease
     intent_record: bool = True  # a start of N waits for its durable intent
-    hold: bool = True  # restored work waits for all workers
+    restore_wait: bool = True  # restored work waits for all workers
     lost_wait: bool = True  # a lost worker's lease must have expired
 
 
@@ -78,7 +78,7 @@
     seen: int  # age of the sighting of the other's counter; -1 if that has changed
     attached: tuple[bool, ...]
     settled: tuple[bool, ...]  # attached or lost since the takeover
-    waited: tuple[int, ...]  # since it last renewed each worker
+    since_renewal: tuple[int, ...]  # since it last renewed each worker
     n: View
     i: View
 
@@ -142,7 +142,7 @@
     return State(1, 0, None, final, (owner, other), (worker,) * count, frozenset(), 0)
 
 
-def put(items: tuple, index: int, item: object) -> tuple:
+def with_item(items: tuple, index: int, item: object) -> tuple:
     """Return the tuple with one item replaced."""
     return (*items[:index], item, *items[index + 1 :])
 
@@ -159,10 +159,10 @@
 
 def with_process(state: State, number: int, process: Process) -> State:
     """Return the state with one process replaced."""
-    return state._replace(processes=put(state.processes, number, process))
+    return state._replace(processes=with_item(state.processes, number, process))
 
 
-def holds(process: Process) -> bool:
+def holds_lease(process: Process) -> bool:
     """Return whether a process may act as the owner, by its own clock."""
     if not process.epoch:
         return False
@@ -170,14 +170,14 @@
     return ownership.lease_state(lease, 0) is ownership.LeaseState.HELD
 
 
-def forget(me: Process) -> Process:
+def without_partition_state(me: Process) -> Process:
     """Return a process without the memory of a partition it does not own."""
     count = len(me.attached)
     return me._replace(
         age=0,
         attached=(False,) * count,
         settled=(False,) * count,
-        waited=(0,) * count,
+        since_renewal=(0,) * count,
         n=FINAL,
         i=FINAL,
     )
@@ -185,7 +185,7 @@
 
 INVARIANTS = {
     "one owner at a time": lambda d: (
-        sum(holds(process) for process in d["processes"]) <= 1
+        sum(holds_lease(process) for process in d["processes"]) <= 1
     ),
     "a non-idempotent task starts at most once": lambda d: d["n_runs"] <= 1,
     "no task runs in two places": lambda d: all(
--- a/spec/worker_steps.py
+++ b/spec/worker_steps.py
@@ -5,7 +5,7 @@
 from spec import states
 
 
-class Hosting:
+class WorkerSteps:
     """Enumerate what happens on workers."""
 
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
@@ -27,7 +27,9 @@
             return
         runs = s.n_runs + (task == "N")
         accepted = worker._replace(running=worker.running | {(task, number)})
-        after = after._replace(workers=states.put(s.workers, w, accepted), n_runs=runs)
+        after = after._replace(
+            workers=states.with_item(s.workers, w, accepted), n_runs=runs
+        )
         yield f"start of {task} arrives at {w}, answer lost", after
         for p, me in enumerate(s.processes):
             view = states.view_of(me, task)
@@ -41,7 +43,7 @@
                     states.with_process(after, p, seen),
                 )
 
-    def work(self, s: states.State, w: int) -> states.Steps:
+    def local_steps(self, s: states.State, w: int) -> states.Steps:
         """Return what may happen on worker `w` without a message."""
         worker = s.workers[w]
         for entry in worker.running:
@@ -50,20 +52,20 @@
             )
             yield (
                 f"task {entry[0]} ends on {w}",
-                s._replace(workers=states.put(s.workers, w, ended)),
+                s._replace(workers=states.with_item(s.workers, w, ended)),
             )
         if w == 0 and worker.incarnation < self._bounds.restarts:
             fresh = states.Worker(
                 0, states.WORKER_LEASE, worker.incarnation + 1, frozenset(), frozenset()
             )
             processes = tuple(
-                p._replace(attached=states.put(p.attached, w, False))
+                p._replace(attached=states.with_item(p.attached, w, False))
                 for p in s.processes
             )
             yield (
                 f"restart worker {w}",
                 s._replace(
-                    workers=states.put(s.workers, w, fresh),
+                    workers=states.with_item(s.workers, w, fresh),
                     processes=processes,
                     starts=frozenset(start for start in s.starts if start.worker != w),
                 ),
--- a/test/test_spec.py
+++ b/test/test_spec.py
@@ -22,7 +22,7 @@
             "fence": "a non-idempotent task starts at most once",
             "takeover_wait": "one owner at a time",
             "intent_record": "a non-idempotent task starts at most once",
-            "hold": "no task runs in two places",
+            "restore_wait": "no task runs in two places",
             "lost_wait": "no task runs in two places",
         }
         found = {run.without: runs.check(run).broken for run in runs.REMOVALS}
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -256,7 +256,7 @@
 
     def test_each_removed_rule_breaks_a_property(self):
         # Guards against a model that could not notice the loss of a rule.
-        unserved = "a worker never belongs to no partition for good"
+        unserved = "the worker is eventually attached to its owner"
         expected = {
             "ownership_check": unserved,
             "version_check": unserved,
