--- a/scenarios/__main__.py
+++ b/scenarios/__main__.py
@@ -21,12 +21,15 @@
 
 DIRECTORY = pathlib.Path(__file__).parent
 # Each scenario takes one to two processors while it runs.
-PARALLEL = 6
-LIMIT_S = 180.0
+DEFAULT_PARALLEL = 6
+SCENARIO_LIMIT_S = 180.0
 
 
 def main(
-    *name: str, list_only: bool = False, inner: bool = False, parallel: int = PARALLEL
+    *name: str,
+    list_only: bool = False,
+    inner: bool = False,
+    parallel: int = DEFAULT_PARALLEL,
 ) -> int:
     """Run scenarios; the exit status is 1 if any failed.
 
@@ -74,7 +77,7 @@
         cwd=processes.ROOT,
         env={**os.environ, "PYTHONUNBUFFERED": "1"},
     )
-    timer = gevent.spawn_later(LIMIT_S, child.terminate)
+    timer = gevent.spawn_later(SCENARIO_LIMIT_S, child.terminate)
     output, _ = child.communicate()
     timer.kill()
     text = output.decode(errors="replace")
@@ -82,7 +85,7 @@
     if child.returncode == 0:
         return "passed"
     if child.returncode < 0:
-        return f"failed: not finished within {LIMIT_S:g} s"
+        return f"failed: not finished within {SCENARIO_LIMIT_S:g} s"
     lines = [line for line in text.splitlines() if line.startswith("FAILED ")]
     return f"failed: {lines[0][7:] if lines else 'see its output'}"
 
--- a/scenarios/actions.py
+++ b/scenarios/actions.py
@@ -18,32 +18,32 @@
 FIRST_CLAIMS_S = 10.0
 
 
-class Player(fault_steps.Disturbances):
-    """Run steps against a cell; `say` prints a line of progress."""
+class StepRunner(fault_steps.FaultSteps):
+    """Run steps against a cell; `print_line` prints a line of progress."""
 
-    def __init__(self, running: cell.Cell, say: Callable[[str], None]) -> None:
+    def __init__(self, running: cell.Cell, print_line: Callable[[str], None]) -> None:
         super().__init__(running)
-        self._say = say
+        self._print_line = print_line
         self._names: dict[str, str] = {}
 
-    def play(self, steps: tuple[language.Step, ...]) -> None:
+    def run_steps(self, steps: tuple[language.Step, ...]) -> None:
         """Carry out steps; raises `language.ScenarioError` at the one that fails."""
         for step in steps:
-            self._play_step(step)
+            self._run_step(step)
 
-    def _play_step(self, step: language.Step) -> None:
+    def _run_step(self, step: language.Step) -> None:
         if step.verb == "together":
-            parts = [gevent.spawn(self._play_step, inner) for inner in step.steps]
+            parts = [gevent.spawn(self._run_step, inner) for inner in step.steps]
             gevent.joinall(parts, raise_error=True)
         elif step.verb == "repeat":
             for _ in range(step.args[0]):
-                self.play(step.steps)
+                self.run_steps(step.steps)
         else:
-            self._say(f"line {step.line}: {step.source}")
+            self._print_line(f"line {step.line}: {step.source}")
             try:
                 getattr(self, step.verb)(*step.args)
-            except cell.Failed as failed:
-                raise cell.Failed(
+            except cell.StepFailed as failed:
+                raise cell.StepFailed(
                     f"line {step.line}: {step.source}: {failed}"
                 ) from None
 
@@ -56,7 +56,7 @@
     def let_owner(self, name: str, partition: int) -> None:
         """Give the owner of a partition a name."""
         self._names[name] = self._cell.owner(partition)
-        self._say(f"  {name} is {self._names[name]}")
+        self._print_line(f"  {name} is {self._names[name]}")
 
     def start_all(self) -> None:
         """Start all daemons and wait for the first claims of the partitions.
@@ -75,19 +75,19 @@
         """Send SIGSTOP."""
         name = self.resolve(daemon)
         self._cell.cluster.processes[name].signal(signal.SIGSTOP)
-        self._cell.front.paused[name] = time.monotonic()
+        self._cell.http_client.paused[name] = time.monotonic()
 
     def resume(self, daemon: str) -> None:
         """Send SIGCONT."""
         name = self.resolve(daemon)
         self._cell.cluster.processes[name].signal(signal.SIGCONT)
-        self._cell.front.paused.pop(name, None)
+        self._cell.http_client.paused.pop(name, None)
 
     def kill(self, daemon: str) -> None:
         """Send SIGKILL."""
         name = self.resolve(daemon)
         self._cell.cluster.kill_daemon(name)
-        self._cell.front.paused.pop(name, None)
+        self._cell.http_client.paused.pop(name, None)
 
     def restart(self, daemon: str) -> None:
         """Start a daemon that was killed or stopped."""
@@ -98,17 +98,17 @@
         name = self.resolve(daemon)
         process = self._cell.cluster.processes[name]
         # Callers reach the daemon until it closes its port, and its requests end.
-        self._cell.front.stopping.add(name)
+        self._cell.http_client.stopping.add(name)
         process.signal(signal.SIGTERM)
         deadline = time.monotonic() + STOP_LIMIT_S
         while process.status() is None:
             if time.monotonic() > deadline:
-                raise cell.Failed(f"{name} did not end within {STOP_LIMIT_S:g} s")
+                raise cell.StepFailed(f"{name} did not end within {STOP_LIMIT_S:g} s")
             gevent.sleep(0.02)
         self._cell.cluster.processes.pop(name)
-        self._cell.front.stopping.discard(name)
+        self._cell.http_client.stopping.discard(name)
         if process.status() != 0:
-            raise cell.Failed(f"{name} ended with status {process.status()}")
+            raise cell.StepFailed(f"{name} ended with status {process.status()}")
 
     def replace_all(self) -> None:
         """Stop and start each daemon, one after the other."""
@@ -152,7 +152,7 @@
         kinds = sorted(reply.failure or "accepted" for reply in replies)
         if kinds != ["Conflict", "accepted"]:
             bodies = [reply.body[:200] for reply in replies]
-            raise cell.Failed(f"the operators were told {kinds}: {bodies}")
+            raise cell.StepFailed(f"the operators were told {kinds}: {bodies}")
         won = 0 if not replies[0].failure else 1
         lost = replies[1 - won].error
         version = replies[won].json()["version"]
@@ -160,8 +160,8 @@
             version,
             self._cell.version,
         ):
-            raise cell.Failed(f"the conflict names other versions: {lost}")
-        self._cell.in_force(sources[won], version, before)
+            raise cell.StepFailed(f"the conflict names other versions: {lost}")
+        self._cell.record_in_force(sources[won], version, before)
 
     def grant(self, team: str) -> None:
         """Grant a key, which all daemons accept within 3 s."""
@@ -174,11 +174,11 @@
 
     def zone_out(self, zone: str) -> None:
         """Take a zone out of service."""
-        self._cell.take_out(zone)
+        self._cell.take_zone_out(zone)
 
     def zone_in(self, zone: str) -> None:
         """Return a zone to service."""
-        self._cell.bring_in(zone)
+        self._cell.return_zone(zone)
 
     def set_partitions(self, number: int) -> None:
         """Change the number of partitions."""
@@ -220,8 +220,8 @@
             give_up_s=options.get("giving_up", 0.0),
         )
         key = self._cell.keys.get(team, loads.Key())
-        load = loads.Requests(name, self._cell.front, key, kind)
-        load.answer_bytes = self._large or kind.answer_bytes
+        load = loads.Requests(name, self._cell.http_client, key, kind)
+        load.answer_bytes = self._large_answer_bytes or kind.answer_bytes
         self._cell.requests[name] = load
         load.start(callers)
 
--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -19,14 +19,14 @@
 from toucanspring.configuration import reader
 
 EXAMPLES = processes.ROOT / "examples"
-WATCH_S = 0.5
-OPERATE_LIMIT_S = 15.0
+WATCH_INTERVAL_S = 0.5
+OPERATOR_RETRY_LIMIT_S = 15.0
 RETRY_S = 0.1
 TASK_MS = 300
 _decode_partition = msgspec.msgpack.Decoder(ownership_rows.PartitionRow).decode
 
 
-class Failed(Exception):
+class StepFailed(Exception):
     """Raised when a step or an expectation of a scenario does not hold."""
 
 
@@ -39,46 +39,46 @@
         self.source = source
         self.model = reader.parse(source)
         self.daemons = [f"entry-{number}" for number in range(1, daemons + 1)]
-        self.front = client.Client(running)
+        self.http_client = client.Client(running)
         self.history = history.History(running)
         self.jobs: dict[str, loads.Jobs] = {}
         self.requests: dict[str, loads.Requests] = {}
         self.keys: dict[str, loads.Key] = {}
         self.version = 0
         self.outages: list[facts.ZoneOutage] = []
-        self.out: dict[str, float] = {}
+        self.zones_out: dict[str, float] = {}
         self.ceilings: list[facts.Ceiling] = []
         self.gangs: dict[str, int] = {}
         self.withdrawn: dict[str, float] = {}
-        self.reverts: list[str] = []
-        self._seen: dict[str, dict[str, int]] = {}
+        self.regressions: list[str] = []
+        self._versions: dict[str, dict[str, int]] = {}
         self._owners: dict[int, ownership_rows.PartitionRow] = {}
         port = running.service_ports["tables"]
         self._tables = tables.HttpTableClient(ports.ADDRESS, port, "observer", 1.0)
-        self._watcher = gevent.spawn(self._watch)
+        self._version_watcher = gevent.spawn(self._watch_versions)
 
     def close(self) -> None:
         """Stop to observe."""
-        self._watcher.kill()
+        self._version_watcher.kill()
         self._tables.close()
 
     # Daemons
 
     def start_all(self) -> None:
         """Start all daemons and wait until they are ready."""
-        self.front.starting.update(self.daemons)
+        self.http_client.starting.update(self.daemons)
         for name in self.daemons:
             self.cluster.start_daemon(name, wait=False)
         for name in self.daemons:
             self.cluster.wait_ready(name)
-        self.front.starting.clear()
+        self.http_client.starting.clear()
 
     def start_daemon(self, name: str) -> None:
         """Start a daemon, or start it again."""
-        self._seen.pop(name, None)
-        self.front.starting.add(name)
+        self._versions.pop(name, None)
+        self.http_client.starting.add(name)
         self.cluster.start_daemon(name)
-        self.front.starting.discard(name)
+        self.http_client.starting.discard(name)
 
     def owner(self, partition: int) -> str:
         """Return the owner of a partition, as last seen in the table service."""
@@ -90,21 +90,23 @@
         row = self._owners.get(partition)
         return row.process if row else ""
 
-    def _watch(self) -> None:
+    def _watch_versions(self) -> None:
         """Note each version of a document that goes back in a process."""
         while True:
-            for name in self.front.active():
+            for name in self.http_client.active():
                 reply = self.operator_call("GET", "/v1/members", name, timeout_s=1.0)
-                if reply.status == 200 and name in self.front.active():
-                    self._compare(name, reply.json()["versions"])
-            gevent.sleep(WATCH_S)
+                if reply.status == 200 and name in self.http_client.active():
+                    self._compare_versions(name, reply.json()["versions"])
+            gevent.sleep(WATCH_INTERVAL_S)
 
-    def _compare(self, name: str, versions: dict[str, int]) -> None:
-        seen = self._seen.setdefault(name, versions)
+    def _compare_versions(self, name: str, versions: dict[str, int]) -> None:
+        seen = self._versions.setdefault(name, versions)
         for document, version in versions.items():
             if version < seen[document]:
-                self.reverts.append(f"{document} {seen[document]} -> {version}: {name}")
-        self._seen[name] = versions
+                self.regressions.append(
+                    f"{document} {seen[document]} -> {version}: {name}"
+                )
+        self._versions[name] = versions
 
     # Operators
 
@@ -112,22 +114,24 @@
         self, method: str, path: str, daemon: str = "", body: object = None, **more
     ) -> client.Reply:
         """Make one call with the operators' key."""
-        return self.front.call(
+        return self.http_client.call(
             method, path, body, self.cluster.operator_key, daemon=daemon, **more
         )
 
-    def operate(
+    def retry_operator_call(
         self, method: str, path: str, body: object = None, daemon: str = "", **headers
     ) -> client.Reply:
         """Make an operator's call until it succeeds; lost answers are repeated."""
-        deadline = time.monotonic() + OPERATE_LIMIT_S
+        deadline = time.monotonic() + OPERATOR_RETRY_LIMIT_S
         while True:
             reply = self.operator_call(method, path, daemon, body, headers=headers)
             if 0 < reply.status < 400:
                 return reply
             repeat = reply.status == 0 or reply.status >= 500
             if not repeat or time.monotonic() > deadline:
-                raise Failed(f"{method} {path}: {reply.status} {reply.body[:300]!r}")
+                raise StepFailed(
+                    f"{method} {path}: {reply.status} {reply.body[:300]!r}"
+                )
             gevent.sleep(RETRY_S)
 
     def apply(self, ceilings: dict[str, int], daemon: str = "") -> None:
@@ -154,14 +158,14 @@
             if reply.status == 0 or reply.failure in ("Ambiguous", "Unknown"):
                 lost.append(told)
             elif reply.status < 500:
-                raise Failed(f"PUT /v1/config: {told}")
-            if time.monotonic() > before + OPERATE_LIMIT_S:
-                raise Failed(f"PUT /v1/config: {told}")
+                raise StepFailed(f"PUT /v1/config: {told}")
+            if time.monotonic() > before + OPERATOR_RETRY_LIMIT_S:
+                raise StepFailed(f"PUT /v1/config: {told}")
             print(f"  PUT /v1/config: {told}, repeated", flush=True)
             gevent.sleep(RETRY_S)
-        self.in_force(source, version, before)
+        self.record_in_force(source, version, before)
 
-    def in_force(self, source: str, version: int, before: float) -> None:
+    def record_in_force(self, source: str, version: int, before: float) -> None:
         """Note an accepted text; a lower ceiling counts from its acceptance."""
         after = time.monotonic()
         known = {item.team: item.amount for item in self.ceilings}
@@ -177,10 +181,10 @@
 
     def grant(self, team: str) -> None:
         """Grant a key to a team."""
-        granted = self.operate("POST", "/v1/keys", {"team": team}).json()
+        granted = self.retry_operator_call("POST", "/v1/keys", {"team": team}).json()
         self.keys[team] = loads.Key(granted["id"], team, granted["secret"])
 
-    def explain_lost(self) -> list[str]:
+    def explain_unfinished_jobs(self) -> list[str]:
         """Return why some jobs without an outcome still wait."""
         found = []
         for each in self.jobs.values():
@@ -193,7 +197,7 @@
     def withdraw(self, team: str) -> None:
         """Withdraw the key of a team."""
         key = self.keys[team]
-        deadline = time.monotonic() + OPERATE_LIMIT_S
+        deadline = time.monotonic() + OPERATOR_RETRY_LIMIT_S
         while time.monotonic() < deadline:
             reply = self.operator_call("DELETE", f"/v1/keys/{key.id}")
             # Not found after a lost answer: the first call took effect.
@@ -201,27 +205,27 @@
                 self.withdrawn[key.id] = time.monotonic()
                 return
             gevent.sleep(RETRY_S)
-        raise Failed(f"withdrawal: {reply.status} {reply.body[:200]!r}")
+        raise StepFailed(f"withdrawal: {reply.status} {reply.body[:200]!r}")
 
-    def take_out(self, zone: str) -> None:
+    def take_zone_out(self, zone: str) -> None:
         """Take a zone out of service."""
-        self.operate("POST", f"/v1/zones/{zone}/out")
-        self.out[zone] = time.monotonic()
+        self.retry_operator_call("POST", f"/v1/zones/{zone}/out")
+        self.zones_out[zone] = time.monotonic()
 
-    def bring_in(self, zone: str) -> None:
+    def return_zone(self, zone: str) -> None:
         """Return a zone to service."""
-        if zone in self.out:
-            outage = facts.ZoneOutage(zone, self.out.pop(zone), time.monotonic())
+        if zone in self.zones_out:
+            outage = facts.ZoneOutage(zone, self.zones_out.pop(zone), time.monotonic())
             self.outages.append(outage)
-        self.operate("POST", f"/v1/zones/{zone}/in")
+        self.retry_operator_call("POST", f"/v1/zones/{zone}/in")
 
     def read_layout(self) -> dict[str, object]:
         """Return the number of partitions and former ones."""
-        return self.operate("GET", "/v1/partitions").json()
+        return self.retry_operator_call("GET", "/v1/partitions").json()
 
     def set_partitions(self, number: int) -> None:
         """Change the number of partitions."""
-        deadline = time.monotonic() + OPERATE_LIMIT_S
+        deadline = time.monotonic() + OPERATOR_RETRY_LIMIT_S
         while True:
             # After a lost answer, the row tells whether the change took effect.
             present = self.read_layout()
@@ -235,7 +239,7 @@
                 headers={"If-Match": str(present["generation"])},
             )
             if time.monotonic() > deadline:
-                raise Failed(f"set partitions: {reply.status} {reply.body[:300]!r}")
+                raise StepFailed(f"set partitions: {reply.status} {reply.body[:300]!r}")
 
     # Loads
 
@@ -268,7 +272,7 @@
         if name not in self.jobs:
             team = self.model.jobs[template].team
             self.jobs[name] = loads.Jobs(
-                name, self.front, self.keys.get(team, loads.Key())
+                name, self.http_client, self.keys.get(team, loads.Key())
             )
         return self.jobs[name]
 
@@ -308,7 +312,9 @@
                     accepted.update(names)
                     outcomes |= dict.fromkeys(names, state)
         every = (*self.jobs.values(), *self.requests.values())
-        open_outages = [facts.ZoneOutage(zone, at) for zone, at in self.out.items()]
+        open_outages = [
+            facts.ZoneOutage(zone, at) for zone, at in self.zones_out.items()
+        ]
         return facts.Known(
             zone_outages=(*self.outages, *open_outages),
             ceilings=tuple(self.ceilings),
@@ -334,14 +340,14 @@
             for each in every
             if each.count("lost")
         ]
-        return found + [f"reverted: {item}" for item in self.reverts]
+        return found + [f"reverted: {item}" for item in self.regressions]
 
     def judge(self) -> list[violations.Violation]:
         """Check all records."""
         return judge.check(self.cluster.records(), self.known())
 
 
-def prepare(name: str) -> str:
+def read_deployment(name: str) -> str:
     """Return the text of a deployment with tasks that end within a scenario."""
     document = yaml.safe_load((EXAMPLES / f"{name}.yaml").read_text())
     for template in document["jobs"].values():
@@ -363,7 +369,7 @@
     deployment: str, daemons: int, workers: int, executors: int, partitions: int
 ) -> Iterator[Cell]:
     """Run the stand-ins of a cell; daemons start by a step."""
-    source = prepare(deployment)
+    source = read_deployment(deployment)
     model = reader.parse(source)
     service = next(iter(model.services.values())).backend_servers
     with cluster.Cluster(
--- a/scenarios/client.py
+++ b/scenarios/client.py
@@ -76,7 +76,7 @@
         if key:
             sent["Authorization"] = f"Bearer {key}"
         for _ in range(CONNECT_ATTEMPTS):
-            name = daemon or self._choose(avoid)
+            name = daemon or self._choose_daemon(avoid)
             if not name:
                 gevent.sleep(RETRY_S)
                 continue
@@ -96,7 +96,7 @@
                 return Reply(*answer, daemon=name)
         return Reply(0)
 
-    def _choose(self, avoid: str) -> str:
+    def _choose_daemon(self, avoid: str) -> str:
         names = self.in_service()
         others = [name for name in names if name != avoid]
         return self._rng.choice(others or names) if names else ""
--- a/scenarios/expectations.py
+++ b/scenarios/expectations.py
@@ -1,4 +1,4 @@
-"""Checks what a scenario expects; a check raises `Failed` with what was seen."""
+"""Checks what a scenario expects; a check raises `StepFailed` with what was seen."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 
     def __init__(self, running: cell.Cell) -> None:
         self._cell = running
-        self._say: Callable[[str], None] = lambda _line: None
+        self._print_line: Callable[[str], None] = lambda _line: None
 
     def resolve(self, name: str) -> str:
         """Return the daemon that a name stands for."""
         return name
 
-    def _until(self, within_s: float | None, look: Callable[[], str]) -> None:
-        """Repeat `look`, which returns what is wrong, until nothing is.
+    def _wait_until_ok(
+        self, within_s: float | None, find_problem: Callable[[], str]
+    ) -> None:
+        """Repeat `find_problem`, which returns what is wrong, until nothing is.
 
         The time that was left is printed, since a check that holds in the last moment
         fails on a slower machine.
@@ -34,14 +36,14 @@
         began = time.monotonic()
         deadline = began + (within_s or 0.0)
         while True:
-            wrong = look()
+            wrong = find_problem()
             if not wrong:
                 if within_s:
                     took = time.monotonic() - began
-                    self._say(f"  holds after {took:.1f} s of {within_s:g} s")
+                    self._print_line(f"  holds after {took:.1f} s of {within_s:g} s")
                 return
             if time.monotonic() >= deadline:
-                raise cell.Failed(wrong)
+                raise cell.StepFailed(wrong)
             gevent.sleep(POLL_S)
 
     def _count(self, name: str, state: str) -> int:
@@ -62,7 +64,7 @@
     ) -> None:
         """Compare the number of jobs, requests or tasks in a state."""
 
-        def look() -> str:
+        def find_problem() -> str:
             count = self._count(name, state)
             total = self._cell.load(name).total(state)
             if amount.holds(count, total):
@@ -70,24 +72,24 @@
             counts = dict(self._cell.load(name).counts)
             return f"{count} of {total} are {state}; counts {counts}"
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
     def expect_more(self, number: int, name: str, state: str, within_s: float) -> None:
         """Compare the growth of a count from now on."""
         before = self._count(name, state)
 
-        def look() -> str:
+        def find_problem() -> str:
             more = self._count(name, state) - before
             return "" if more >= number else f"{more} more are {state}"
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
     def expect_version(self, version: int, within_s: float | None) -> None:
         """Check that all running daemons have a configuration in force."""
 
-        def look() -> str:
+        def find_problem() -> str:
             found = {}
-            for name in self._cell.front.active():
+            for name in self._cell.http_client.active():
                 reply = self._cell.operator_call(
                     "GET", "/v1/members", name, timeout_s=1.0
                 )
@@ -97,16 +99,16 @@
             good = found and set(found.values()) == {version}
             return "" if good else f"configurations in force: {found}"
 
-        self._until(within_s or judge.IN_FORCE_S, look)
+        self._wait_until_ok(within_s or judge.IN_FORCE_S, find_problem)
 
-    def _present(self, team: str) -> dict[str, int]:
+    def _try_key(self, team: str) -> dict[str, int]:
         """Present the key of a team at each daemon, with a job ID unknown to all."""
         secret = self._cell.keys[team].secret
         return {
-            name: self._cell.front.call(
+            name: self._cell.http_client.call(
                 "GET", "/v1/jobs/no-such-job", key=secret, daemon=name
             ).status
-            for name in self._cell.front.active()
+            for name in self._cell.http_client.active()
         }
 
     def expect_key_refused(self, team: str) -> None:
@@ -114,55 +116,55 @@
         key = self._cell.keys[team]
         in_force = self._cell.withdrawn.get(key.id, 0.0) + judge.IN_FORCE_S
         gevent.sleep(max(0.0, in_force - time.monotonic()))
-        found = self._present(team)
+        found = self._try_key(team)
         # 503: a daemon whose view may be out of date accepts no key at all.
         if not set(found.values()) <= {403, 503}:
-            raise cell.Failed(f"status by daemon: {found}")
+            raise cell.StepFailed(f"status by daemon: {found}")
 
     def expect_key_accepted(self, team: str) -> None:
         """Check that all daemons accept a key within 3 s."""
 
-        def look() -> str:
-            found = self._present(team)
+        def find_problem() -> str:
+            found = self._try_key(team)
             return "" if set(found.values()) == {404} else f"status: {found}"
 
-        self._until(judge.IN_FORCE_S, look)
+        self._wait_until_ok(judge.IN_FORCE_S, find_problem)
 
     def expect_owned(self, within_s: float) -> None:
         """Check that each partition has an owner that runs."""
 
-        def look() -> str:
-            active = self._cell.front.active()
+        def find_problem() -> str:
+            active = self._cell.http_client.active()
             owners = [
                 self._cell.owner(number) for number in range(self._cell.partitions)
             ]
             return "" if set(owners) <= set(active) else f"owners: {owners}"
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
     def expect_no_former(self, within_s: float) -> None:
         """Check that no former number of partitions holds work any more."""
 
-        def look() -> str:
+        def find_problem() -> str:
             found = self._cell.read_layout()
             held = f"{found['former']}, held: {found['held']}"
             return f"former numbers: {held}" if found["former"] else ""
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
     def expect_takeover(self, partition: int, daemon: str, within_s: float) -> None:
         """Check that another daemon owns a partition."""
         former = self.resolve(daemon)
 
-        def look() -> str:
+        def find_problem() -> str:
             owner = self._cell.owner(partition)
             return "" if owner not in ("", former) else f"the owner is {owner!r}"
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
     def expect_no_start(self, zone: str) -> None:
         """Check that nothing started in a zone later than 3 s after it was out."""
-        since = self._cell.out[zone] + judge.IN_FORCE_S
+        since = self._cell.zones_out[zone] + judge.IN_FORCE_S
         self._cell.history.refresh()
         late = [
             attempt.start
@@ -170,14 +172,14 @@
             if attempt.start.availability_zone == zone and attempt.start.at > since
         ]
         if late:
-            raise cell.Failed(f"{len(late)} starts, such as {late[:MAX_SHOWN]}")
+            raise cell.StepFailed(f"{len(late)} starts, such as {late[:MAX_SHOWN]}")
 
     def expect_nothing_lost(self) -> None:
         """Wait for all accepted work; each piece has an outcome then."""
         self._cell.finish(self.finish_within_s)
         lost = [problem for problem in self._cell.problems() if "lost" in problem]
         if lost:
-            raise cell.Failed("; ".join(lost))
+            raise cell.StepFailed("; ".join(lost))
 
     finish_within_s = 40.0
 
@@ -189,4 +191,4 @@
             if type(item).__name__ not in ("LostWork",)
         ]
         if found:
-            raise cell.Failed(f"{len(found)} violations: {found[:MAX_SHOWN]}")
+            raise cell.StepFailed(f"{len(found)} violations: {found[:MAX_SHOWN]}")
--- a/scenarios/fault_steps.py
+++ b/scenarios/fault_steps.py
@@ -25,31 +25,31 @@
 }
 
 
-class Disturbances(expectations.Expectations):
+class FaultSteps(expectations.Expectations):
     """Set faults of the platform's stand-ins; each method is named after its verb."""
 
     def __init__(self, running: cell.Cell) -> None:
         super().__init__(running)
-        self._blocked: list[str] = []
+        self._blocked_daemons: list[str] = []
         self._blocked_owners: dict[str, list[str]] = {}
-        self._large = 0
-        self._listed: list[vms.Vm] = []
-        self._shown: list[vms.Vm] | None = None
-        self._listed_at: dict[str, float] = {}
+        self._large_answer_bytes = 0
+        self._initial_vms: list[vms.Vm] = []
+        self._published_vms: list[vms.Vm] | None = None
+        self._changed_at: dict[str, float] = {}
 
     def cut_store(self, daemon: str) -> None:
         """Hang up on a daemon's calls of the table service and the object store."""
-        self._blocked.append(self.resolve(daemon))
+        self._blocked_daemons.append(self.resolve(daemon))
         self._set_blocked()
 
     def heal_store(self, daemon: str) -> None:
         """Serve a daemon again."""
-        self._blocked.remove(self.resolve(daemon))
+        self._blocked_daemons.remove(self.resolve(daemon))
         self._set_blocked()
 
     def _set_blocked(self) -> None:
         for name in ("tables", "objects"):
-            self._cell.cluster.set_faults(name, blocked=self._blocked)
+            self._cell.cluster.set_faults(name, blocked=self._blocked_daemons)
 
     def store_down(self) -> None:
         """Refuse all connections to the store."""
@@ -71,7 +71,7 @@
         lost = {ROW_PREFIXES[document]: count}
         self._cell.cluster.set_faults("tables", lose_writes=lost)
 
-    def _places(self, place: language.Place) -> list[str]:
+    def _worker_ids(self, place: language.Place) -> list[str]:
         listed = [vm for vm in self._vms() if vm.role is vms.Role.WORKER]
         match place.kind:
             case "worker":
@@ -83,14 +83,14 @@
                 return [vm.id for vm in listed if vm.availability_zone == place.zone]
 
     def _vms(self) -> list[vms.Vm]:
-        if not self._listed:
-            self._listed = self._cell.cluster.listed()
-        return self._listed
+        if not self._initial_vms:
+            self._initial_vms = self._cell.cluster.listed()
+        return self._initial_vms
 
     def _set_workers(self, place: language.Place, **faults: object) -> None:
-        names = self._places(place)
+        names = self._worker_ids(place)
         if not names:
-            raise cell.Failed("no such workers")
+            raise cell.StepFailed("no such workers")
         self._cell.cluster.set_faults("workers", workers=names, **faults)
 
     def cut_place(self, daemon: str, place: language.Place) -> None:
@@ -102,7 +102,7 @@
         self._block(place, set(), {self.resolve(daemon)})
 
     def _block(self, place: language.Place, add: set[str], drop: set[str]) -> None:
-        for name in self._places(place):
+        for name in self._worker_ids(place):
             blocked = (set(self._blocked_owners.get(name, [])) | add) - drop
             self._blocked_owners[name] = sorted(blocked)
             self._cell.cluster.set_faults(
@@ -128,20 +128,24 @@
 
     def list_as(self, host: language.Host, listed_as: str) -> None:
         """Change the entry of a VM in the VM list."""
-        target = self._host(host)
-        known = self._cell.cluster.listed() if not self._shown else self._shown
+        target = self._vm_of(host)
+        known = (
+            self._cell.cluster.listed()
+            if not self._published_vms
+            else self._published_vms
+        )
         known = [vm for vm in known if vm.id != target.id]
         if listed_as != "gone":
             state = vms.State.LEAVING if listed_as == "leaving" else vms.State.LIVE
             known.append(msgspec.structs.replace(target, state=state))
-        self._shown = known
+        self._published_vms = known
         self._cell.cluster.publish(known)
-        self._listed_at[target.id] = time.monotonic()
+        self._changed_at[target.id] = time.monotonic()
 
     def expect_no_start_on(self, host: language.Host) -> None:
         """Check that a VM got no work later than 3 s after its entry was changed."""
-        target = self._host(host)
-        since = self._listed_at[target.id] + judge.IN_FORCE_S
+        target = self._vm_of(host)
+        since = self._changed_at[target.id] + judge.IN_FORCE_S
         if host.role == "worker":
             self._cell.history.refresh()
             late = [
@@ -159,7 +163,9 @@
                 and event["at"] > since
             ]
         if late:
-            raise cell.Failed(f"{len(late)} starts on {target.id}, such as {late[0]}")
+            raise cell.StepFailed(
+                f"{len(late)} starts on {target.id}, such as {late[0]}"
+            )
 
     def expect_event(
         self, kind: str, about: language.Subject | language.Place, within_s: float
@@ -175,9 +181,9 @@
             case language.Place(kind="zone"):
                 subjects = [about.zone]
             case _:
-                subjects = self._places(about)
+                subjects = self._worker_ids(about)
 
-        def look() -> str:
+        def find_problem() -> str:
             path = f"/v1/events?kind={kind}"
             reply = self._cell.operator_call("GET", path, timeout_s=4.0)
             if reply.status != 200:
@@ -188,14 +194,14 @@
             ]
             return f"no {kind} about {absent} among {found}" if absent else ""
 
-        self._until(within_s, look)
+        self._wait_until_ok(within_s, find_problem)
 
-    def _host(self, host: language.Host) -> vms.Vm:
+    def _vm_of(self, host: language.Host) -> vms.Vm:
         role = vms.Role.WORKER if host.role == "worker" else vms.Role.BACKEND_SERVER
         return [vm for vm in self._vms() if vm.role is role][host.number - 1]
 
     def _set_executors(self, number: int | None = None, **faults: object) -> None:
-        names = [] if number is None else [self._host(language.Host("e", number)).id]
+        names = [] if number is None else [self._vm_of(language.Host("e", number)).id]
         self._cell.cluster.set_faults("backend_servers", executors=names, **faults)
 
     def kill_executor(self, number: int) -> None:
@@ -216,7 +222,7 @@
 
     def answers_large(self, size: int) -> None:
         """Replace the length of the answers of requests sent from now on."""
-        self._large = size
+        self._large_answer_bytes = size
         self._set_executors(large_bytes=size)
 
     def answers_normal(self) -> None:
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -245,7 +245,7 @@
     return _parser
 
 
-def _describe(terminals: set[str], parser: lark.Lark) -> str:
+def _describe_expected(terminals: set[str], parser: lark.Lark) -> str:
     literal = {
         terminal.name: terminal.pattern.value
         for terminal in parser.terminals
@@ -273,14 +273,14 @@
             file,
             error.line,
             f'"{word[0] if word else ""}" is not understood',
-            _describe(set(error.allowed or ()), parser),
+            _describe_expected(set(error.allowed or ()), parser),
         ) from None
     except exceptions.UnexpectedToken as error:
         ends = error.token.type in ("_NL", "$END")
         line = error.line if error.line and error.line > 0 else len(lines)
         found = "the line ends here" if ends else f'"{error.token}" is not expected'
         raise ScenarioError(
-            file, line, found, _describe(set(error.expected), parser)
+            file, line, found, _describe_expected(set(error.expected), parser)
         ) from None
     built = _Builder(lines).transform(tree)
     settings = dict(DEFAULTS)
--- a/scenarios/loads.py
+++ b/scenarios/loads.py
@@ -20,10 +20,10 @@
 RETRIED = frozenset({"NotRun", "Overloaded", "Unavailable", "StoreUnavailable"})
 RETRY_S = 0.2
 # A caller asks again for a lost answer or an unknown outcome for this long.
-FOLLOW_S = 40.0
+FOLLOW_UP_LIMIT_S = 40.0
 UNKNOWN_ATTEMPTS = 6
 JOBS_PER_CALL = 200
-FOLLOWERS = 8
+LOOKUP_CONCURRENCY = 8
 KEPT_ANSWER_BYTES = 1000
 CALLER_PAUSE_S = 0.02
 MAX_REASON_CHARACTERS = 90
@@ -61,7 +61,7 @@
         self.stopping = True
         gevent.joinall(self.greenlets, raise_error=True)
 
-    def note_use(self, key: Key, sent_at: float) -> None:
+    def record_key_use(self, key: Key, sent_at: float) -> None:
         """Note that work was accepted with a key."""
         if key.id:
             self.key_uses.append(facts.KeyUse(key.id, sent_at))
@@ -70,9 +70,9 @@
 class Jobs(Load):
     """Submit jobs and follow them to their outcomes."""
 
-    def __init__(self, name: str, front: client.Client, key: Key) -> None:
+    def __init__(self, name: str, http_client: client.Client, key: Key) -> None:
         super().__init__(name)
-        self._front = front
+        self._http_client = http_client
         self._key = key
         self._number = 0
         self.retrying = False
@@ -101,12 +101,12 @@
     def _submit(self, items: list[dict], tasks: int, daemon: str) -> None:
         """Submit until each job is accepted or refused; the IDs make it repeatable."""
         self.counts["submitted"] += len(items)
-        deadline = time.monotonic() + FOLLOW_S
-        doubtful: set[str] = set()
+        deadline = time.monotonic() + FOLLOW_UP_LIMIT_S
+        maybe_accepted: set[str] = set()
         avoid = ""
         while items and time.monotonic() < deadline:
             sent_at = time.monotonic()
-            reply = self._front.call(
+            reply = self._http_client.call(
                 "POST",
                 "/v1/jobs",
                 {"jobs": items},
@@ -119,16 +119,16 @@
             for item, failure in zip(items, _failures(reply, items), strict=True):
                 if not failure:
                     self.accepted[item["id"]] = tasks
-                    self.note_use(self._key, sent_at)
-                elif not self._is_final(item["id"], failure, doubtful):
+                    self.record_key_use(self._key, sent_at)
+                elif not self._is_final(item["id"], failure, maybe_accepted):
                     if failure not in NOT_RUN:
-                        doubtful.add(item["id"])
+                        maybe_accepted.add(item["id"])
                     left.append(item)
-                elif item["id"] not in doubtful:
+                elif item["id"] not in maybe_accepted:
                     self._refuse(item["id"], failure, reply)
                 else:
                     # The key was withdrawn after an answer was lost.
-                    if self._is_known(item["id"]):
+                    if self._was_accepted(item["id"]):
                         self.accepted[item["id"]] = tasks
                     self.counts["doubtful"] += 1
             items = left
@@ -137,9 +137,9 @@
         for item in items:
             self.problems.append(f"{item['id']}: neither accepted nor refused")
 
-    def _is_final(self, job_id: str, failure: str, doubtful: set[str]) -> bool:
+    def _is_final(self, job_id: str, failure: str, maybe_accepted: set[str]) -> bool:
         """Return whether a failure ends the submission of a job."""
-        if job_id in doubtful:  # an earlier call may have been accepted
+        if job_id in maybe_accepted:  # an earlier call may have been accepted
             return failure == "Forbidden"
         return failure in NOT_RUN and not (self.retrying and failure in RETRIED)
 
@@ -149,9 +149,14 @@
         reason = str(reply.error.get("reason", reply.body[:300]))
         self.counts[reason[:MAX_REASON_CHARACTERS]] += 1
 
-    def _is_known(self, job_id: str) -> bool:
+    def _was_accepted(self, job_id: str) -> bool:
         path = f"/v1/jobs/{job_id}"
-        return self._front.call("GET", path, key=self._front.operator_key).status == 200
+        return (
+            self._http_client.call(
+                "GET", path, key=self._http_client.operator_key
+            ).status
+            == 200
+        )
 
     def cancel(self) -> None:
         """Cancel all accepted jobs; a lost answer is repeated."""
@@ -159,7 +164,7 @@
 
         def send(part: list[str]) -> None:
             for _ in range(CANCEL_ATTEMPTS):
-                reply = self._front.call(
+                reply = self._http_client.call(
                     "POST", "/v1/cancellations", {"ids": part}, self._key.secret
                 )
                 if reply.status == 200 or _only_ended(reply):
@@ -176,13 +181,15 @@
     def refresh(self) -> None:
         """Ask for the outcomes of the jobs that had none yet."""
         open_ids = [job_id for job_id in self.accepted if job_id not in self.outcomes]
-        pool.Pool(FOLLOWERS).map(self._look_up, open_ids)
+        pool.Pool(LOOKUP_CONCURRENCY).map(self._look_up, open_ids)
 
     def _look_up(self, job_id: str) -> None:
         path = f"/v1/jobs/{job_id}"
-        reply = self._front.call("GET", path, key=self._key.secret)
+        reply = self._http_client.call("GET", path, key=self._key.secret)
         if reply.status == 403:  # the key was withdrawn; operators read all
-            reply = self._front.call("GET", path, key=self._front.operator_key)
+            reply = self._http_client.call(
+                "GET", path, key=self._http_client.operator_key
+            )
         if reply.status != 200:
             return
         status = reply.json()
@@ -245,9 +252,11 @@
 class Requests(Load):
     """Send requests of one kind from several callers."""
 
-    def __init__(self, name: str, front: client.Client, key: Key, kind: Kind) -> None:
+    def __init__(
+        self, name: str, http_client: client.Client, key: Key, kind: Kind
+    ) -> None:
         super().__init__(name)
-        self._front = front
+        self._http_client = http_client
         self._key = key
         self._kind = kind
         self._number = 0
@@ -270,9 +279,9 @@
 
     def _send(self, request_id: str) -> str:
         """Send a request until its outcome is known, at another daemon each time."""
-        deadline = time.monotonic() + FOLLOW_S
+        deadline = time.monotonic() + FOLLOW_UP_LIMIT_S
         state = "lost"
-        doubtful = False
+        maybe_run = False
         avoid = ""
         unknown = 0
         self.counts["sent"] += 1
@@ -280,10 +289,10 @@
             sent_at = time.monotonic()
             reply = self._call(request_id, avoid)
             avoid = reply.daemon
-            final = self._final_state(request_id, reply, sent_at, doubtful)
+            final = self._final_state(request_id, reply, sent_at, maybe_run)
             if final:
                 return final
-            doubtful = True
+            maybe_run = True
             if reply.failure == "Unknown":
                 unknown += 1
                 state = "unknown"
@@ -298,7 +307,7 @@
             "X-Idempotent": "true" if kind.idempotent else "false",
         }
         body = {"run_ms": kind.run_ms, "answer_bytes": kind.answer_bytes}
-        reply = self._front.call(
+        reply = self._http_client.call(
             "POST",
             f"/v1/services/{kind.service}/requests",
             body,
@@ -312,18 +321,18 @@
         return reply
 
     def _final_state(
-        self, request_id: str, reply: client.Reply, sent_at: float, doubtful: bool
+        self, request_id: str, reply: client.Reply, sent_at: float, maybe_run: bool
     ) -> str:
         """Return the state that a reply leaves a request in; empty to send it again.
 
-        `doubtful` says that an earlier call may have run.
+        `maybe_run` says that an earlier call may have run.
         """
         failure = reply.failure
         if reply.status == 200:
             self._check(request_id, reply)
-            self.note_use(self._key, sent_at)
+            self.record_key_use(self._key, sent_at)
             return "done"
-        if failure in NOT_RUN and not doubtful:
+        if failure in NOT_RUN and not maybe_run:
             self.not_run.add(request_id)
             self.counts[f"not_run {failure}"] += 1
             return "not_run"
@@ -331,7 +340,7 @@
             return "given_up"
         if failure == "Forbidden":
             return self._look_up(request_id)
-        if failure == "Refused" and not doubtful:
+        if failure == "Refused" and not maybe_run:
             self.problems.append(f"{request_id}: {reply.body[:200]!r}")
             return "lost"
         return ""
@@ -341,7 +350,7 @@
         if self._kind.idempotent:
             return "given_up"
         path = f"/v1/requests/{request_id}"
-        reply = self._front.call("GET", path, key=self._front.operator_key)
+        reply = self._http_client.call("GET", path, key=self._http_client.operator_key)
         return "done" if reply.status == 200 else "unknown"
 
     def _check(self, request_id: str, reply: client.Reply) -> None:
--- a/scenarios/names.py
+++ b/scenarios/names.py
@@ -46,7 +46,9 @@
             f"there is no deployment {deployment}",
             " or ".join(DEPLOYMENTS),
         )
-    _Checker(scenario, reader.parse(cell.prepare(deployment))).check(scenario.steps)
+    _Checker(scenario, reader.parse(cell.read_deployment(deployment))).check(
+        scenario.steps
+    )
 
 
 class _Checker:
--- a/scenarios/report.py
+++ b/scenarios/report.py
@@ -9,15 +9,18 @@
 from scenarios import actions, cell, language
 
 MAX_SHOWN = 8
-MAX_LINE = 900
+MAX_LINE_CHARACTERS = 900
 
 
 def run(scenario: language.Scenario) -> int:
     """Run a scenario; return the exit status."""
     began = time.monotonic()
 
-    def say(line: str) -> None:
-        print(f"[{time.monotonic() - began:5.1f} s] {line}"[:MAX_LINE], flush=True)
+    def print_line(line: str) -> None:
+        print(
+            f"[{time.monotonic() - began:5.1f} s] {line}"[:MAX_LINE_CHARACTERS],
+            flush=True,
+        )
 
     problems: list[str] = []
     settings = scenario.settings
@@ -31,37 +34,37 @@
             settings["partitions"],
         ) as running:
             directory = str(running.cluster.directory)
-            problems = play(scenario, running, say)
+            problems = run_steps(scenario, running, print_line)
             if problems:
                 # Leaving by an exception keeps the logs of the processes.
-                raise cell.Failed(problems[0])
-    except cell.Failed as failed:
+                raise cell.StepFailed(problems[0])
+    except cell.StepFailed as failed:
         problems = problems or [str(failed)]
     except Exception as error:
         traceback.print_exc()
         problems = problems or [f"{type(error).__name__}: {error}"]
     for problem in problems[:MAX_SHOWN]:
-        print(f"FAILED {problem}"[:MAX_LINE])
+        print(f"FAILED {problem}"[:MAX_LINE_CHARACTERS])
     if problems:
         print(f"logs of the processes: {directory}")
-    say("failed" if problems else "passed")
+    print_line("failed" if problems else "passed")
     return 1 if problems else 0
 
 
-def play(scenario: language.Scenario, running: cell.Cell, say) -> list[str]:
+def run_steps(scenario: language.Scenario, running: cell.Cell, print_line) -> list[str]:
     """Play all steps and judge the records; return what is wrong."""
-    player = actions.Player(running, say)
-    player.finish_within_s = scenario.settings["finish_within"]
+    runner = actions.StepRunner(running, print_line)
+    runner.finish_within_s = scenario.settings["finish_within"]
     problems = []
     try:
-        player.play(scenario.steps)
-    except cell.Failed as failed:
+        runner.run_steps(scenario.steps)
+    except cell.StepFailed as failed:
         problems.append(str(failed))
     try:
-        running.finish(player.finish_within_s if not problems else 5.0)
+        running.finish(runner.finish_within_s if not problems else 5.0)
         problems += running.problems()
-        for line in running.explain_lost():
-            say(line)
+        for line in running.explain_unfinished_jobs():
+            print_line(line)
         violations = running.judge()
         problems += [f"violation {item}" for item in violations]
         if problems:
@@ -74,5 +77,5 @@
                 for state in ("accepted", "done", "failed", "not_run", "unknown")
                 if load.count(state)
             }
-            say(f"{load.name}: {shown} {dict(load.counts)}")
+            print_line(f"{load.name}: {shown} {dict(load.counts)}")
     return problems
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -21,7 +21,7 @@
     return {"error": {"type": kind, "reason": ""}}
 
 
-class Front:
+class FakeHttpClient:
     """Answers calls with prepared replies; the last one is repeated."""
 
     operator_key = "operator"
@@ -50,7 +50,7 @@
         self.patch(loads, "RETRY_S", 0.0)
 
     def send(self, *replies, kind=KIND):
-        load = loads.Requests("r", Front(*replies), KEY, kind)
+        load = loads.Requests("r", FakeHttpClient(*replies), KEY, kind)
         return load, load._send("r-1")
 
     def test_a_wrong_answer_reaches_the_judge(self):
@@ -80,7 +80,7 @@
         self.assertEqual("unknown", state)
 
     def test_idempotent_requests_without_an_answer_are_lost(self):
-        self.patch(loads, "FOLLOW_S", 0.01)
+        self.patch(loads, "FOLLOW_UP_LIMIT_S", 0.01)
         _, state = self.send(
             client.Reply(0), kind=dataclasses.replace(KIND, idempotent=True)
         )
@@ -101,7 +101,7 @@
         self.patch(loads, "RETRY_S", 0.0)
 
     def submit(self, *replies, count=1):
-        jobs = loads.Jobs("j", Front(*replies), KEY)
+        jobs = loads.Jobs("j", FakeHttpClient(*replies), KEY)
         jobs.submit(count, {"template": "invoice-run"}, 1)
         return jobs
 
@@ -126,18 +126,18 @@
         self.assertEqual(({}, set()), (jobs.accepted, jobs.refused))
 
     def test_a_job_that_is_neither_accepted_nor_refused_is_a_problem(self):
-        self.patch(loads, "FOLLOW_S", 0.01)
+        self.patch(loads, "FOLLOW_UP_LIMIT_S", 0.01)
         jobs = self.submit(client.Reply(0))
         self.assertEqual(1, len(jobs.problems))
 
     def test_a_job_without_an_outcome_is_lost(self):
         jobs = self.submit(reply(202, {"jobs": [{"id": "j-1"}]}))
         status = {"counts": {"running": 1}, "outcome": None}
-        jobs._front.replies = [reply(200, status)]
+        jobs._http_client.replies = [reply(200, status)]
         jobs.refresh()
         self.assertEqual((1, 0), (jobs.count("lost"), jobs.count("finished")))
         status = {"counts": {"done": 1}, "outcome": {"state": "done"}}
-        jobs._front.replies = [reply(200, status)]
+        jobs._http_client.replies = [reply(200, status)]
         jobs.refresh()
         self.assertEqual((0, 1), (jobs.count("lost"), jobs.count("done")))
 
@@ -148,22 +148,22 @@
     def setUp(self):
         super().setUp()
         self.cell = made = cell.Cell.__new__(cell.Cell)
-        made.front = Front(reply(200, {"versions": {"config": 1}}))
+        made.http_client = FakeHttpClient(reply(200, {"versions": {"config": 1}}))
         made.cluster = types.SimpleNamespace(operator_key="operator", records=dict)
         made.partitions = 1
         made.jobs, made.requests, made.keys = {}, {}, {"desk": KEY}
-        made.outages, made.out, made.ceilings = [], {}, []
-        made.gangs, made.withdrawn, made.reverts, made._seen = {}, {}, [], {}
+        made.outages, made.zones_out, made.ceilings = [], {}, []
+        made.gangs, made.withdrawn, made.regressions, made._versions = {}, {}, [], {}
         made.owner = lambda partition: "entry-2"
         made.history = types.SimpleNamespace(attempts=[], refresh=lambda: None)
-        self.player = actions.Player(made, lambda line: None)
-        self.player.finish_within_s = 0.0
+        self.runner = actions.StepRunner(made, lambda line: None)
+        self.runner.finish_within_s = 0.0
 
     def fails(self, function, *args):
-        return self.assertRaises(cell.Failed, function, *args)
+        return self.assertRaises(cell.StepFailed, function, *args)
 
     def add_jobs(self, **outcomes):
-        jobs = self.cell.jobs["j"] = loads.Jobs("j", self.cell.front, KEY)
+        jobs = self.cell.jobs["j"] = loads.Jobs("j", self.cell.http_client, KEY)
         jobs.refresh = lambda: None
         jobs.accepted = dict.fromkeys(outcomes, 1)
         jobs.outcomes = {name: state for name, state in outcomes.items() if state}
@@ -171,26 +171,26 @@
 
     def test_a_count(self):
         self.add_jobs(a="done", b="unknown")
-        self.player.expect_count(language.Amount("exactly", 1), "j", "done", None)
+        self.runner.expect_count(language.Amount("exactly", 1), "j", "done", None)
         failed = self.fails(
-            self.player.expect_count, language.Amount("all"), "j", "done", None
+            self.runner.expect_count, language.Amount("all"), "j", "done", None
         )
         self.assertIn("1 of 2 are done", str(failed))
 
     def test_a_version(self):
-        self.player.expect_version(1, 0.01)
-        self.fails(self.player.expect_version, 2, 0.01)
+        self.runner.expect_version(1, 0.01)
+        self.fails(self.runner.expect_version, 2, 0.01)
 
     def test_an_accepted_withdrawn_key(self):
         self.cell.withdrawn["k1"] = 0.0
-        self.fails(self.player.expect_key_refused, "desk")
-        self.cell.front.replies = [reply(403, refusal("Forbidden"))]
-        self.player.expect_key_refused("desk")
+        self.fails(self.runner.expect_key_refused, "desk")
+        self.cell.http_client.replies = [reply(403, refusal("Forbidden"))]
+        self.runner.expect_key_refused("desk")
 
     def test_an_owner_that_does_not_run(self):
-        self.fails(self.player.expect_owned, 0.0)
-        self.fails(self.player.expect_takeover, 0, "entry-2", 0.0)
-        self.player.expect_takeover(0, "entry-1", 0.0)
+        self.fails(self.runner.expect_owned, 0.0)
+        self.fails(self.runner.expect_takeover, 0, "entry-2", 0.0)
+        self.runner.expect_takeover(0, "entry-1", 0.0)
 
     def add_start(self, zone, at):
         start = events.Start(
@@ -211,48 +211,48 @@
         self.cell.history.attempts.append(executions.Attempt(start))
 
     def test_a_late_start_in_a_zone(self):
-        self.cell.out["zug-1"] = 100.0
+        self.cell.zones_out["zug-1"] = 100.0
         for at, zone in ((102.9, "zug-1"), (104.0, "luzern-1")):
             self.add_start(zone, at)
-        self.player.expect_no_start("zug-1")
+        self.runner.expect_no_start("zug-1")
         self.add_start("zug-1", 103.1)
-        self.fails(self.player.expect_no_start, "zug-1")
+        self.fails(self.runner.expect_no_start, "zug-1")
 
     def test_lost_work(self):
         self.add_jobs(a="done")
-        self.player.expect_nothing_lost()
+        self.runner.expect_nothing_lost()
         self.add_jobs(a="done", b="")
-        self.fails(self.player.expect_nothing_lost)
+        self.fails(self.runner.expect_nothing_lost)
         self.assertIn(violations.LostWork(work="b/0"), self.cell.judge())
 
     def test_an_outcome_without_a_run(self):
         self.add_jobs(a="done")
         self.cell.cluster.records = lambda: {"workers": {"events": []}}
-        failed = self.fails(self.player.expect_invariants)
+        failed = self.fails(self.runner.expect_invariants)
         self.assertIn("FalseOutcome", str(failed))
 
     def test_a_version_that_goes_back(self):
-        self.cell._compare("entry-1", {"config": 2, "keys": 1, "zones": 0})
-        self.cell._compare("entry-1", {"config": 2, "keys": 3, "zones": 0})
+        self.cell._compare_versions("entry-1", {"config": 2, "keys": 1, "zones": 0})
+        self.cell._compare_versions("entry-1", {"config": 2, "keys": 3, "zones": 0})
         self.assertEqual([], self.cell.problems())
-        self.cell._compare("entry-1", {"config": 1, "keys": 3, "zones": 0})
+        self.cell._compare_versions("entry-1", {"config": 1, "keys": 3, "zones": 0})
         self.assertEqual(1, len(self.cell.problems()))
 
     def test_operators_who_both_succeed(self):
-        self.cell.source = cell.prepare("kernhalde")
+        self.cell.source = cell.read_deployment("kernhalde")
         self.cell.version = 1
-        self.cell.front.replies = [reply(200, {"version": 2})]
+        self.cell.http_client.replies = [reply(200, {"version": 2})]
         ceiling = language.Ceiling("desk", 10)
-        self.fails(self.player.race, ceiling, "entry-1", ceiling, "entry-2")
+        self.fails(self.runner.race, ceiling, "entry-1", ceiling, "entry-2")
 
     def test_a_lowered_ceiling_counts_from_its_acceptance(self):
-        self.cell.source = cell.prepare("kernhalde")
-        self.cell.in_force(self.cell.source, 1, before=5.0)
+        self.cell.source = cell.read_deployment("kernhalde")
+        self.cell.record_in_force(self.cell.source, 1, before=5.0)
         before = time.monotonic()
         lowered = cell.with_ceilings(self.cell.source, {"desk": 10})
-        self.cell.in_force(lowered, 2, before)
+        self.cell.record_in_force(lowered, 2, before)
         last = self.cell.ceilings[-1]
         self.assertEqual(("desk", 10_000), (last.team, last.amount.cpus))
         self.assertGreaterEqual(last.from_at, before)
-        self.cell.in_force(cell.with_ceilings(lowered, {"desk": 20}), 3, before)
+        self.cell.record_in_force(cell.with_ceilings(lowered, {"desk": 20}), 3, before)
         self.assertEqual(before, self.cell.ceilings[-1].from_at)
