--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Model of ownership, worker leases and at-most-once starts."""
+"""Models of the protocols of a cell, checked exhaustively by minicheck."""
--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -1,11 +1,11 @@
 """Model of one task under coordinators that may be paused or replaced at any time.
 
-A step that no coordinator takes models a pause. A claim may come at any time, as a
-takeover before the lease is over does. A write under way takes effect or fails at any
-later time, once more if its answer was lost; an order arrives at any time. Workers run,
-end and lapse. The rules are those of `fenced_writer`, `leadership`, `dispatch` and
-`reports` of the coordinator, restated here, since these perform I/O; `ACTIONS` names
-them.
+A paused coordinator takes no step while others do. Another process may acquire the
+leader lease at any time, even before it has expired. A write in flight takes effect or
+fails at any later time, and may take effect once more if its answer was lost. An order
+arrives at any time. Tasks run and end, and worker leases expire. The rules are those of
+`fenced_writer`, `leadership`, `dispatch` and `reports` of the coordinator, restated
+here, since these perform I/O; `ACTIONS` maps each action to its implementation.
 """
 
 from __future__ import annotations
@@ -39,25 +39,27 @@
     """Limit the space; all states within the bounds are visited."""
 
     workers: int = 2
-    claims: int = 2
-    runs: int = 2
+    claims: int = 2  # of the leader lease
+    runs: int = 2  # starts of the task
 
 
 @dataclasses.dataclass(frozen=True)
 class Rules:
     """Say which rules are in force; removing one must break an invariant."""
 
-    durable_intent: bool = True  # a start is ordered once its record is durable
-    leader_lease_check: bool = True  # a write checks the seat's row
-    lease_rewrite: bool = True  # and rewrites it, so that a late copy fails
+    durable_intent: bool = True  # a start is ordered only once its record is durable
+    leader_lease_check: bool = True  # a write checks the leader lease's row
+    lease_rewrite: bool = True  # and rewrites it, so that a delayed duplicate fails
     fence: bool = True  # workers refuse lower epochs
-    durable_end: bool = True  # an end is noted once its record is durable
-    lease_wait: bool = True  # an unreachable worker is waited for
-    expiry: bool = True  # a coordinator without its seat gives no orders for long
+    durable_end: bool = True  # an end is acknowledged only once it is durable
+    lease_wait: bool = True  # a worker is lost only once its lease has expired
+    expiry: bool = (
+        True  # a coordinator without the leader lease soon stops giving orders
+    )
 
 
 class Record(NamedTuple):
-    """The durable row of the task: its run, where it may be, and whether it is done."""
+    """The durable row of the task: its run, its worker, and whether it is done."""
 
     run: int = 0
     worker: int = NO_WORKER
@@ -65,7 +67,7 @@
 
 
 class Coordinator(NamedTuple):
-    """A coordinator; `write` is under way, `placing` was written but not ordered."""
+    """A coordinator; `write` is in flight, `placing`: a start has yet to be ordered."""
 
     epoch: int
     version: int
@@ -76,7 +78,7 @@
 
 
 class Worker(NamedTuple):
-    """A worker; `running` and `ended` are runs, 0 for none."""
+    """A worker; `running`, `ended` and `highest` are numbers of runs, 0 for none."""
 
     epoch: int = 0
     running: int = 0
@@ -85,7 +87,7 @@
 
 
 class State(NamedTuple):
-    """The rows of the store, late copies of writes, and who acts."""
+    """The rows of the store, duplicates of writes, coordinators, workers and orders."""
 
     epoch: int
     version: int
@@ -133,7 +135,7 @@
             )
         for index, coordinator in enumerate(s.coordinators):
             if not coordinator.expired:
-                # Only with a successor: alone it renews its lease.
+                # Without a successor it renews its lease.
                 if coordinator.epoch < s.epoch:
                     yield (
                         "leader lease expires",
@@ -172,12 +174,12 @@
             yield "mark lost", _with_coordinator(s, index, gone)
 
     def _may_mark_lost(self, s: State, c: Coordinator) -> bool:
-        """Return whether a worker's lease must be over, as far as rules demand it."""
+        """Return whether the rules in force allow to give up the worker of the task."""
         if not self._rules.lease_wait:
             return True
         name = c.record.worker
         under_way = any(order[2] == name for order in s.orders)
-        # A coordinator that was replaced may still give orders until it expires.
+        # A coordinator that was replaced may still give orders until its lease expires.
         active = self._rules.expiry and any(
             not other.expired for other in s.coordinators if other.epoch < c.epoch
         )
@@ -218,7 +220,7 @@
                     yield "acknowledge", acknowledged._replace(acknowledged=True)
                 continue
             if worker.running and worker.running != record.run:
-                # Not what this coordinator placed: it is stopped.
+                # This coordinator did not place the run, so it stops it.
                 yield "poll", _with_worker(s, name, seen._replace(running=0))
                 continue
             answered = (c.epoch, record.run, name) not in s.orders
@@ -247,7 +249,7 @@
                 continue
             ended = worker._replace(running=0, ended=worker.running)
             yield "task ends", _with_worker(s, name, ended)
-            # An order carries a lease, so what is under way is too late as well.
+            # An order carries a lease, so the orders in flight have expired as well.
             kept = frozenset(order for order in s.orders if order[2] != name)
             lapsed = _with_worker(s, name, worker._replace(running=0))
             yield "worker lease expires", lapsed._replace(orders=kept)
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -2,8 +2,8 @@
 
 Two partitions share one worker that can move; each has one idempotent task, which may
 run there or on a worker of its own that never moves. `ownership_model.py` covers
-leases of ownership by time; here an ownership ends in one step, and a claim needs that
-step. A pause is any order in which an owner takes no step while others go on.
+ownership leases in time; here an ownership ends in one step, which a claim requires. A
+paused owner takes no step while others do.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from spec import moves_states, moves_worker_steps
 from toucanspring.owners import recovery, roster
 
-# Action -> the function of the product that implements it.
+# Action -> the function that implements it.
 ACTIONS = {
     "time passes": "toucanspring.owners.worker_link.Link",
     "ownership ends": "toucanspring.cell.ownership.lease_state",
@@ -43,7 +43,7 @@
     "task ends": "standins.worker.Worker",
     "orphan stops": "toucanspring.owners.recovery.attach",
 }
-# Steps that nothing forces: faults, and moves that need not be made.
+# Steps that may never be taken: faults, and moves that are optional.
 UNFORCED = (
     "ownership ends",
     "owner dies",
@@ -100,7 +100,7 @@
         return [(label, after) for label, after in found if after != s]
 
     def _reduce(self, s: moves_states.State) -> moves_states.State:
-        """Drop what can no longer have an effect, which keeps the space small."""
+        """Drop state that can no longer have an effect, which keeps the space small."""
         s = _reduce_ended(s)
         last = len(s.rows) - 1
         writes = frozenset(
@@ -281,7 +281,7 @@
         elif not awaited:
             yield f"{name} conflicts", s
         elif repeated:
-            # The first attempt may be what conflicts.
+            # The first attempt may have taken effect and caused the conflict.
             me = self._read_row(s, p, me._replace(move=me.move._replace(state="doubt")))
             yield (
                 f"{name} conflicts",
@@ -340,7 +340,7 @@
         for e, me in enumerate(s.owners[p], 1):
             if me is None or me.holds:
                 continue
-            # It uses nothing any more; what it had sent or planned may still count.
+            # It no longer acts, but what it sent or planned may still take effect.
             planned = me.move is not None and me.move.state == "planned"
             reduced = me._replace(
                 seen=me.seen if planned else min(me.seen, 0),
--- a/spec/moves_states.py
+++ b/spec/moves_states.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-LEASE = 1  # units of time; a worker refuses starts from this age of its lease
+LEASE = 1  # units of time; a worker refuses starts once its lease has this age
 STOPPED = 2  # units after a renewal at which the tasks have ended
 UNASSIGNED = -1  # the row has no entry for the worker
 UNLOADED = -1  # an owner that has not read the row yet
@@ -19,7 +19,9 @@
     epochs: tuple[int, int] = (2, 1)  # of each partition
     versions: int = 3  # of the row `workers`
     attempts: int = 1  # starts of each task on the worker
-    tasks: tuple[int, ...] = (0,)  # partitions that have one; others have ended
+    tasks: tuple[int, ...] = (
+        0,
+    )  # partitions with a task to run; those of others have ended
     writes: bool = False  # whether others write the row for other workers
     drops: bool = False  # whether the worker may leave the row
 
@@ -30,9 +32,9 @@
 
     ownership_check: bool = True  # the transaction checks the donor's ownership row
     version_check: bool = True  # and the version of the row `workers`
-    lease_wait: bool = True  # a worker under a lease refuses other partitions
+    lease_wait: bool = True  # a worker with a valid lease refuses other partitions
     drain: bool = True  # only empty workers move
-    withhold: bool = True  # a worker in doubt gets no tasks
+    withhold: bool = True  # a worker whose move is in doubt gets no tasks
     release: bool = True  # the donor ends its lease and closes its link
     own_drop: bool = True  # only its own owner drops a lost worker from the row
 
@@ -46,19 +48,19 @@
 
 
 class Owner(NamedTuple):
-    """One ownership of a partition; it stays after its end if the process runs."""
+    """Owner of a partition in one epoch, kept after its end if the process runs."""
 
-    holds: bool  # by its own clock
+    holds: bool  # whether it owns the partition by its own clock
     seen: int  # version of the row, or UNLOADED
     link: str  # none, open, attached or lost
-    since_renewal: int  # since it last renewed the worker
+    since_renewal: int  # time since it last renewed the worker's lease
     move: Move | None
     task: str  # held, waiting, worker, fixed_worker or final
     attempt: int
 
 
 class Write(NamedTuple):
-    """A transaction under way."""
+    """A transaction in flight."""
 
     partition: int
     epoch: int
@@ -68,7 +70,7 @@
 
 
 class Start(NamedTuple):
-    """A start message under way."""
+    """A start message in flight."""
 
     partition: int
     epoch: int
@@ -78,7 +80,7 @@
 class Worker(NamedTuple):
     """The worker; its sets hold (partition, attempt).
 
-    Once its lease has ended, tasks are `stopping` and no later lease keeps them.
+    Once its lease has expired, tasks are `stopping`, and no later lease resumes them.
     """
 
     partition: int  # that it serves
@@ -94,7 +96,7 @@
 
     rows: tuple[int, ...]  # partition of the worker by version
     epochs: tuple[int, int]
-    owners: tuple[tuple[Owner | None, ...], tuple[Owner | None, ...]]  # None: dead
+    owners: tuple[tuple[Owner | None, ...], tuple[Owner | None, ...]]  # None: died
     worker: Worker
     on_fixed_worker: frozenset[
         int
@@ -134,12 +136,12 @@
 
 
 def running_or_stopping(worker: Worker) -> frozenset[tuple[int, int]]:
-    """Return what runs on the worker, its stopping tasks included."""
+    """Return the tasks on the worker, including those that are stopping."""
     return worker.running | worker.stopping
 
 
 def is_served(s: State) -> bool:
-    """Return whether the partition that the row names has the worker."""
+    """Return whether the worker is attached to the owner that the row names."""
     p = s.rows[-1]
     if p == UNASSIGNED:
         return False
--- a/spec/moves_worker_steps.py
+++ b/spec/moves_worker_steps.py
@@ -1,4 +1,4 @@
-"""Steps of owners that use the worker, and of the worker, in the model of moves."""
+"""Steps of the worker and of the owners that use it in the model of moves."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WorkerSteps:
-    """Enumerate what owners do with the worker and what it does itself."""
+    """Enumerate the steps of the worker and of the owners that use it."""
 
     def __init__(self, rules: moves_states.Rules, bounds: moves_states.Bounds) -> None:
         self._rules = rules
@@ -125,7 +125,7 @@
         return s
 
     def worker_events(self, s: moves_states.State) -> moves_states.Steps:
-        """Return what may happen on the worker."""
+        """Return the steps of the worker."""
         worker = s.worker
         for start in s.starts:
             p, e, number = start
@@ -151,7 +151,7 @@
 
 
 def after_worker_loss(me: moves_states.Owner) -> moves_states.Owner:
-    """Return what an owner knows of its task once it does not count the worker."""
+    """Return an owner that has lost the worker, with the new state of its task."""
     if me.task == "worker":
         if attempt.after_loss(job.State.RUNNING, True) == "unknown":
             return me._replace(task="final")
--- a/spec/owner_steps.py
+++ b/spec/owner_steps.py
@@ -8,14 +8,14 @@
 
 
 class OwnerSteps:
-    """Enumerate what an owner does with one worker."""
+    """Enumerate the steps of an owner that concern one worker."""
 
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
     def steps(self, s: states.State, p: int, w: int) -> states.Steps:
-        """Return what owner `p` may do with worker `w`."""
+        """Return the steps of owner `p` that concern worker `w`."""
         me, worker = s.processes[p], s.workers[w]
         if not me.attached[w]:
             yield from self._attach(s, p, w)
@@ -59,7 +59,7 @@
         for task in states.IDEMPOTENT:
             view = states.view_of(me, task)
             attempts = [number for name, number in known if name == task]
-            # Running attempts count before ended ones, the latest first.
+            # Running attempts take precedence over ended ones, later over earlier ones.
             attempts.sort(key=lambda n: ((task, n) in worker.running, n), reverse=True)
             mine = (
                 view.state in (states.INTENDED, states.STARTING, states.RUNNING)
@@ -73,7 +73,7 @@
                 view, gone = self._absent(view, worker)
                 lost += [task] if gone else []
             if not (view.state is states.RUNNING and view.worker == w):
-                # Nobody owns it: the worker is told to stop it.
+                # No record refers to the attempt, so the worker is told to stop it.
                 ended = frozenset(entry for entry in ended if entry[0] != task)
             me = states.with_view(me, task, view)
         workers = states.with_item(
@@ -87,7 +87,7 @@
     def _absent(
         self, view: states.View, worker: states.Worker
     ) -> tuple[states.View, bool]:
-        """Return the view of a task its worker does not know, and if it is final."""
+        """Return the view of a task its worker does not know, and if it is lost."""
         restarted = view.incarnation != worker.incarnation
         match recovery.absent_task(view.state, restarted):
             case "keep":
@@ -112,7 +112,7 @@
     def _settle(
         self, label: str, s: states.State, p: int, w: int, lost: list[str]
     ) -> states.Steps:
-        """Apply lost attempts, and release held work once all workers are settled."""
+        """Apply lost attempts; release held tasks once all workers are settled."""
         me = s.processes[p]
         me = me._replace(settled=states.with_item(me.settled, w, True))
         final = set(s.final)
--- a/spec/ownership_model.py
+++ b/spec/ownership_model.py
@@ -1,14 +1,15 @@
-"""States, actions and invariants of the model.
+"""Model of partition ownership, worker leases and at-most-once starts.
 
 Two processes may own one partition; one or two workers run one idempotent task
-`I` and one non-idempotent task `N`. Time advances in whole units for all at once;
-a pause of a process is any order in which it takes no step while time and others
-go on, and a message that was decided before the pause may arrive after it. Ages
-are capped where no rule can tell larger ones apart, so the space is finite.
+`I` and one non-idempotent task `N`. Time advances in whole units for all at once.
+A paused process takes no step while time passes and others take steps; a message
+that it decided to send before the pause may arrive after it. Ages are capped where
+no rule distinguishes larger ones, so the space is finite.
 
-The decisions are those of the product: `ownership` for leases and claims, `recovery`
-and `attempt` for what follows for a task. The refusals of a worker and of the log
-are restated here, since their owners perform I/O; `ACTIONS` names them.
+The decisions are made by the functions of the implementation: `ownership` for leases
+and claims, `recovery` and `attempt` for the next state of a task. The checks by which
+workers and the log refuse requests are restated here, since the modules that make them
+perform I/O; `ACTIONS` names them.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 from spec import owner_steps, ownership_steps, states, worker_steps
 
-# Action -> the function of the product that implements it.
+# Action -> the function that implements it.
 ACTIONS = {
     "time passes": "toucanspring.cell.ownership.lease_state",
     "send renewal": "toucanspring.cell.ownership.renew",
@@ -78,16 +79,16 @@
         return [(label, self._reduce(after)) for label, after in found]
 
     def _reduce(self, s: states.State) -> states.State:
-        """Drop what can no longer have an effect, which keeps the space small."""
+        """Drop state that can no longer have an effect, which keeps the space small."""
         for p in (0, 1):
             me = s.processes[p]
             reduced = me
             if s.owner == p:
-                reduced = reduced._replace(seen=-1)  # it does not claim
+                reduced = reduced._replace(seen=-1)  # an owner does not claim
             else:
                 reduced = reduced._replace(renewal=-1, written=False)
                 if not states.holds_lease(reduced):
-                    # It starts nothing any more, and no renewal can resume it.
+                    # It starts no more tasks, and no renewal can resume it.
                     reduced = reduced._replace(epoch=0)
             if not reduced.epoch:
                 reduced = states.without_partition_state(reduced)
--- a/spec/ownership_steps.py
+++ b/spec/ownership_steps.py
@@ -15,7 +15,7 @@
         self._bounds = bounds
 
     def steps(self, s: states.State, p: int) -> states.Steps:
-        """Return what process `p` may do about its ownership."""
+        """Return the renewal and claim steps of process `p`."""
         me, other = s.processes[p], s.processes[1 - p]
         if me.renewal < 0 and (me.epoch or s.owner == p):
             yield _step(s, p, "send renewal", renewal=0, written=False)
--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -1,11 +1,11 @@
 """Model of one job ID while the number of partitions changes.
 
-Each generation of the row maps the ID to one partition. Owners may be paused or
-replaced at any time: a step that no owner takes models a pause, and a replaced owner
-goes on with what it knows. A write under way takes effect, or fails, at any later time,
-and its answer arrives at any time after that. Ended work is handed over. The rules
-are those of `clearance`, `seal`, `handover` and `journal`, restated here, since these
-perform I/O; `ACTIONS` names them.
+Each generation of the layout row maps the ID to one partition. Owners may be paused or
+replaced at any time: a paused owner takes no step while others do, and a replaced owner
+goes on with the state that it has. A write in flight takes effect, or fails, at any
+later time, and its answer arrives at any time after that. Ended work is handed over.
+The rules are those of `clearance`, `seal`, `handover` and `journal`, restated here,
+since these perform I/O; `ACTIONS` maps each action to its implementation.
 """
 
 from __future__ import annotations
@@ -47,24 +47,26 @@
 class Rules:
     """Say which rules are in force; removing one must break an invariant."""
 
-    row_check: bool = True  # an acceptance checks the version of the row
+    row_check: bool = True  # an acceptance checks the version of the layout row
     ask_former: bool = True  # owners of former partitions are asked
-    settle_writes: bool = True  # a write under way is settled before an answer
+    settle_writes: bool = True  # a write in flight is settled before an answer
     ownership_check: bool = True  # the ownership row is read before an answer
-    generation_check: bool = True  # nobody answers under an older generation
-    forgetting_check: bool = True  # so does the record that forgets ended work
-    adopted_first: bool = True  # ended work is forgotten once it is durable elsewhere
+    generation_check: bool = True  # no owner answers under an older generation
+    forgetting_check: bool = True  # so does the record that removes ended work
+    adopted_first: bool = (
+        True  # ended work is removed only once it is durable elsewhere
+    )
 
 
 class Row(NamedTuple):
-    """Partition of the present number, and those of former ones."""
+    """Partition of the ID under the present number, and those under former ones."""
 
     present: int
     former: frozenset[int]
 
 
 class Write(NamedTuple):
-    """A write under way; `sender` is the partition that hands over, else -1."""
+    """A write in flight; `sender` is the index of the owner handing over, else -1."""
 
     generation: int
     written: bool
@@ -72,7 +74,11 @@
 
 
 class Owner(NamedTuple):
-    """An owner; `denied` holds who denied the ID under generation `asking`."""
+    """An owner; `view` is the generation of the row that it has read.
+
+    `sealed` is the generation under which its log is completely known, `denied` holds
+    the partitions that denied the ID under generation `asking`.
+    """
 
     epoch: int
     partition: int
@@ -89,7 +95,7 @@
     """The rows by generation, the logs with their epochs, and the owners."""
 
     rows: tuple[Row, ...]
-    empty: frozenset[int]  # partitions that said so under the last generation
+    empty: frozenset[int]  # partitions that reported so under the last generation
     logs: tuple[tuple[int, str], ...]
     owners: tuple[Owner, ...]
     acceptances: int
@@ -158,7 +164,7 @@
             yield "report empty", after._replace(empty=s.empty | {o.partition})
 
     def _seal(self, s: State, o: Owner) -> Owner | None:
-        """Return an owner that may deny the ID, if it may."""
+        """Return the owner sealed under its generation, or `None` if it cannot be."""
         if o.sealed == o.view:
             return o
         if self._rules.settle_writes and o.write is not None:
@@ -205,8 +211,8 @@
                 after = _allow_forgetting(after, write.sender, write.generation)
             yield "write answered", after
             return
-        # The check of an adoption breaks no invariant if it is removed: it keeps
-        # copies out of partitions that have said that they hold nothing.
+        # Without the check of an adoption no invariant breaks: the check keeps copies
+        # out of partitions that have reported that they hold nothing.
         checked = self._rules.row_check or write.sender >= 0
         epoch, held = s.logs[o.partition]
         if epoch != o.epoch or (checked and write.generation != len(s.rows) - 1):
@@ -252,7 +258,7 @@
         if len(s.owners) >= self._bounds.partitions + self._bounds.takeovers:
             return
         for p, (epoch, held) in enumerate(s.logs):
-            # Its process may not have read the row since the start.
+            # Its process may not have read the row since it started.
             new = Owner(epoch + 1, p, held, 0, -1, None, -1, frozenset(), -1)
             logs = (*s.logs[:p], (epoch + 1, held), *s.logs[p + 1 :])
             yield "take over", s._replace(logs=logs, owners=(*s.owners, new))
@@ -263,7 +269,7 @@
 
 
 def _allow_forgetting(s: State, index: int, generation: int) -> State:
-    """Let the sender of a handover forget what it sent, if it still has it."""
+    """Let the sender of a handover remove the work it sent, if it still has it."""
     sender = s.owners[index]
     if sender.known != ENDED:
         return s
--- a/spec/runs.py
+++ b/spec/runs.py
@@ -15,13 +15,13 @@
 )
 
 MAX_STATES = 2_000_000
-# The search for a counterexample may stop early: a violation found is a violation.
+# A search for a counterexample may be incomplete: each violation found is valid.
 REMOVAL_STATES = 60_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """Name the bounds and rules of one search.
+    """Bounds and rules of one search.
 
     `without` is the removed rule; then a property must be broken.
     """
--- a/spec/search.py
+++ b/spec/search.py
@@ -1,4 +1,4 @@
-"""Exhaustive search of a model, with what minicheck does not measure."""
+"""Exhaustive search by minicheck, with the depth, goals and an early stop added."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """Hold what a search has found; `broken` maps a property to the labels to it."""
+    """Result of a search; `broken` maps a property to the labels that break it."""
 
     states: int
     depth: int
@@ -93,7 +93,7 @@
     graph = Graph(protocol, is_forced if goals else None)
     if stop_early:
         _stop_early(protocol)
-    # The search only adds long-lived tuples; collections would scan all of them.
+    # The search only adds long-lived tuples, which garbage collections would scan.
     gc.disable()
     try:
         found = minicheck.check_safety(protocol, max_states=max_states)
@@ -105,7 +105,7 @@
         if each["holds"] is False
     }
     exhaustive = found["exhaustive"] and not (stop_early and broken)
-    # In a part of the space a state may seem stuck because its successors are missing.
+    # In an incomplete space a state may seem stuck since its successors are missing.
     if goals and exhaustive:
         for name, goal in goals.items():
             if (path := graph.stuck(goal)) is not None:
--- a/spec/states.py
+++ b/spec/states.py
@@ -1,4 +1,4 @@
-"""States, bounds and invariants of the model."""
+"""States, bounds and invariants of the ownership model."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from toucanspring import job
 from toucanspring.cell import ownership
 
-LEASE = 1  # units of time; a tenure holds while its age is below
-WORKER_LEASE = 2
+LEASE = 1  # units of time; an owner's lease is valid while its age is below
+WORKER_LEASE = 2  # units of time
 TIMING = ownership.Timing(lease_s=LEASE, promise_s=0, drift=0.0)
 IDEMPOTENT = {"I": True, "N": False}
 STARTING, RUNNING = job.State.STARTING, job.State.RUNNING
@@ -25,7 +25,7 @@
     epochs: int = 2
     attempts: int = 2
     restarts: int = 0  # of worker 0
-    tasks: str = "IN"  # the others are final from the start
+    tasks: str = "IN"  # other tasks are final in the initial state
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,14 +33,14 @@
     """Say which rules are in force; removing one must break an invariant."""
 
     fence: bool = True  # workers refuse lower epochs
-    takeover_wait: bool = True  # a claim waits for the owner's lease
-    intent_record: bool = True  # a start of N waits for its durable intent
-    restore_wait: bool = True  # restored work waits for all workers
+    takeover_wait: bool = True  # a claim waits until the owner's lease has expired
+    intent_record: bool = True  # a start of N waits until its intent is durable
+    restore_wait: bool = True  # restored tasks wait until all workers are settled
     lost_wait: bool = True  # a lost worker's lease must have expired
 
 
 class View(NamedTuple):
-    """What a process knows of a task; `worker` is 0 while none has it."""
+    """What a process knows of a task; `worker` is 0 while it has none."""
 
     state: str
     worker: int
@@ -49,7 +49,7 @@
 
 
 class Start(NamedTuple):
-    """A start message under way."""
+    """A start message in flight."""
 
     epoch: int
     task: str
@@ -66,19 +66,21 @@
 
 
 class Process(NamedTuple):
-    """A process; `epoch` is 0 while it does not believe to own the partition.
+    """A process; `epoch` is 0 while it does not act as the owner.
 
     `n` and `i` are its views of the tasks `N` and `I`.
     """
 
     epoch: int
     age: int  # since its last successful renewal was sent
-    renewal: int  # age of a renewal without answer; -1 for none
+    renewal: int  # age of the unanswered renewal; -1 for none
     written: bool  # whether that renewal has reached the store
-    seen: int  # age of the sighting of the other's counter; -1 if that has changed
+    seen: int  # time since it read the other's counter; -1 if that has changed
     attached: tuple[bool, ...]
     settled: tuple[bool, ...]  # attached or lost since the takeover
-    since_renewal: tuple[int, ...]  # since it last renewed each worker
+    since_renewal: tuple[
+        int, ...
+    ]  # time since it last renewed the lease of each worker
     n: View
     i: View
 
@@ -94,7 +96,7 @@
 
 
 class State(NamedTuple):
-    """The store, the processes, the workers and the starts under way."""
+    """The store, the processes, the workers and the starts in flight."""
 
     epoch: int
     owner: int
@@ -171,7 +173,7 @@
 
 
 def without_partition_state(me: Process) -> Process:
-    """Return a process without the memory of a partition it does not own."""
+    """Return a process without the state of a partition that it does not own."""
     count = len(me.attached)
     return me._replace(
         age=0,
--- a/spec/worker_steps.py
+++ b/spec/worker_steps.py
@@ -6,14 +6,14 @@
 
 
 class WorkerSteps:
-    """Enumerate what happens on workers."""
+    """Enumerate the steps of workers."""
 
     def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
 
     def deliver(self, s: states.State, start: states.Start) -> states.Steps:
-        """Return what may follow when a start reaches its worker."""
+        """Return the possible effects of a start message that reaches its worker."""
         epoch, task, number, w = start
         worker = s.workers[w]
         after = s._replace(starts=s.starts - {start})
@@ -44,7 +44,7 @@
                 )
 
     def local_steps(self, s: states.State, w: int) -> states.Steps:
-        """Return what may happen on worker `w` without a message."""
+        """Return the steps of worker `w` that need no message."""
         worker = s.workers[w]
         for entry in worker.running:
             ended = worker._replace(
--- a/test/test_spec.py
+++ b/test/test_spec.py
@@ -17,7 +17,7 @@
             self.assertGreater(result.depth, 20)
 
     def test_each_removed_rule_breaks_an_invariant(self):
-        # Guards against a model that could not notice the loss of a rule.
+        # Guards against a model that does not detect that a rule is missing.
         expected = {
             "fence": "a non-idempotent task starts at most once",
             "takeover_wait": "one owner at a time",
@@ -31,16 +31,16 @@
         self.assertEqual(expected.keys(), found.keys())
 
     def test_a_change_of_the_number_accepts_an_id_once_and_loses_none(self):
-        # Guards against rules of a change that the code states and nothing needs, and
-        # against an ID that two partitions accept or that none has any more.
+        # Guards against a model with rules that no invariant needs, and against an ID
+        # that two partitions accept or that is in no partition any more.
         result = runs.check(runs.Run(resizing.Bounds(takeovers=0)))
         self.assertTrue(result.proved, result.broken)
         for run in runs.RESIZING_REMOVALS:
             broken = runs.check(run).broken
             self.assertIn("an ID is accepted at most once", broken, run.without)
 
-    def test_a_task_runs_once_under_coordinators_that_come_and_go(self):
-        # Guards against a rule of the coordinator that is lost, or that nothing needs.
+    def test_a_task_runs_once_under_paused_and_replaced_coordinators(self):
+        # Guards against a coordinator that loses a rule, or a rule that is not needed.
         for run in runs.COORDINATION_SPACES:
             result = runs.check(run)
             self.assertTrue(result.proved, result.broken)
@@ -49,7 +49,7 @@
             self.assertNotEqual({}, runs.check(run).broken, run.without)
 
     def test_every_action_names_an_existing_implementation(self):
-        # Guards against a model of functions that were renamed or removed.
+        # Guards against actions whose functions were renamed or removed.
         seen = set()
         protocol = ownership_model.Model(
             states.Rules(), states.Bounds(tasks="N")
@@ -65,7 +65,7 @@
             found = {name for name in named if label.startswith(name)}
             self.assertNotEqual(set(), found, label)
             unseen -= found
-        self.assertEqual({"restart worker"}, unseen)  # outside of these bounds
+        self.assertEqual({"restart worker"}, unseen)  # not within these bounds
         for name in [
             *ownership_model.ACTIONS.values(),
             *resizing.ACTIONS.values(),
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -1,4 +1,4 @@
-"""Replay traces of the model of worker moves against the product."""
+"""Replay traces of the model of worker moves against the implementation."""
 
 import pkgutil
 import random
@@ -29,7 +29,7 @@
 
 
 class Link:
-    """Stand for the link to the worker; the trace says what happens to it."""
+    """Fake link to the worker, whose state is set by the trace."""
 
     def __init__(self, *_arguments):
         self.state = "open"
@@ -59,7 +59,7 @@
 
 
 class Owner:
-    """Run the product's fleet and mover for one ownership of a partition."""
+    """Run the services `fleet` and `mover` for one owner of a partition."""
 
     def __init__(self, shared, number, epoch, row_version):
         self.number, self.epoch, self.row_version = number, epoch, row_version
@@ -198,18 +198,18 @@
         self.patch(worker_link, "Link", Link)
 
     def walk(self, rng, bounds, steps):
-        """Return a random path through the model; moves are likelier than others."""
+        """Yield a random path through the model; transactions are chosen more often."""
         states = moves_model.Model(moves_states.Rules(), bounds)
         state = moves_states.initial(bounds)
         for _ in range(steps):
             found = states.transitions(state)
             if not found:
                 return
-            telling = [each for each in found if "transaction" in each[0]]
-            telling += [each for each in found if "resolve" in each[0]]
-            telling += [each for each in found if "answer lost" in each[0]]
-            if telling and rng.random() < 0.5:
-                found = telling
+            preferred = [each for each in found if "transaction" in each[0]]
+            preferred += [each for each in found if "resolve" in each[0]]
+            preferred += [each for each in found if "answer lost" in each[0]]
+            if preferred and rng.random() < 0.5:
+                found = preferred
             label, state = rng.choice(found)
             yield label, state
 
@@ -229,7 +229,7 @@
                 self.assertEqual(doubted, number in owner.mover._doubts, trace)
 
     def test_the_product_follows_the_traces_of_the_model(self):
-        # Guards against a model that proves properties of another protocol.
+        # Guards against a model that differs from the implemented protocol.
         bounds = moves_states.Bounds(epochs=(2, 2), versions=4, writes=True)
         kinds = set()
         for seed in range(300):
@@ -255,7 +255,7 @@
             self.assertGreater(result.states, 10_000)
 
     def test_each_removed_rule_breaks_a_property(self):
-        # Guards against a model that could not notice the loss of a rule.
+        # Guards against a model that does not detect that a rule is missing.
         unserved = "the worker is eventually attached to its owner"
         expected = {
             "ownership_check": unserved,
@@ -272,7 +272,7 @@
         self.assertEqual(expected.keys(), found.keys())
 
     def test_every_action_names_an_existing_implementation(self):
-        # Guards against a model of functions that were renamed or removed.
+        # Guards against actions whose functions were renamed or removed.
         for name in moves_model.ACTIONS.values():
             pkgutil.resolve_name(name)
         bounds = moves_states.Bounds(epochs=(2, 2), writes=True, drops=True)
@@ -282,6 +282,6 @@
                 named = {name for name in moves_model.ACTIONS if label.startswith(name)}
                 self.assertNotEqual(set(), named, label)
                 unseen -= named
-        # Without a removed rule nobody else drops workers, and no task runs on a
-        # worker that its owner does not count.
+        # With all rules in force only its owner drops a worker, and no task runs on a
+        # worker that its owner has given up.
         self.assertEqual({"drop by another", "orphan stops"}, unseen)
