--- a/scenarios/__init__.py
+++ b/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted scenarios with real processes, in a small language for operators."""
+"""Scripted fault scenarios that run real processes, in a small language."""
--- a/scenarios/actions.py
+++ b/scenarios/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a scenario; each method is named after its verb."""
+"""Runs the steps of a scenario; each method is named after its verb."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 DEFAULT_ANSWER_BYTES = 400
 # A stop hands over partitions and finishes requests, 30 s at most by the settings.
 STOP_LIMIT_S = 40.0
-# No bound is promised for the start of a whole cell.
+# The requirements set no limit for the start of a whole cell.
 FIRST_CLAIMS_S = 10.0
 
 
@@ -27,7 +27,7 @@
         self._names: dict[str, str] = {}
 
     def run_steps(self, steps: tuple[language.Step, ...]) -> None:
-        """Carry out steps; raises `language.ScenarioError` at the one that fails."""
+        """Run steps; raises `cell.StepFailed` at the one that fails."""
         for step in steps:
             self._run_step(step)
 
@@ -61,8 +61,8 @@
     def start_all(self) -> None:
         """Start all daemons and wait for the first claims of the partitions.
 
-        A key is tried with a look-up, which needs an owner: without the wait, 1.6 to
-        2.4 s of the 3 s in which a granted key must work went to the first claims.
+        A key is checked with a look-up, which needs an owner. Without this wait, the
+        first claims take 1.6 to 2.4 s of the 3 s in which a granted key must work.
         """
         self._cell.start_all()
         self.expect_owned(FIRST_CLAIMS_S)
@@ -119,7 +119,7 @@
     # Operators
 
     def apply(self, ceiling: language.Ceiling | None, daemon: str | None) -> None:
-        """Put the text into force."""
+        """Apply the configuration."""
         ceilings = {ceiling.team: ceiling.cpus} if ceiling else {}
         self._cell.apply(ceilings, self.resolve(daemon or ""))
 
@@ -130,7 +130,7 @@
         second: language.Ceiling,
         other: str,
     ) -> None:
-        """Put two texts into force at once; exactly one operator may succeed."""
+        """Apply two configurations at once; exactly one operator may succeed."""
         before = time.monotonic()
         sources = [
             cell.with_ceilings(self._cell.source, {each.team: each.cpus})
@@ -152,7 +152,7 @@
         kinds = sorted(reply.failure or "accepted" for reply in replies)
         if kinds != ["Conflict", "accepted"]:
             bodies = [reply.body[:200] for reply in replies]
-            raise cell.StepFailed(f"the operators were told {kinds}: {bodies}")
+            raise cell.StepFailed(f"the operators got {kinds}: {bodies}")
         won = 0 if not replies[0].failure else 1
         lost = replies[1 - won].error
         version = replies[won].json()["version"]
@@ -160,7 +160,7 @@
             version,
             self._cell.version,
         ):
-            raise cell.StepFailed(f"the conflict names other versions: {lost}")
+            raise cell.StepFailed(f"the conflict names unexpected versions: {lost}")
         self._cell.record_in_force(sources[won], version, before)
 
     def grant(self, team: str) -> None:
@@ -226,7 +226,7 @@
         load.start(callers)
 
     def finish(self, name: str) -> None:
-        """Stop a load and wait for what is under way."""
+        """Stop a load and wait for its pending calls."""
         self._cell.load(name).stop()
 
     def cancel(self, name: str) -> None:
@@ -234,5 +234,5 @@
         self._cell.jobs[name].cancel()
 
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Wait for a time in seconds."""
         gevent.sleep(seconds)
--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -1,4 +1,4 @@
-"""A running cell and everything that its operators and callers know about it."""
+"""A running cell, and what its operators and callers know about it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 WATCH_INTERVAL_S = 0.5
 OPERATOR_RETRY_LIMIT_S = 15.0
 RETRY_S = 0.1
-TASK_MS = 300
+TASK_MS = 300  # run time of tasks whose submission gives none
 _decode_partition = msgspec.msgpack.Decoder(ownership_rows.PartitionRow).decode
 
 
@@ -31,7 +31,7 @@
 
 
 class Cell:
-    """Hold the processes, the loads, and the facts for the judge."""
+    """Hold the processes, the loads, and the facts that the judge compares."""
 
     def __init__(self, running: cluster.Cluster, source: str, daemons: int) -> None:
         self.cluster = running
@@ -58,7 +58,7 @@
         self._version_watcher = gevent.spawn(self._watch_versions)
 
     def close(self) -> None:
-        """Stop to observe."""
+        """Stop watching the cell."""
         self._version_watcher.kill()
         self._tables.close()
 
@@ -91,7 +91,7 @@
         return row.process if row else ""
 
     def _watch_versions(self) -> None:
-        """Note each version of a document that goes back in a process."""
+        """Record each document version that decreases in a process."""
         while True:
             for name in self.http_client.active():
                 reply = self.operator_call("GET", "/v1/members", name, timeout_s=1.0)
@@ -121,7 +121,7 @@
     def retry_operator_call(
         self, method: str, path: str, body: object = None, daemon: str = "", **headers
     ) -> client.Reply:
-        """Make an operator's call until it succeeds; lost answers are repeated."""
+        """Repeat an operator's call until it succeeds, also after lost answers."""
         deadline = time.monotonic() + OPERATOR_RETRY_LIMIT_S
         while True:
             reply = self.operator_call(method, path, daemon, body, headers=headers)
@@ -135,7 +135,7 @@
             gevent.sleep(RETRY_S)
 
     def apply(self, ceilings: dict[str, int], daemon: str = "") -> None:
-        """Put the text, with other ceilings in processors, into force."""
+        """Apply the configuration with other ceilings, in processors."""
         before = time.monotonic()
         source = with_ceilings(self.source, ceilings)
         lost: list[str] = []
@@ -150,7 +150,7 @@
             if reply.status == 200:
                 version = reply.json()["version"]
                 break
-            # Another operator's text cannot be in force: scenarios have only one.
+            # The text in force can only be this one, as there is only one operator.
             if reply.failure == "Conflict" and lost:
                 version = reply.error["current_version"]
                 break
@@ -161,12 +161,12 @@
                 raise StepFailed(f"PUT /v1/config: {told}")
             if time.monotonic() > before + OPERATOR_RETRY_LIMIT_S:
                 raise StepFailed(f"PUT /v1/config: {told}")
-            print(f"  PUT /v1/config: {told}, repeated", flush=True)
+            print(f"  PUT /v1/config: {told}; retrying", flush=True)
             gevent.sleep(RETRY_S)
         self.record_in_force(source, version, before)
 
     def record_in_force(self, source: str, version: int, before: float) -> None:
-        """Note an accepted text; a lower ceiling counts from its acceptance."""
+        """Record an accepted text; a lower ceiling counts from its acceptance."""
         after = time.monotonic()
         known = {item.team: item.amount for item in self.ceilings}
         self.source = source
@@ -185,7 +185,7 @@
         self.keys[team] = loads.Key(granted["id"], team, granted["secret"])
 
     def explain_unfinished_jobs(self) -> list[str]:
-        """Return why some jobs without an outcome still wait."""
+        """Return the status and explanation of some jobs without an outcome."""
         found = []
         for each in self.jobs.values():
             for job_id in [j for j in each.accepted if j not in each.outcomes][:2]:
@@ -280,7 +280,7 @@
         """Return whether the tasks of a template start together."""
         return self.model.jobs[template].kind == "gang"
 
-    # Judgement
+    # Checks
 
     def finish(self, limit_s: float) -> None:
         """Stop all loads and wait for the outcomes of all accepted work."""
@@ -332,7 +332,7 @@
         )
 
     def problems(self) -> list[str]:
-        """Return what is wrong so far, apart from the judge's findings."""
+        """Return the problems so far, apart from the judge's findings."""
         every = (*self.jobs.values(), *self.requests.values())
         found = [problem for each in every for problem in each.problems]
         found += [
@@ -343,7 +343,7 @@
         return found + [f"reverted: {item}" for item in self.regressions]
 
     def judge(self) -> list[violations.Violation]:
-        """Check all records."""
+        """Check the records of all processes."""
         return judge.check(self.cluster.records(), self.known())
 
 
@@ -368,7 +368,7 @@
 def run(
     deployment: str, daemons: int, workers: int, executors: int, partitions: int
 ) -> Iterator[Cell]:
-    """Run the stand-ins of a cell; daemons start by a step."""
+    """Run the stand-ins of a cell; daemons are started by steps."""
     source = read_deployment(deployment)
     model = reader.parse(source)
     service = next(iter(model.services.values())).backend_servers
--- a/scenarios/client.py
+++ b/scenarios/client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the daemons, spread as the platform's balancer spreads them."""
+"""HTTP calls to the daemons, distributed as by the platform's load balancer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 TIMEOUT_S = 5.0
 CONNECT_ATTEMPTS = 40
 RETRY_S = 0.05
-# A balancer takes a VM out after failed health checks; until then callers reach it.
+# The load balancer routes calls to a VM until its health checks failed for this long.
 HEALTH_CHECK_S = 2.0
 
 
@@ -21,7 +21,7 @@
 class Reply(replies.Reply):
     """Hold an answer and where it came from.
 
-    `cut_off` tells a connection that broke from a caller that gave up waiting.
+    `cut_off` distinguishes a broken connection from a timeout of the caller.
     """
 
     cut_off: bool = False
@@ -33,8 +33,8 @@
     """Call daemons that are in service.
 
     `paused` maps a daemon to the time of its pause, `starting` holds the daemons that
-    were not ready yet, to which the balancer sends nobody, `stopping` those that end
-    gracefully.
+    were not ready yet, to which the load balancer sends no calls, `stopping` those that
+    shut down gracefully.
     """
 
     def __init__(self, running: cluster.Cluster, seed: int = 0) -> None:
@@ -46,7 +46,7 @@
         self.operator_key = running.operator_key
 
     def in_service(self) -> list[str]:
-        """Return the daemons that the balancer sends callers to."""
+        """Return the daemons to which the load balancer sends calls."""
         limit = time.monotonic() - HEALTH_CHECK_S
         return [
             name
@@ -71,7 +71,7 @@
         timeout_s: float = TIMEOUT_S,
         avoid: str = "",
     ) -> Reply:
-        """Call a daemon, or any but `avoid`; a refused connection is tried again."""
+        """Call a daemon, or any but `avoid`; a refused connection is retried."""
         sent = dict(headers or {})
         if key:
             sent["Authorization"] = f"Bearer {key}"
@@ -89,7 +89,7 @@
                 gevent.sleep(RETRY_S)
             except TimeoutError:
                 return Reply(0, daemon=name)
-            except Exception:  # http.client raises many kinds for a cut answer
+            except Exception:  # http.client raises many types for a truncated answer
                 stopping = name in self.stopping
                 return Reply(0, cut_off=True, daemon=name, while_stopping=stopping)
             else:
--- a/scenarios/expectations.py
+++ b/scenarios/expectations.py
@@ -1,4 +1,4 @@
-"""Checks what a scenario expects; a check raises `StepFailed` with what was seen."""
+"""Expectations of a scenario; a failed one raises `StepFailed` with what was seen."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
     def _wait_until_ok(
         self, within_s: float | None, find_problem: Callable[[], str]
     ) -> None:
-        """Repeat `find_problem`, which returns what is wrong, until nothing is.
+        """Repeat `find_problem` until it returns an empty text.
 
-        The time that was left is printed, since a check that holds in the last moment
-        fails on a slower machine.
+        The time taken is printed, since a check that holds only just in time fails on
+        a slower machine.
         """
         began = time.monotonic()
         deadline = began + (within_s or 0.0)
@@ -102,7 +102,7 @@
         self._wait_until_ok(within_s or judge.IN_FORCE_S, find_problem)
 
     def _try_key(self, team: str) -> dict[str, int]:
-        """Present the key of a team at each daemon, with a job ID unknown to all."""
+        """Look up an unknown job ID at each daemon with the key of a team."""
         secret = self._cell.keys[team].secret
         return {
             name: self._cell.http_client.call(
@@ -143,7 +143,7 @@
         self._wait_until_ok(within_s, find_problem)
 
     def expect_no_former(self, within_s: float) -> None:
-        """Check that no former number of partitions holds work any more."""
+        """Check that all work of former numbers of partitions has ended or moved."""
 
         def find_problem() -> str:
             found = self._cell.read_layout()
@@ -163,7 +163,7 @@
         self._wait_until_ok(within_s, find_problem)
 
     def expect_no_start(self, zone: str) -> None:
-        """Check that nothing started in a zone later than 3 s after it was out."""
+        """Check that no task started in a zone more than 3 s after it was taken out."""
         since = self._cell.zones_out[zone] + judge.IN_FORCE_S
         self._cell.history.refresh()
         late = [
@@ -175,7 +175,7 @@
             raise cell.StepFailed(f"{len(late)} starts, such as {late[:MAX_SHOWN]}")
 
     def expect_nothing_lost(self) -> None:
-        """Wait for all accepted work; each piece has an outcome then."""
+        """Check that all accepted work gets an outcome in time."""
         self._cell.finish(self.finish_within_s)
         lost = [problem for problem in self._cell.problems() if "lost" in problem]
         if lost:
@@ -184,7 +184,7 @@
     finish_within_s = 40.0
 
     def expect_invariants(self) -> None:
-        """Let the judge check all records so far, apart from unfinished work."""
+        """Check all records so far with the judge, except for unfinished work."""
         found = [
             item
             for item in self._cell.judge()
--- a/scenarios/fault_steps.py
+++ b/scenarios/fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps that let the store, workers, backend servers and the VM list fail."""
+"""Steps that inject faults into the store, workers, backend servers and VM list."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
         self._changed_at: dict[str, float] = {}
 
     def cut_store(self, daemon: str) -> None:
-        """Hang up on a daemon's calls of the table service and the object store."""
+        """Break the connections of a daemon to the table service and object store."""
         self._blocked_daemons.append(self.resolve(daemon))
         self._set_blocked()
 
     def heal_store(self, daemon: str) -> None:
-        """Serve a daemon again."""
+        """Serve the calls of a daemon to the store again."""
         self._blocked_daemons.remove(self.resolve(daemon))
         self._set_blocked()
 
@@ -110,7 +110,7 @@
             )
 
     def lose(self, place: language.Place, seconds: float | None) -> None:
-        """End workers with their tasks, for good or for a time."""
+        """End workers and their tasks, permanently or for a time."""
         back = None if seconds is None else seconds * 1000
         self._set_workers(place, die=True, return_after_ms=back)
 
@@ -119,7 +119,7 @@
         self._set_workers(place, revive=True)
 
     def fail_tasks(self, place: language.Place) -> None:
-        """Let each new task on these workers fail."""
+        """Make each new task on these workers fail."""
         self._set_workers(place, fail_all=True)
 
     def mend(self, place: language.Place) -> None:
@@ -170,10 +170,10 @@
     def expect_event(
         self, kind: str, about: language.Subject | language.Place, within_s: float
     ) -> None:
-        """Check that the record of the cell names each worker, or the subject."""
+        """Check that events of the cell name each worker, or the subject."""
         match about:
             case language.Subject(kind="process"):
-                # Each process may tell of itself, or of the former owner.
+                # An event names the process itself or, for a claim, the former owner.
                 field = "former" if kind == "partition_claimed" else "process"
                 subjects = [f"{field}:{self.resolve(about.name)}"]
             case language.Subject():
@@ -209,15 +209,15 @@
         self._set_executors(number, down=True)
 
     def revive_executor(self, number: int) -> None:
-        """Serve again."""
+        """Accept connections to a backend server again."""
         self._set_executors(number, down=False)
 
     def answers_late(self, seconds: float) -> None:
-        """Delay the answers of all backend servers after the work."""
+        """Delay the answers of all backend servers after the work is done."""
         self._set_executors(answer_delay_ms=seconds * 1000)
 
     def answers_cut(self, count: int) -> None:
-        """End that many answers of each backend server in the middle."""
+        """Truncate that many answers of each backend server."""
         self._set_executors(cut_answers=count)
 
     def answers_large(self, size: int) -> None:
--- a/scenarios/history.py
+++ b/scenarios/history.py
@@ -1,4 +1,4 @@
-"""What the workers recorded so far, fetched in parts."""
+"""Starts and ends of tasks that the workers recorded, fetched incrementally."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     @property
     def attempts(self) -> list[executions.Attempt]:
-        """Return the attempts that were started, in the order of time."""
+        """Return the attempts that were started, in the order of their starts."""
         return self._attempts.started
 
     def refresh(self) -> None:
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -1,4 +1,4 @@
-"""Reads the text of a scenario into steps, and says what was expected instead."""
+"""Parses scenarios into steps; errors say what was expected."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """Hold one statement: its verb, its values in order, and the steps inside."""
+    """Hold one statement: its verb, its values in order, and its nested steps."""
 
     verb: str
     line: int
--- a/scenarios/loads.py
+++ b/scenarios/loads.py
@@ -1,4 +1,4 @@
-"""Jobs and requests of callers, who follow each one to its outcome."""
+"""Loads of jobs and requests, whose callers follow each one to its outcome."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from scenarios import client
 from standins import backend_servers, facts
 
-# Refusals that promise that the work did not run and will not.
+# Failures that guarantee that the work did not run and will not.
 NOT_RUN = frozenset(
     {"NotRun", "Overloaded", "Unavailable", "StoreUnavailable", "Forbidden", "Invalid"}
 )
-# Refusals after which a caller may try another entry VM.
+# Failures after which a caller may try another entry VM.
 RETRIED = frozenset({"NotRun", "Overloaded", "Unavailable", "StoreUnavailable"})
 RETRY_S = 0.2
-# A caller asks again for a lost answer or an unknown outcome for this long.
+# A caller repeats calls with a lost answer or an unknown outcome for this long.
 FOLLOW_UP_LIMIT_S = 40.0
 UNKNOWN_ATTEMPTS = 6
 JOBS_PER_CALL = 200
 LOOKUP_CONCURRENCY = 8
-KEPT_ANSWER_BYTES = 1000
+KEPT_ANSWER_BYTES = 1000  # longer answers are kept only if they are wrong
 CALLER_PAUSE_S = 0.02
 MAX_REASON_CHARACTERS = 90
 CANCEL_ATTEMPTS = 20
@@ -53,16 +53,16 @@
     greenlets: list[gevent.Greenlet] = dataclasses.field(default_factory=list)
 
     def spawn(self, function, *args: object) -> None:
-        """Run a part of the load until `stop`."""
+        """Run a part of the load in a greenlet until `stop`."""
         self.greenlets.append(gevent.spawn(function, *args))
 
     def stop(self) -> None:
-        """Send nothing more and wait for what is under way."""
+        """Send nothing more and wait for pending calls."""
         self.stopping = True
         gevent.joinall(self.greenlets, raise_error=True)
 
     def record_key_use(self, key: Key, sent_at: float) -> None:
-        """Note that work was accepted with a key."""
+        """Record that work was accepted with a key."""
         if key.id:
             self.key_uses.append(facts.KeyUse(key.id, sent_at))
 
@@ -99,7 +99,7 @@
             gevent.sleep(due - time.monotonic())
 
     def _submit(self, items: list[dict], tasks: int, daemon: str) -> None:
-        """Submit until each job is accepted or refused; the IDs make it repeatable."""
+        """Submit until each job is accepted or refused; the IDs make repeats safe."""
         self.counts["submitted"] += len(items)
         deadline = time.monotonic() + FOLLOW_UP_LIMIT_S
         maybe_accepted: set[str] = set()
@@ -159,7 +159,7 @@
         )
 
     def cancel(self) -> None:
-        """Cancel all accepted jobs; a lost answer is repeated."""
+        """Cancel all accepted jobs; repeats calls with lost answers."""
         ids = list(self.accepted)
 
         def send(part: list[str]) -> None:
@@ -179,7 +179,7 @@
         gevent.joinall([gevent.spawn(send, part) for part in parts], raise_error=True)
 
     def refresh(self) -> None:
-        """Ask for the outcomes of the jobs that had none yet."""
+        """Look up the outcomes of the jobs that had none yet."""
         open_ids = [job_id for job_id in self.accepted if job_id not in self.outcomes]
         pool.Pool(LOOKUP_CONCURRENCY).map(self._look_up, open_ids)
 
@@ -367,7 +367,7 @@
         return self.counts[state]
 
     def total(self, state: str) -> int:
-        """Return the number that `all` stands for: what has been answered for."""
+        """Return the number that `all` stands for: requests in a final state."""
         states = ("done", "not_run", "unknown", "lost", "given_up")
         return sum(self.counts[each] for each in states)
 
--- a/scenarios/names.py
+++ b/scenarios/names.py
@@ -37,7 +37,7 @@
 
 
 def check(scenario: language.Scenario) -> None:
-    """Raise `ScenarioError` at the first name that the scenario does not have."""
+    """Raise `ScenarioError` for the first name that is not defined."""
     deployment = scenario.settings["deployment"]
     if deployment not in DEPLOYMENTS:
         raise language.ScenarioError(
--- a/scenarios/report.py
+++ b/scenarios/report.py
@@ -1,4 +1,4 @@
-"""Runs one scenario from start to end and prints what happened."""
+"""Runs one scenario and prints its progress and problems."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def run_steps(scenario: language.Scenario, running: cell.Cell, print_line) -> list[str]:
-    """Play all steps and judge the records; return what is wrong."""
+    """Run all steps and check the records; return the problems."""
     runner = actions.StepRunner(running, print_line)
     runner.finish_within_s = scenario.settings["finish_within"]
     problems = []
--- a/spec/moves_states.py
+++ b/spec/moves_states.py
@@ -141,7 +141,7 @@
 
 
 def is_served(s: State) -> bool:
-    """Return whether the worker is attached to the owner that the row names."""
+    """Return whether the worker is attached to the owner of the row's partition."""
     p = s.rows[-1]
     if p == UNASSIGNED:
         return False
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -1,4 +1,4 @@
-"""Shows that expectations and the judgement of a scenario can fail."""
+"""Tests that expectations and the checks of the records can fail."""
 
 import collections
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 class FakeHttpClient:
-    """Answers calls with prepared replies; the last one is repeated."""
+    """Answer calls with prepared replies; the last one is repeated."""
 
     operator_key = "operator"
 
@@ -61,7 +61,8 @@
         self.assertIsInstance(violation, violations.WrongAnswer)
 
     def test_a_refusal_after_a_lost_answer_is_no_proof_that_it_did_not_run(self):
-        # Otherwise the judge would blame a refusal of the second attempt only.
+        # The refusal covers only the second attempt: with the request recorded as not
+        # run, the judge would report the run of the first attempt.
         answer = client.Reply(200, b"x")
         load, state = self.send(
             client.Reply(0, cut_off=True), reply(503, refusal("NotRun")), answer
@@ -70,7 +71,7 @@
         self.assertEqual(set(), load.not_run)
         self.assertEqual(1, load.counts["interrupted"])
 
-    def test_a_first_refusal_is_a_promise(self):
+    def test_a_first_refusal_guarantees_that_the_request_did_not_run(self):
         load, state = self.send(reply(503, refusal("NotRun")))
         self.assertEqual("not_run", state)
         self.assertEqual({"r-1"}, load.not_run)
@@ -143,7 +144,7 @@
 
 
 class CellTest(testtools.TestCase):
-    """Uses a cell without processes."""
+    """Use a cell without processes."""
 
     def setUp(self):
         super().setUp()
--- a/test/test_scenario_language.py
+++ b/test/test_scenario_language.py
@@ -134,7 +134,7 @@
         self.assertIn("a name", failed.expected)
 
     def test_names_that_the_cell_does_not_have(self):
-        # Guards against a misspelt name that makes an expectation hold for nothing.
+        # Guards against a misspelt name with which an expectation checks nothing.
         submit = "submit 1 jobs as proofs from proof-rendering"
         for line, kind, expected in (
             ("pause entry-4", "daemon entry-4", "entry-3"),
@@ -180,7 +180,7 @@
 
 class AmountTest(testtools.TestCase):
     def test_all_of_nothing_does_not_hold(self):
-        # Guards against an expectation that passes since no work was accepted.
+        # Guards against an expectation that passes although no work was accepted.
         self.assertFalse(language.Amount("all").holds(0, 0))
         self.assertTrue(language.Amount("all").holds(3, 3))
         self.assertFalse(language.Amount("all").holds(2, 3))
