--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -154,14 +154,14 @@
             if reply.failure == "Conflict" and lost:
                 version = reply.error["current_version"]
                 break
-            told = f"{reply.status} {reply.body[:300]!r}"
+            reply_text = f"{reply.status} {reply.body[:300]!r}"
             if reply.status == 0 or reply.failure in ("Ambiguous", "Unknown"):
-                lost.append(told)
+                lost.append(reply_text)
             elif reply.status < 500:
-                raise StepFailed(f"PUT /v1/config: {told}")
+                raise StepFailed(f"PUT /v1/config: {reply_text}")
             if time.monotonic() > before + OPERATOR_RETRY_LIMIT_S:
-                raise StepFailed(f"PUT /v1/config: {told}")
-            print(f"  PUT /v1/config: {told}; retrying", flush=True)
+                raise StepFailed(f"PUT /v1/config: {reply_text}")
+            print(f"  PUT /v1/config: {reply_text}; retrying", flush=True)
             gevent.sleep(RETRY_S)
         self.record_in_force(source, version, before)
 
--- a/scenarios/loads.py
+++ b/scenarios/loads.py
@@ -221,10 +221,10 @@
 def _failures(reply: client.Reply, items: list[dict]) -> list[str]:
     """Return the type of the failure of each job; empty for an accepted one."""
     if reply.status in (202, 207) or (reply.status >= 400 and _has_jobs(reply)):
-        told = {item["id"]: item.get("error") for item in reply.json()["jobs"]}
+        errors_by_id = {item["id"]: item.get("error") for item in reply.json()["jobs"]}
         found = []
         for item in items:
-            error = told.get(item["id"], {"type": "Ambiguous"})
+            error = errors_by_id.get(item["id"], {"type": "Ambiguous"})
             found.append(str(error["type"]) if error else "")
         return found
     return [reply.failure or "Ambiguous"] * len(items)
--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -147,8 +147,8 @@
                 yield self._write(s, index, coordinator)
         for version, record in s.duplicates:
             if version == s.version:
-                copied = s._replace(record=record, duplicates=frozenset())
-                yield "delayed duplicate", copied
+                overwritten = s._replace(record=record, duplicates=frozenset())
+                yield "delayed duplicate", overwritten
         yield from self._worker_steps(s)
 
     def _decide(self, s: State, index: int, c: Coordinator) -> Steps:
@@ -170,8 +170,8 @@
             sent = _with_coordinator(s, index, c._replace(placing=False))
             yield "order", sent._replace(orders=s.orders | {order})
         if free and record.worker != NO_WORKER and self._may_mark_lost(s, c):
-            gone = c._replace(record=record._replace(worker=NO_WORKER))
-            yield "mark lost", _with_coordinator(s, index, gone)
+            rescheduled = c._replace(record=record._replace(worker=NO_WORKER))
+            yield "mark lost", _with_coordinator(s, index, rescheduled)
 
     def _may_mark_lost(self, s: State, c: Coordinator) -> bool:
         """Return whether the rules in force allow to give up the worker of the task."""
@@ -237,13 +237,13 @@
         for order in s.orders:
             epoch, run, name = order
             worker = s.workers[name]
-            left = s._replace(orders=s.orders - {order})
+            remaining = s._replace(orders=s.orders - {order})
             fenced = self._rules.fence and epoch < worker.epoch
             if fenced or run <= worker.highest:
-                yield "order arrives", left
+                yield "order arrives", remaining
                 continue
             started = Worker(max(epoch, worker.epoch), run, worker.ended, run)
-            yield "order arrives", _with_worker(left, name, started)
+            yield "order arrives", _with_worker(remaining, name, started)
         for name, worker in enumerate(s.workers):
             if not worker.running:
                 continue
@@ -251,8 +251,8 @@
             yield "task ends", _with_worker(s, name, ended)
             # An order carries a lease, so the orders in flight have expired as well.
             kept = frozenset(order for order in s.orders if order[2] != name)
-            lapsed = _with_worker(s, name, worker._replace(running=0))
-            yield "worker lease expires", lapsed._replace(orders=kept)
+            expired_worker = _with_worker(s, name, worker._replace(running=0))
+            yield "worker lease expires", expired_worker._replace(orders=kept)
 
 
 def _with_coordinator(s: State, index: int, changed: Coordinator) -> State:
--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -133,12 +133,15 @@
         self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
     ) -> moves_states.Steps:
         if e < self._bounds.epochs[p]:
-            dead = s._replace(
+            without_starts = s._replace(
                 starts=frozenset(
                     x for x in s.starts if (x.partition, x.epoch) != (p, e)
                 )
             )
-            yield f"owner dies {p}.{e}", moves_states.with_owner(dead, p, e, None)
+            yield (
+                f"owner dies {p}.{e}",
+                moves_states.with_owner(without_starts, p, e, None),
+            )
             if me.holds:
                 ended = me._replace(holds=False)
                 yield f"ownership ends {p}.{e}", moves_states.with_owner(s, p, e, ended)
--- a/spec/moves_worker_steps.py
+++ b/spec/moves_worker_steps.py
@@ -52,8 +52,13 @@
             return moves_states.with_owner(s._replace(**fields), p, e, owner)
 
         worker = s.worker
-        broken = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
-        yield f"stream breaks {p}.{e}", then(me._replace(link="open"), starts=broken)
+        remaining_starts = frozenset(
+            x for x in s.starts if (x.partition, x.epoch) != (p, e)
+        )
+        yield (
+            f"stream breaks {p}.{e}",
+            then(me._replace(link="open"), starts=remaining_starts),
+        )
         if worker.lease or me.since_renewal:
             renewed = worker._replace(lease=0)
             yield f"renew {p}.{e}", then(me._replace(since_renewal=0), worker=renewed)
@@ -88,8 +93,8 @@
             for own in s.owners
         )
         epochs = tuple(e if q == p else x for q, x in enumerate(worker.epochs))
-        there = moves_states.running_or_stopping(worker) | worker.ended
-        known = {number for q, number in there if q == p}
+        known_entries = moves_states.running_or_stopping(worker) | worker.ended
+        known = {number for q, number in known_entries if q == p}
         if me.task == "held":
             if known:
                 me = me._replace(task="worker", attempt=max(known))
--- a/spec/owner_steps.py
+++ b/spec/owner_steps.py
@@ -22,8 +22,8 @@
             if me.since_renewal[w] >= states.WORKER_LEASE or not self._rules.lost_wait:
                 yield from self._lose(s, p, w)
             return
-        broken = me._replace(attached=states.with_item(me.attached, w, False))
-        yield f"stream breaks between {p} and {w}", states.with_process(s, p, broken)
+        detached = me._replace(attached=states.with_item(me.attached, w, False))
+        yield f"stream breaks between {p} and {w}", states.with_process(s, p, detached)
         if me.epoch < worker.epoch:
             return
         if worker.lease or me.since_renewal[w]:
@@ -70,8 +70,8 @@
             elif mine and view.attempt in attempts:
                 view = states.View(states.RUNNING, w, view.attempt, worker.incarnation)
             elif mine:
-                view, gone = self._absent(view, worker)
-                lost += [task] if gone else []
+                view, is_lost = self._absent(view, worker)
+                lost += [task] if is_lost else []
             if not (view.state is states.RUNNING and view.worker == w):
                 # No record refers to the attempt, so the worker is told to stop it.
                 ended = frozenset(entry for entry in ended if entry[0] != task)
--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -251,8 +251,11 @@
         if not owned or (self._rules.forgetting_check and o.may_forget != last):
             yield "forgetting fails", _with_owner(s, index, o._replace(may_forget=-1))
         else:
-            gone = o._replace(known=NONE, may_forget=-1)
-            yield "forget", _with_log(_with_owner(s, index, gone), o.partition, NONE)
+            forgotten = o._replace(known=NONE, may_forget=-1)
+            yield (
+                "forget",
+                _with_log(_with_owner(s, index, forgotten), o.partition, NONE),
+            )
 
     def _take_over(self, s: State) -> Steps:
         if len(s.owners) >= self._bounds.partitions + self._bounds.takeovers:
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -121,7 +121,7 @@
         if version not in self.versions:
             self.versions.append(version)
 
-    def place(self):
+    def assigned_partition(self):
         found = roster.Roster()
         found.take(self.shared.rows[ROW], 0)
         return found.partitions["w"]
@@ -139,7 +139,7 @@
         if label.startswith("claim"):
             self.claim(int(label[-1]))
         if label == "other write":
-            self.write({"w": self.place()})
+            self.write({"w": self.assigned_partition()})
         found = re.search(r"^([a-z ]+?)(?: of| by)? (\d)\.(\d)(.*)$", label)
         if not found:
             return
@@ -214,7 +214,7 @@
             yield label, state
 
     def compare(self, replay, state, trace):
-        self.assertEqual(state.rows[-1], replay.place(), trace)
+        self.assertEqual(state.rows[-1], replay.assigned_partition(), trace)
         self.assertEqual(len(state.rows), len(replay.versions), trace)
         for number, own in enumerate(state.owners):
             for epoch, me in enumerate(own, 1):
