--- a/scenarios/loads.py
+++ b/scenarios/loads.py
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """Count what callers sent and what they were told, by state."""
+    """Count what callers sent and which outcomes they got, by state."""
 
     name: str
     counts: collections.Counter[str] = dataclasses.field(
--- a/spec/coordination.py
+++ b/spec/coordination.py
@@ -53,9 +53,7 @@
     fence: bool = True  # workers refuse lower epochs
     durable_end: bool = True  # an end is acknowledged only once it is durable
     lease_wait: bool = True  # a worker is lost only once its lease has expired
-    expiry: bool = (
-        True  # a coordinator without the leader lease soon stops giving orders
-    )
+    expiry: bool = True  # without its lease a coordinator soon stops giving orders
 
 
 class Record(NamedTuple):
--- a/spec/resizing.py
+++ b/spec/resizing.py
@@ -52,10 +52,8 @@
     settle_writes: bool = True  # a write in flight is settled before an answer
     ownership_check: bool = True  # the ownership row is read before an answer
     generation_check: bool = True  # no owner answers under an older generation
-    forgetting_check: bool = True  # so does the record that removes ended work
-    adopted_first: bool = (
-        True  # ended work is removed only once it is durable elsewhere
-    )
+    forgetting_check: bool = True  # the removal of ended work checks the row as well
+    adopted_first: bool = True  # ended work is removed only once durable elsewhere
 
 
 class Row(NamedTuple):
--- a/spec/states.py
+++ b/spec/states.py
@@ -9,7 +9,7 @@
 from toucanspring import job
 from toucanspring.cell import ownership
 
-LEASE = 1  # units of time; an owner's lease is valid while its age is below
+LEASE = 1  # units of time; an owner's lease is valid while its age is below this
 WORKER_LEASE = 2  # units of time
 TIMING = ownership.Timing(lease_s=LEASE, promise_s=0, drift=0.0)
 IDEMPOTENT = {"I": True, "N": False}
@@ -78,9 +78,7 @@
     seen: int  # time since it read the other's counter; -1 if that has changed
     attached: tuple[bool, ...]
     settled: tuple[bool, ...]  # attached or lost since the takeover
-    since_renewal: tuple[
-        int, ...
-    ]  # time since it last renewed the lease of each worker
+    since_renewal: tuple[int, ...]  # since it last renewed each worker's lease
     n: View
     i: View
 
