--- a/bench/faults.py
+++ b/bench/faults.py
@@ -20,7 +20,7 @@
 import defopt  # noqa: E402
 import gevent  # noqa: E402
 
-from scenarios import actions, cell, disturbances, language, loads  # noqa: E402
+from scenarios import actions, cell, fault_steps, language, loads  # noqa: E402
 from standins import violations  # noqa: E402
 
 DAEMONS = 5
@@ -90,7 +90,7 @@
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
         self.cell = running
         self.rng = rng
-        self.player = actions.Player(running, lambda line: None)
+        self.player = actions.StepRunner(running, lambda line: None)
         self.busy: set[str] = set()
         self.changing = False
         self.began: collections.Counter[str] = collections.Counter()
@@ -161,7 +161,7 @@
 
 def lose_answers(mix: Mix) -> Iterator[None]:
     """Lose answers to writes of one kind."""
-    document = mix.rng.choice(sorted(disturbances.ROW_PREFIXES))
+    document = mix.rng.choice(sorted(fault_steps.ROW_PREFIXES))
     mix.player.lose_writes(mix.rng.randint(1, 3), document)
     yield
 
@@ -183,11 +183,11 @@
 
 def take_zone(mix: Mix) -> Iterator[None]:
     """Take a zone out of service and return it."""
-    if mix.cell.out:
+    if mix.cell.zones_out:
         yield
         return
     zone = mix.rng.choice(sorted(mix.cell.model.availability_zones))
-    mix.cell.out[zone] = float("inf")  # not another one meanwhile
+    mix.cell.zones_out[zone] = float("inf")  # not another one meanwhile
     mix.player.zone_out(zone)
     yield
     mix.player.zone_in(zone)
@@ -257,7 +257,7 @@
     return chosen
 
 
-def start_load(running: cell.Cell, player: actions.Player) -> None:
+def start_load(running: cell.Cell, player: actions.StepRunner) -> None:
     """Start all kinds of work."""
     load = TEMPLATES[running.model.name]
     jobs = running.model.jobs
@@ -310,7 +310,7 @@
     result |= dict.fromkeys(MUST_BE_ZERO, 0)
     result["lost"] = sum(each.count("lost") for each in loads)
     result["cut_off"] = sum(each.counts["cut_off_by_stop"] for each in loads)
-    result["config_reverts"] = len(running.reverts)
+    result["config_reverts"] = len(running.regressions)
     others = 0
     found = running.judge()
     for violation in found:
@@ -323,7 +323,11 @@
             result[COUNTED[kind]] += 1
         else:
             others += 1
-    for line in [*found[:8], *running.problems()[:8], *running.explain_lost()[:4]]:
+    for line in [
+        *found[:8],
+        *running.problems()[:8],
+        *running.explain_unfinished_jobs()[:4],
+    ]:
         print(str(line)[:500])
     if others:
         print(f"{others} other violations")
@@ -337,7 +341,7 @@
     :param seed: Seed of the choice of faults; odd seeds run the first deployment.
     """
     began = time.monotonic()
-    loads.FOLLOW_S = FOLLOW_S
+    loads.FOLLOW_UP_LIMIT_S = FOLLOW_S
     deployment = sorted(TEMPLATES)[(seed + 1) % 2]
     with cell.run(deployment, DAEMONS, WORKERS, EXECUTORS, 3) as running:
         result = run(running, seed, began)
