--- a/spec/moves_model.py
+++ b/spec/moves_model.py
@@ -1,19 +1,19 @@
 """Transitions of the model of worker moves.
 
 Two partitions share one worker that can move; each has one idempotent task, which may
-run there or on a worker of its own that never moves. `model.py` covers leases of
-ownership by time; here an ownership ends in one step, and a claim needs that step.
-A pause is any order in which an owner takes no step while others go on.
+run there or on a worker of its own that never moves. `ownership_model.py` covers
+ownership leases in time; here an ownership ends in one step, which a claim requires. A
+paused owner takes no step while others do.
 """
 
 from __future__ import annotations
 
 import minicheck
 
-from spec import moves_hosting, moves_world
+from spec import moves_states, moves_worker_steps
 from toucanspring.owners import recovery, roster
 
-# Action -> the function of the product that implements it.
+# Action -> the function that implements it.
 ACTIONS = {
     "time passes": "toucanspring.owners.worker_link.Link",
     "ownership ends": "toucanspring.cell.ownership.lease_state",
@@ -26,8 +26,8 @@
     "renew": "toucanspring.owners.worker_link.Link",
     "lose": "toucanspring.owners.recovery.handle_lost_worker",
     "start on worker": "toucanspring.scheduling.lifecycle.Lifecycle.start",
-    "start at home": "toucanspring.scheduling.lifecycle.Lifecycle.start",
-    "end at home": "toucanspring.scheduling.attempt.report",
+    "start on fixed worker": "toucanspring.scheduling.lifecycle.Lifecycle.start",
+    "end on fixed worker": "toucanspring.scheduling.attempt.report",
     "report": "toucanspring.scheduling.attempt.report",
     "plan move": "toucanspring.scheduling.move_planner.MovePlanner.plan",
     "plan drop": "toucanspring.owners.fleet.Service",
@@ -43,7 +43,7 @@
     "task ends": "standins.worker.Worker",
     "orphan stops": "toucanspring.owners.recovery.attach",
 }
-# Steps that nothing forces: faults, and moves that need not be made.
+# Steps that may never be taken: faults, and moves that are optional.
 UNFORCED = (
     "ownership ends",
     "owner dies",
@@ -55,7 +55,7 @@
 )
 
 
-def is_forced(label: str, s: moves_world.State) -> bool:
+def is_forced(label: str, s: moves_states.State) -> bool:
     """Return whether a step belongs to a run without further faults."""
     if label == "time passes":
         # An owner that has the worker renews its lease, so time alone changes nothing.
@@ -65,7 +65,7 @@
     return not label.startswith(UNFORCED) and "answer lost" not in label
 
 
-class Model(moves_hosting.Hosting):
+class Model(moves_worker_steps.WorkerSteps):
     """Enumerate the transitions under some rules and bounds."""
 
     def protocol(self) -> minicheck.Protocol:
@@ -73,13 +73,15 @@
         return minicheck.Protocol(
             name="moves",
             candidate=False,
-            fields=moves_world.State._fields,
-            initial=moves_world.initial(self._bounds),
+            fields=moves_states.State._fields,
+            initial=moves_states.initial(self._bounds),
             transitions=self.transitions,
-            invariants=moves_world.INVARIANTS,
+            invariants=moves_states.INVARIANTS,
         )
 
-    def transitions(self, s: moves_world.State) -> list[tuple[str, moves_world.State]]:
+    def transitions(
+        self, s: moves_states.State
+    ) -> list[tuple[str, moves_states.State]]:
         """Return all labelled successors of a state."""
         found = [("time passes", _pass_time(s))]
         for p in (0, 1):
@@ -89,17 +91,17 @@
                     if me.holds and me.link == "attached":
                         after = _renew_in_time(s, p, e)
                         found.append(("time passes, lease renewed", after))
-                    found += self._own(s, p, e, me)
-        found += self.host(s)
+                    found += self._owner_steps(s, p, e, me)
+        found += self.worker_events(s)
         for write in s.writes:
             found += self._deliver(s, write)
         found += self._write_others(s)
         found = [(label, self._reduce(after)) for label, after in found]
         return [(label, after) for label, after in found if after != s]
 
-    def _reduce(self, s: moves_world.State) -> moves_world.State:
-        """Drop what can no longer have an effect, which keeps the space small."""
-        s = _forget(s)
+    def _reduce(self, s: moves_states.State) -> moves_states.State:
+        """Drop state that can no longer have an effect, which keeps the space small."""
+        s = _reduce_ended(s)
         last = len(s.rows) - 1
         writes = frozenset(
             each
@@ -109,84 +111,87 @@
                 each.epoch == s.epochs[each.partition]
                 or not self._rules.ownership_check
             )
-            or _awaits(s.owners[each.partition][each.epoch - 1], each)
+            or _awaits_answer(s.owners[each.partition][each.epoch - 1], each)
         )
         return s if len(writes) == len(s.writes) else s._replace(writes=writes)
 
     # Ownership
 
-    def _claim(self, s: moves_world.State, p: int) -> moves_world.Steps:
+    def _claim(self, s: moves_states.State, p: int) -> moves_states.Steps:
         former = s.owners[p][-1]
         if s.epochs[p] == self._bounds.epochs[p] or (former and former.holds):
             return
         epochs = tuple(e + (q == p) for q, e in enumerate(s.epochs))
-        fresh = moves_world.Owner(
-            True, moves_world.UNLOADED, "none", 0, None, "held", 1
+        fresh = moves_states.Owner(
+            True, moves_states.UNLOADED, "none", 0, None, "held", 1
         )
         owners = list(s.owners)
         owners[p] = (*owners[p], fresh)
         yield f"claim {p}", s._replace(epochs=epochs, owners=tuple(owners))
 
-    def _own(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+    def _owner_steps(
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         if e < self._bounds.epochs[p]:
-            dead = s._replace(
+            without_starts = s._replace(
                 starts=frozenset(
                     x for x in s.starts if (x.partition, x.epoch) != (p, e)
                 )
             )
-            yield f"owner dies {p}.{e}", moves_world.with_owner(dead, p, e, None)
+            yield (
+                f"owner dies {p}.{e}",
+                moves_states.with_owner(without_starts, p, e, None),
+            )
             if me.holds:
                 ended = me._replace(holds=False)
-                yield f"ownership ends {p}.{e}", moves_world.with_owner(s, p, e, ended)
-        if me.seen == moves_world.UNLOADED:
+                yield f"ownership ends {p}.{e}", moves_states.with_owner(s, p, e, ended)
+        if me.seen == moves_states.UNLOADED:
             if not me.holds:
                 return
             yield f"load {p}.{e}", self._load(s, p, e, me)
             return
-        yield from self._use(s, p, e, me)
+        yield from self._use_worker(s, p, e, me)
         yield from self._move(s, p, e, me)
 
     def _load(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.State:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.State:
         mine = s.rows[-1] == p
         if p in s.final:
             task = "final"
-        elif p in s.home:
-            task = "home"
+        elif p in s.on_fixed_worker:
+            task = "fixed_worker"
         else:
             task = recovery.restored_task(True, False, mine) if mine else "waiting"
         number = me.attempt
         me = me._replace(
             seen=len(s.rows) - 1,
             link="open" if mine else "none",
-            waited=0,
+            since_renewal=0,
             task=task,
             attempt=number,
         )
-        return moves_world.with_owner(s, p, e, me)
+        return moves_states.with_owner(s, p, e, me)
 
     # Moves
 
     def _move(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         last = len(s.rows) - 1
         if me.seen < last or (me.link == "none" and s.rows[last] == p):
             yield (
                 f"read row {p}.{e}",
-                moves_world.with_owner(s, p, e, self._read(s, p, me)),
+                moves_states.with_owner(s, p, e, self._read_row(s, p, me)),
             )
         if me.move is None:
             yield from self._plan(s, p, e, me)
         elif me.move.state == "planned":
             if s.rows[me.seen] != p:
-                changed = self._read(s, p, me._replace(move=None))
+                changed = self._read_row(s, p, me._replace(move=None))
                 yield (
                     f"send transaction {p}.{e}: not needed",
-                    moves_world.with_owner(s, p, e, changed),
+                    moves_states.with_owner(s, p, e, changed),
                 )
             else:
                 yield (
@@ -195,57 +200,57 @@
                 )
         elif me.move.state in ("sent", "resent"):
             lost = me._replace(move=me.move._replace(state="doubt"))
-            yield f"answer lost {p}.{e}", moves_world.with_owner(s, p, e, lost)
+            yield f"answer lost {p}.{e}", moves_states.with_owner(s, p, e, lost)
         elif me.holds:
-            yield from self._resolve(s, p, e, self._read(s, p, me))
+            yield from self._resolve(s, p, e, self._read_row(s, p, me))
 
     def _plan(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         if not me.holds or len(s.rows) >= self._bounds.versions:
             return
-        empty = me.task != "worker" and not moves_world.present(s.worker)
+        empty = me.task != "worker" and not moves_states.running_or_stopping(s.worker)
         if me.link == "attached" and (empty or not self._rules.drain):
-            move = moves_world.Move("planned", me.seen, 1 - p)
+            move = moves_states.Move("planned", me.seen, 1 - p)
             yield (
                 f"plan move {p}.{e}",
-                moves_world.with_owner(s, p, e, me._replace(move=move)),
+                moves_states.with_owner(s, p, e, me._replace(move=move)),
             )
         if self._bounds.drops and self._rules.own_drop and me.link == "lost":
-            move = moves_world.Move("planned", me.seen, moves_world.NOWHERE)
+            move = moves_states.Move("planned", me.seen, moves_states.UNASSIGNED)
             yield (
                 f"plan drop {p}.{e}",
-                moves_world.with_owner(s, p, e, me._replace(move=move, link="none")),
+                moves_states.with_owner(s, p, e, me._replace(move=move, link="none")),
             )
 
     def _send(
         self,
-        s: moves_world.State,
+        s: moves_states.State,
         p: int,
         e: int,
-        me: moves_world.Owner,
+        me: moves_states.Owner,
         version: int,
         state: str,
-    ) -> moves_world.State:
+    ) -> moves_states.State:
         repeated = state == "resent"
-        write = moves_world.Write(p, e, version, me.move.target, repeated)
-        me = me._replace(move=moves_world.Move(state, version, me.move.target))
+        write = moves_states.Write(p, e, version, me.move.target, repeated)
+        me = me._replace(move=moves_states.Move(state, version, me.move.target))
         after = s._replace(writes=s.writes | {write})
-        return moves_world.with_owner(after, p, e, me)
+        return moves_states.with_owner(after, p, e, me)
 
-    def _read(
-        self, s: moves_world.State, p: int, me: moves_world.Owner
-    ) -> moves_world.Owner:
+    def _read_row(
+        self, s: moves_states.State, p: int, me: moves_states.Owner
+    ) -> moves_states.Owner:
         last = len(s.rows) - 1
-        link, waited = me.link, me.waited
-        dropping = me.move is not None and me.move.target == moves_world.NOWHERE
+        link, since_renewal = me.link, me.since_renewal
+        dropping = me.move is not None and me.move.target == moves_states.UNASSIGNED
         if link == "none" and s.rows[last] == p and not dropping:
-            link, waited = "open", 0
-        return me._replace(seen=last, link=link, waited=waited)
+            link, since_renewal = "open", 0
+        return me._replace(seen=last, link=link, since_renewal=since_renewal)
 
     def _resolve(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.Steps:
         mine = s.rows[me.seen] == p
         label = f"resolve {p}.{e}"
         match roster.ambiguous_move_result(me.seen, me.move.version, mine):
@@ -255,15 +260,15 @@
                 yield label, self._hand_over(s, p, e, me)
             case _:
                 me = me._replace(move=None)
-                yield label, moves_world.with_owner(s, p, e, me)
+                yield label, moves_states.with_owner(s, p, e, me)
 
     def _deliver(
-        self, s: moves_world.State, write: moves_world.Write
-    ) -> moves_world.Steps:
+        self, s: moves_states.State, write: moves_states.Write
+    ) -> moves_states.Steps:
         p, e, version, target, repeated = write
         s = s._replace(writes=s.writes - {write})
         me = s.owners[p][e - 1]
-        awaited = _awaits(me, write)
+        awaited = _awaits_answer(me, write)
         name = f"{'repeated ' if repeated else ''}transaction of {p}.{e}"
         current = version == len(s.rows) - 1 or not self._rules.version_check
         owned = e == s.epochs[p] or not self._rules.ownership_check
@@ -279,67 +284,71 @@
         elif not awaited:
             yield f"{name} conflicts", s
         elif repeated:
-            # The first attempt may be what conflicts.
-            me = self._read(s, p, me._replace(move=me.move._replace(state="doubt")))
+            # The first attempt may have taken effect and caused the conflict.
+            me = self._read_row(s, p, me._replace(move=me.move._replace(state="doubt")))
             yield (
                 f"{name} conflicts",
-                moves_world.with_owner(s, p, e, me),
+                moves_states.with_owner(s, p, e, me),
             )
         else:
-            me = self._read(s, p, me._replace(move=None))
-            yield f"{name} conflicts", moves_world.with_owner(s, p, e, me)
+            me = self._read_row(s, p, me._replace(move=None))
+            yield f"{name} conflicts", moves_states.with_owner(s, p, e, me)
 
-    def _doubt(self, s: moves_world.State, p: int, e: int) -> moves_world.State:
+    def _doubt(self, s: moves_states.State, p: int, e: int) -> moves_states.State:
         me = s.owners[p][e - 1]
         me = me._replace(move=me.move._replace(state="doubt"))
-        return moves_world.with_owner(s, p, e, me)
+        return moves_states.with_owner(s, p, e, me)
 
     def _hand_over(
-        self, s: moves_world.State, p: int, e: int, me: moves_world.Owner
-    ) -> moves_world.State:
+        self, s: moves_states.State, p: int, e: int, me: moves_states.Owner
+    ) -> moves_states.State:
         me = me._replace(move=None)
         if not self._rules.release:
-            return moves_world.with_owner(s, p, e, me)
+            return moves_states.with_owner(s, p, e, me)
         worker = s.worker
-        speaks = (worker.partition, worker.epochs[p]) == (p, e)
-        if me.link == "attached" and speaks and not moves_world.present(worker):
-            worker = worker._replace(lease=moves_world.LEASE)
+        is_latest = (worker.partition, worker.epochs[p]) == (p, e)
+        if (
+            me.link == "attached"
+            and is_latest
+            and not moves_states.running_or_stopping(worker)
+        ):
+            worker = worker._replace(lease=moves_states.LEASE)
         starts = frozenset(x for x in s.starts if (x.partition, x.epoch) != (p, e))
-        me = moves_hosting.lost(me._replace(link="none"))
+        me = moves_worker_steps.after_worker_loss(me._replace(link="none"))
         after = s._replace(worker=worker, starts=starts)
-        return moves_world.with_owner(after, p, e, me)
+        return moves_states.with_owner(after, p, e, me)
 
-    def _write_others(self, s: moves_world.State) -> moves_world.Steps:
+    def _write_others(self, s: moves_states.State) -> moves_states.Steps:
         last = s.rows[-1]
-        if last == moves_world.NOWHERE:
+        if last == moves_states.UNASSIGNED:
             for p in (0, 1):
                 yield f"assign to {p}", s._replace(rows=(*s.rows, p))
         elif len(s.rows) < self._bounds.versions:
             if self._bounds.writes:
                 yield "other write", s._replace(rows=(*s.rows, last))
             if self._bounds.drops and not self._rules.own_drop:
-                dropped = s._replace(rows=(*s.rows, moves_world.NOWHERE))
+                dropped = s._replace(rows=(*s.rows, moves_states.UNASSIGNED))
                 yield "drop by another", dropped
 
 
-def _awaits(me: moves_world.Owner | None, write: moves_world.Write) -> bool:
+def _awaits_answer(me: moves_states.Owner | None, write: moves_states.Write) -> bool:
     """Return whether an owner still waits for the answer to a transaction."""
     if me is None or me.move is None or me.move.version != write.version:
         return False
     return me.move.state == ("resent" if write.repeated else "sent")
 
 
-def _forget(s: moves_world.State) -> moves_world.State:
+def _reduce_ended(s: moves_states.State) -> moves_states.State:
     for p in (0, 1):
         for e, me in enumerate(s.owners[p], 1):
             if me is None or me.holds:
                 continue
-            # It uses nothing any more; what it had sent or planned may still count.
+            # It no longer acts, but what it sent or planned may still take effect.
             planned = me.move is not None and me.move.state == "planned"
             reduced = me._replace(
                 seen=me.seen if planned else min(me.seen, 0),
                 link="open" if me.link in ("open", "lost") else "none",
-                waited=0,
+                since_renewal=0,
                 move=me.move if planned else None,
                 task="final",
                 attempt=1,
@@ -347,7 +356,7 @@
             if e < s.worker.epochs[p]:
                 reduced = reduced._replace(link="none")  # would be refused
             if reduced != me:
-                s = moves_world.with_owner(s, p, e, reduced)
+                s = moves_states.with_owner(s, p, e, reduced)
     worker = s.worker
     ended = frozenset(entry for entry in worker.ended if entry[0] not in s.final)
     if len(ended) != len(worker.ended):
@@ -355,26 +364,29 @@
     return s
 
 
-def _renew_in_time(s: moves_world.State, p: int, e: int) -> moves_world.State:
+def _renew_in_time(s: moves_states.State, p: int, e: int) -> moves_states.State:
     """Let time pass while an owner keeps the worker's lease valid."""
     before = s._replace(worker=s.worker._replace(lease=-1))
     after = _pass_time(before)
-    me = after.owners[p][e - 1]._replace(waited=0)
-    return moves_world.with_owner(after, p, e, me)
+    me = after.owners[p][e - 1]._replace(since_renewal=0)
+    return moves_states.with_owner(after, p, e, me)
 
 
-def _pass_time(s: moves_world.State) -> moves_world.State:
+def _pass_time(s: moves_states.State) -> moves_states.State:
     owners = tuple(
         tuple(
-            me and me._replace(waited=min(me.waited + 1, moves_world.STOPPED))
+            me
+            and me._replace(
+                since_renewal=min(me.since_renewal + 1, moves_states.STOPPED)
+            )
             for me in own
         )
         for own in s.owners
     )
     worker = s.worker
-    lease = min(worker.lease + 1, moves_world.LEASE)
+    lease = min(worker.lease + 1, moves_states.LEASE)
     ended = worker.ended | worker.stopping
-    if lease == moves_world.LEASE:
+    if lease == moves_states.LEASE:
         running, stopping = frozenset(), worker.running
     else:
         running, stopping = worker.running, frozenset()
--- a/spec/model.py
+++ b/spec/ownership_model.py
@@ -1,23 +1,24 @@
-"""States, actions and invariants of the model.
+"""Model of partition ownership, worker leases and at-most-once starts.
 
 Two processes may own one partition; one or two workers run one idempotent task
-`I` and one non-idempotent task `N`. Time advances in whole units for all at once;
-a pause of a process is any order in which it takes no step while time and others
-go on, and a message that was decided before the pause may arrive after it. Ages
-are capped where no rule can tell larger ones apart, so the space is finite.
+`I` and one non-idempotent task `N`. Time advances in whole units for all at once.
+A paused process takes no step while time passes and others take steps; a message
+that it decided to send before the pause may arrive after it. Ages are capped where
+no rule distinguishes larger ones, so the space is finite.
 
-The decisions are those of the product: `ownership` for leases and claims, `recovery`
-and `attempt` for what follows for a task. The refusals of a worker and of the log
-are restated here, since their owners perform I/O; `ACTIONS` names them.
+The decisions are made by the functions of the implementation: `ownership` for leases
+and claims, `recovery` and `attempt` for the next state of a task. The checks by which
+workers and the log refuse requests are restated here, since the modules that make them
+perform I/O; `ACTIONS` names them.
 """
 
 from __future__ import annotations
 
 import minicheck
 
-from spec import hosting, serving, tenure, world
+from spec import owner_steps, ownership_steps, states, worker_steps
 
-# Action -> the function of the product that implements it.
+# Action -> the function that implements it.
 ACTIONS = {
     "time passes": "toucanspring.cell.ownership.lease_state",
     "send renewal": "toucanspring.cell.ownership.renew",
@@ -45,54 +46,54 @@
 class Model:
     """Enumerate the transitions under some rules and bounds."""
 
-    def __init__(self, rules: world.Rules, bounds: world.Bounds) -> None:
+    def __init__(self, rules: states.Rules, bounds: states.Bounds) -> None:
         self._rules = rules
         self._bounds = bounds
-        self._tenure = tenure.Tenure(rules, bounds)
-        self._serving = serving.Serving(rules, bounds)
-        self._hosting = hosting.Hosting(rules, bounds)
+        self._ownership_steps = ownership_steps.OwnershipSteps(rules, bounds)
+        self._owner_steps = owner_steps.OwnerSteps(rules, bounds)
+        self._worker_steps = worker_steps.WorkerSteps(rules, bounds)
 
     def protocol(self) -> minicheck.Protocol:
         """Return the model in the form that minicheck checks."""
         return minicheck.Protocol(
             name="ownership",
             candidate=False,
-            fields=world.State._fields,
-            initial=world.initial(self._bounds),
+            fields=states.State._fields,
+            initial=states.initial(self._bounds),
             transitions=self.transitions,
-            invariants=world.INVARIANTS,
+            invariants=states.INVARIANTS,
         )
 
-    def transitions(self, state: world.State) -> list[tuple[str, world.State]]:
+    def transitions(self, state: states.State) -> list[tuple[str, states.State]]:
         """Return all labelled successors of a state."""
         found = [("time passes", self._pass_time(state))]
         for p in (0, 1):
-            found += self._tenure.steps(state, p)
-            if world.holds(state.processes[p]):
+            found += self._ownership_steps.steps(state, p)
+            if states.holds_lease(state.processes[p]):
                 for w in range(self._bounds.workers):
-                    found += self._serving.steps(state, p, w)
+                    found += self._owner_steps.steps(state, p, w)
         for start in state.starts:
-            found += self._hosting.deliver(state, start)
+            found += self._worker_steps.deliver(state, start)
         for w in range(self._bounds.workers):
-            found += self._hosting.work(state, w)
+            found += self._worker_steps.local_steps(state, w)
         return [(label, self._reduce(after)) for label, after in found]
 
-    def _reduce(self, s: world.State) -> world.State:
-        """Drop what can no longer have an effect, which keeps the space small."""
+    def _reduce(self, s: states.State) -> states.State:
+        """Drop state that can no longer have an effect, which keeps the space small."""
         for p in (0, 1):
             me = s.processes[p]
             reduced = me
             if s.owner == p:
-                reduced = reduced._replace(seen=-1)  # it does not claim
+                reduced = reduced._replace(seen=-1)  # an owner does not claim
             else:
                 reduced = reduced._replace(renewal=-1, written=False)
-                if not world.holds(reduced):
-                    # It starts nothing any more, and no renewal can resume it.
+                if not states.holds_lease(reduced):
+                    # It starts no more tasks, and no renewal can resume it.
                     reduced = reduced._replace(epoch=0)
             if not reduced.epoch:
-                reduced = world.forget(reduced)
+                reduced = states.without_partition_state(reduced)
             if reduced != me:
-                s = s._replace(processes=world.put(s.processes, p, reduced))
+                s = s._replace(processes=states.with_item(s.processes, p, reduced))
         if self._rules.fence:
             starts = frozenset(
                 start
@@ -103,20 +104,24 @@
                 s = s._replace(starts=starts)  # they would be refused
         return s
 
-    def _pass_time(self, s: world.State) -> world.State:
+    def _pass_time(self, s: states.State) -> states.State:
         processes = tuple(
             p._replace(
-                age=min(p.age + 1, world.LEASE),
-                renewal=p.renewal if p.renewal < 0 else min(p.renewal + 1, world.LEASE),
-                seen=p.seen if p.seen < 0 else min(p.seen + 1, world.LEASE),
-                waited=tuple(min(age + 1, world.WORKER_LEASE) for age in p.waited),
+                age=min(p.age + 1, states.LEASE),
+                renewal=p.renewal
+                if p.renewal < 0
+                else min(p.renewal + 1, states.LEASE),
+                seen=p.seen if p.seen < 0 else min(p.seen + 1, states.LEASE),
+                since_renewal=tuple(
+                    min(age + 1, states.WORKER_LEASE) for age in p.since_renewal
+                ),
             )
             for p in s.processes
         )
         workers = []
         for worker in s.workers:
-            lease = min(worker.lease + 1, world.WORKER_LEASE)
-            if lease >= world.WORKER_LEASE and worker.running:
+            lease = min(worker.lease + 1, states.WORKER_LEASE)
+            if lease >= states.WORKER_LEASE and worker.running:
                 # The lease expired: the tasks are checkpointed and stop.
                 ended = worker.ended | worker.running
                 worker = worker._replace(running=frozenset(), ended=ended)
--- a/test/test_spec.py
+++ b/test/test_spec.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from spec import coordination, model, resizing, runs, world
+from spec import coordination, ownership_model, resizing, runs, states
 
 
 class SpecTest(testtools.TestCase):
@@ -17,12 +17,12 @@
             self.assertGreater(result.depth, 20)
 
     def test_each_removed_rule_breaks_an_invariant(self):
-        # Guards against a model that could not notice the loss of a rule.
+        # Guards against a model that does not detect that a rule is missing.
         expected = {
             "fence": "a non-idempotent task starts at most once",
             "takeover_wait": "one owner at a time",
             "intent_record": "a non-idempotent task starts at most once",
-            "hold": "no task runs in two places",
+            "restore_wait": "no task runs in two places",
             "lost_wait": "no task runs in two places",
         }
         found = {run.without: runs.check(run).broken for run in runs.REMOVALS}
@@ -31,16 +31,16 @@
         self.assertEqual(expected.keys(), found.keys())
 
     def test_a_change_of_the_number_accepts_an_id_once_and_loses_none(self):
-        # Guards against rules of a change that the code states and nothing needs, and
-        # against an ID that two partitions accept or that none has any more.
+        # Guards against a model with rules that no invariant needs, and against an ID
+        # that two partitions accept or that is in no partition any more.
         result = runs.check(runs.Run(resizing.Bounds(takeovers=0)))
         self.assertTrue(result.proved, result.broken)
         for run in runs.RESIZING_REMOVALS:
             broken = runs.check(run).broken
             self.assertIn("an ID is accepted at most once", broken, run.without)
 
-    def test_a_task_runs_once_under_coordinators_that_come_and_go(self):
-        # Guards against a rule of the coordinator that is lost, or that nothing needs.
+    def test_a_task_runs_once_under_paused_and_replaced_coordinators(self):
+        # Guards against a coordinator that loses a rule, or a rule that is not needed.
         for run in runs.COORDINATION_SPACES:
             result = runs.check(run)
             self.assertTrue(result.proved, result.broken)
@@ -49,23 +49,25 @@
             self.assertNotEqual({}, runs.check(run).broken, run.without)
 
     def test_every_action_names_an_existing_implementation(self):
-        # Guards against a model of functions that were renamed or removed.
+        # Guards against actions whose functions were renamed or removed.
         seen = set()
-        protocol = model.Model(world.Rules(), world.Bounds(tasks="N")).protocol()
+        protocol = ownership_model.Model(
+            states.Rules(), states.Bounds(tasks="N")
+        ).protocol()
         frontier = [protocol.initial]
         for _ in range(9):
             following = [step for s in frontier for step in protocol.transitions(s)]
             seen.update(label for label, _ in following)
             frontier = {after for _, after in following}
-        named = set(model.ACTIONS)
+        named = set(ownership_model.ACTIONS)
         unseen = set(named)
         for label in seen:
             found = {name for name in named if label.startswith(name)}
             self.assertNotEqual(set(), found, label)
             unseen -= found
-        self.assertEqual({"restart worker"}, unseen)  # outside of these bounds
+        self.assertEqual({"restart worker"}, unseen)  # not within these bounds
         for name in [
-            *model.ACTIONS.values(),
+            *ownership_model.ACTIONS.values(),
             *resizing.ACTIONS.values(),
             *coordination.ACTIONS.values(),
         ]:
--- a/test/test_spec_moves.py
+++ b/test/test_spec_moves.py
@@ -1,4 +1,4 @@
-"""Replay traces of the model of worker moves against the product."""
+"""Replay traces of the model of worker moves against the implementation."""
 
 import pkgutil
 import random
@@ -9,7 +9,7 @@
 import testtools
 from gevent import event
 
-from spec import moves_model, moves_world, runs
+from spec import moves_model, moves_states, runs
 from test import fake_tables
 from toucanspring import errors, kernel, resources
 from toucanspring.adapters import vms
@@ -29,7 +29,7 @@
 
 
 class Link:
-    """Stand for the link to the worker; the trace says what happens to it."""
+    """Fake link to the worker, whose state is set by the trace."""
 
     def __init__(self, *_arguments):
         self.state = "open"
@@ -59,7 +59,7 @@
 
 
 class Owner:
-    """Run the product's fleet and mover for one ownership of a partition."""
+    """Run the services `fleet` and `mover` for one owner of a partition."""
 
     def __init__(self, shared, number, epoch, row_version):
         self.number, self.epoch, self.row_version = number, epoch, row_version
@@ -121,7 +121,7 @@
         if version not in self.versions:
             self.versions.append(version)
 
-    def place(self):
+    def assigned_partition(self):
         found = roster.Roster()
         found.apply_row(self.shared.rows[ROW], 0)
         return found.partitions["w"]
@@ -139,7 +139,7 @@
         if label.startswith("claim"):
             self.claim(int(label[-1]))
         if label == "other write":
-            self.write({"w": self.place()})
+            self.write({"w": self.assigned_partition()})
         found = re.search(r"^([a-z ]+?)(?: of| by)? (\d)\.(\d)(.*)$", label)
         if not found:
             return
@@ -198,23 +198,23 @@
         self.patch(worker_link, "Link", Link)
 
     def walk(self, rng, bounds, steps):
-        """Return a random path through the model; moves are likelier than others."""
-        states = moves_model.Model(moves_world.Rules(), bounds)
-        state = moves_world.initial(bounds)
+        """Yield a random path through the model; transactions are chosen more often."""
+        states = moves_model.Model(moves_states.Rules(), bounds)
+        state = moves_states.initial(bounds)
         for _ in range(steps):
             found = states.transitions(state)
             if not found:
                 return
-            telling = [each for each in found if "transaction" in each[0]]
-            telling += [each for each in found if "resolve" in each[0]]
-            telling += [each for each in found if "answer lost" in each[0]]
-            if telling and rng.random() < 0.5:
-                found = telling
+            preferred = [each for each in found if "transaction" in each[0]]
+            preferred += [each for each in found if "resolve" in each[0]]
+            preferred += [each for each in found if "answer lost" in each[0]]
+            if preferred and rng.random() < 0.5:
+                found = preferred
             label, state = rng.choice(found)
             yield label, state
 
     def compare(self, replay, state, trace):
-        self.assertEqual(state.rows[-1], replay.place(), trace)
+        self.assertEqual(state.rows[-1], replay.assigned_partition(), trace)
         self.assertEqual(len(state.rows), len(replay.versions), trace)
         for number, own in enumerate(state.owners):
             for epoch, me in enumerate(own, 1):
@@ -229,8 +229,8 @@
                 self.assertEqual(doubted, number in owner.mover._ambiguous_moves, trace)
 
     def test_the_product_follows_the_traces_of_the_model(self):
-        # Guards against a model that proves properties of another protocol.
-        bounds = moves_world.Bounds(epochs=(2, 2), versions=4, writes=True)
+        # Guards against a model that differs from the implemented protocol.
+        bounds = moves_states.Bounds(epochs=(2, 2), versions=4, writes=True)
         kinds = set()
         for seed in range(300):
             replay = Replay()
@@ -255,8 +255,8 @@
             self.assertGreater(result.states, 10_000)
 
     def test_each_removed_rule_breaks_a_property(self):
-        # Guards against a model that could not notice the loss of a rule.
-        unserved = "a worker never belongs to no partition for good"
+        # Guards against a model that does not detect that a rule is missing.
+        unserved = "the worker is eventually attached to its owner"
         expected = {
             "ownership_check": unserved,
             "version_check": unserved,
@@ -272,16 +272,16 @@
         self.assertEqual(expected.keys(), found.keys())
 
     def test_every_action_names_an_existing_implementation(self):
-        # Guards against a model of functions that were renamed or removed.
+        # Guards against actions whose functions were renamed or removed.
         for name in moves_model.ACTIONS.values():
             pkgutil.resolve_name(name)
-        bounds = moves_world.Bounds(epochs=(2, 2), writes=True, drops=True)
+        bounds = moves_states.Bounds(epochs=(2, 2), writes=True, drops=True)
         unseen = set(moves_model.ACTIONS)
         for seed in range(300):
             for label, _ in self.walk(random.Random(seed), bounds, 60):
                 named = {name for name in moves_model.ACTIONS if label.startswith(name)}
                 self.assertNotEqual(set(), named, label)
                 unseen -= named
-        # Without a removed rule nobody else drops workers, and no task runs on a
-        # worker that its owner does not count.
+        # With all rules in force only its owner drops a worker, and no task runs on a
+        # worker that its owner has given up.
         self.assertEqual({"drop by another", "orphan stops"}, unseen)
