--- a/toucanspring/callers/listing.py
+++ b/toucanspring/callers/listing.py
@@ -50,7 +50,7 @@
                 break
             # The answer may be as old as the pause.
         if isinstance(listed, errors.Failure):
-            log.warning("reading the VM list failed: {}", listed.reason)
+            log.warning("VM list: {}", listed.reason)
         else:
             self.vms = listed
         pause_s = max(0.0, sent_at + POLL_S - now)
--- a/toucanspring/callers/submission.py
+++ b/toucanspring/callers/submission.py
@@ -56,7 +56,7 @@
 def _seconds(path: str, quantity: model.Quantity) -> float:
     seconds = model.read_seconds(quantity)
     if seconds is None:
-        raise _invalid(path, quantity, "a time such as 90 s or 2 h", "impossible time")
+        raise _invalid(path, quantity, "a time such as 90 s or 2 h", "invalid duration")
     return seconds
 
 
@@ -65,7 +65,7 @@
     memory = model.read_memory(amounts.memory)
     if not cpus or not memory:
         expected = "cpus and memory above 0, such as 0.5 and 512 MiB"
-        raise _invalid(path, amounts, expected, "impossible size")
+        raise _invalid(path, amounts, expected, "invalid size")
     return resources.Resources(cpus, memory, amounts.accelerators)
 
 
@@ -115,7 +115,7 @@
     if item.placement is not None:
         if item.placement not in ("any", "compact", "spread"):
             expected = "any, compact or spread"
-            raise _invalid(f"{path}.placement", item.placement, expected, "not valid")
+            raise _invalid(f"{path}.placement", item.placement, expected, "invalid value")
         fields["compact"] = item.placement == "compact"
         fields["spread"] = item.placement == "spread"
 
