--- a/test/partition_case.py
+++ b/test/partition_case.py
@@ -183,7 +183,9 @@
     def state(self, owner, name):
         status = self.ask(
             owner,
-            lambda result: inbox.Ask(lambda scheduler: scheduler.lookup(name), result),
+            lambda result: inbox.SchedulerQuery(
+                lambda scheduler: scheduler.lookup(name), result
+            ),
         )
         return status.outcome.state if status.outcome else None
 
--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -108,7 +108,7 @@
     def peer_states(self):
         return {
             f"p{owner.number}": types.SimpleNamespace(
-                statements=owner.mover.statements(),
+                statements=owner.mover.capacity_reports(),
                 owned={owner.number: owner.epoch},
             )
             for owner in self.shared.owners.values()
--- a/test/test_cli.py
+++ b/test/test_cli.py
@@ -89,7 +89,7 @@
     def register_handover(self):
         held = handover.Remaining(1, [3], 2, 1, False)
         found = {0: held, 1: errors.Unavailable(reason="no owner")}
-        service = types.SimpleNamespace(survey=lambda: found, stop=lambda: None)
+        service = types.SimpleNamespace(remaining_work=lambda: found, stop=lambda: None)
         self.core.register("handover", service)
 
     def test_a_lost_answer_to_a_change_of_the_number_is_settled(self):
--- a/test/test_mover.py
+++ b/test/test_mover.py
@@ -70,11 +70,11 @@
         # Guards against a second worker for a need that is already met.
         p = self.in_need(1, 2)
         p.run(1)
-        self.assertEqual(1, len(p[0].mover.statements()[0].waiting))
+        self.assertEqual(1, len(p[0].mover.capacity_reports()[0].waiting))
         p.write_row({"w00": 0, "w10": 0, "w11": 1})
         p[0].fleet.follow()
         p[0].move()
-        self.assertEqual([], p[0].mover.statements()[0].waiting)
+        self.assertEqual([], p[0].mover.capacity_reports()[0].waiting)
 
     def return_moved(self):
         """Move one worker, let it become idle, and let its donor need it."""
--- a/test/test_partition.py
+++ b/test/test_partition.py
@@ -115,7 +115,9 @@
         self.assertIsInstance(answer, errors.Unavailable)
 
     def test_a_failing_query_is_answered(self):
-        found = self.ask(self.owner, lambda result: inbox.Ask(lambda _: 1 / 0, result))
+        found = self.ask(
+            self.owner, lambda result: inbox.SchedulerQuery(lambda _: 1 / 0, result)
+        )
         self.assertIsInstance(found, errors.Unknown)
 
     def test_a_finished_job_is_published(self):
--- a/test/test_partitions.py
+++ b/test/test_partitions.py
@@ -62,7 +62,7 @@
         [message] = owned.posted
         self.assertIsInstance(message, inbox.Submit)
         self.owners.append("entry-2")
-        self.service._lose(claims.PartitionLost(0, superseded=True))
+        self.service._handle_lost_partition(claims.PartitionLost(0, superseded=True))
         self.assertTrue(owned.superseded)
         self.assertEqual(["a"], submission.get(timeout=5))
         self.assertEqual(["entry-2"], self.called)
--- a/toucanspring/callers/api_partitions.py
+++ b/toucanspring/callers/api_partitions.py
@@ -35,7 +35,7 @@
         if failure is not None:
             raise api.ApiError(errors.Unavailable(reason=f"store: {failure.reason}"))
         present = service.layout
-        held = self._kernel.find("handover").survey() if present.former else {}
+        held = self._kernel.find("handover").remaining_work() if present.former else {}
         value = {
             **_describe(present),
             "held": [_describe_held(*each) for each in sorted(held.items())],
--- a/toucanspring/callers/submission.py
+++ b/toucanspring/callers/submission.py
@@ -115,7 +115,9 @@
     if item.placement is not None:
         if item.placement not in ("any", "compact", "spread"):
             expected = "any, compact or spread"
-            raise _invalid(f"{path}.placement", item.placement, expected, "invalid value")
+            raise _invalid(
+                f"{path}.placement", item.placement, expected, "invalid value"
+            )
         fields["compact"] = item.placement == "compact"
         fields["spread"] = item.placement == "spread"
 
--- a/toucanspring/owners/fleet.py
+++ b/toucanspring/owners/fleet.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drop:
+class WorkerRemoval:
     """Lost workers that are being removed from the row; they are not used meanwhile.
 
     The transaction may still take effect while the row has the version it checks.
@@ -61,7 +61,7 @@
         self._last_list: list[vms.Vm] | None = None
         self._absent_since: dict[str, float] = {}
         self._ownerships: dict[int, PartitionOwnership] = {}
-        self._drops: dict[int, Drop] = {}
+        self._removals: dict[int, WorkerRemoval] = {}
         self._leaving: dict[str, bool] = {}
         self._greenlet: gevent.Greenlet | None = None
 
@@ -92,7 +92,7 @@
     def remove_partition(self, partition: int) -> None:
         """Close the links of a partition."""
         self._ownerships.pop(partition, None)
-        self._drops.pop(partition, None)
+        self._removals.pop(partition, None)
         for link in self._links.pop(partition, {}).values():
             link.close()
 
@@ -202,7 +202,7 @@
                 self._assign_workers()
             for partition in list(self._ownerships):
                 if partition in self._ownerships:  # may be lost during a transaction
-                    self._drop_lost(partition)
+                    self._remove_lost(partition)
         for partition in list(self._ownerships):
             self._update_links(partition)
 
@@ -269,30 +269,30 @@
             log.info("assigned {} workers", len(new))
         self._read_assignment()
 
-    def _drop_lost(self, partition: int) -> None:
+    def _remove_lost(self, partition: int) -> None:
         """Remove lost workers from the row that have long been absent from the VM list.
 
         Only the owner knows that no task of the partition can be running on a worker: a
         successor restarts the tasks of workers that are not in the row.
         """
-        drop = self._drops.get(partition)
-        if drop is None or drop.checked_version != self.roster.version:
-            self._drops.pop(partition, None)
-            drop = self._choose_drop(partition)
-            if drop is None:
+        removal = self._removals.get(partition)
+        if removal is None or removal.checked_version != self.roster.version:
+            self._removals.pop(partition, None)
+            removal = self._choose_removal(partition)
+            if removal is None:
                 return
             # Closed before the transaction, since the worker could attach again.
-            for worker in drop.workers:
+            for worker in removal.workers:
                 self._links[partition].pop(worker).close()
-            self._drops[partition] = drop
+            self._removals[partition] = removal
         left = {
             worker: owner
             for worker, owner in self.roster.partitions.items()
-            if worker not in drop.workers
+            if worker not in removal.workers
         }
         answer = self._kernel.find("store").tables.transact(
             {
-                WORKERS_ROW: drop.checked_version,
+                WORKERS_ROW: removal.checked_version,
                 ownership_rows.key_of(partition): self._ownerships[
                     partition
                 ].row_version,
@@ -302,11 +302,13 @@
         )
         if isinstance(answer, tables.Committed):
             log.info(
-                "partition {}: removed lost workers {}", partition, sorted(drop.workers)
+                "partition {}: removed lost workers {}",
+                partition,
+                sorted(removal.workers),
             )
         self._read_assignment()
 
-    def _choose_drop(self, partition: int) -> Drop | None:
+    def _choose_removal(self, partition: int) -> WorkerRemoval | None:
         now = self._clock()
         links = self._links[partition]
         workers = frozenset(
@@ -315,16 +317,16 @@
             if links[worker].lost
             and now - self._absent_since.get(worker, now) > FORGET_ABSENT_S
         )
-        return Drop(self.roster.version, workers) if workers else None
+        return WorkerRemoval(self.roster.version, workers) if workers else None
 
     def _update_links(self, partition: int) -> None:
         ownership = self._ownerships[partition]
         owners = self._kernel.find("claims")
         links = self._links[partition]
         wanted = self.roster.workers_of(partition) & self._vms.keys()
-        drop = self._drops.get(partition)
-        if drop is not None and drop.checked_version == self.roster.version:
-            wanted -= drop.workers
+        removal = self._removals.get(partition)
+        if removal is not None and removal.checked_version == self.roster.version:
+            wanted -= removal.workers
         for worker in wanted - links.keys():
             links[worker] = worker_link.Link(
                 partition,
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -298,7 +298,7 @@
         """Remove former partition counts for which no partition holds any work."""
         service = self._kernel.find("layout")
         current_layout = service.layout
-        answers = self.survey()
+        answers = self.remaining_work()
         needed: set[int] = set()
         for number, found in answers.items():
             if (
@@ -329,7 +329,7 @@
                 "removed former numbers {}, which held no more work", sorted(ended)
             )
 
-    def survey(self) -> dict[int, Remaining | errors.Failure]:
+    def remaining_work(self) -> dict[int, Remaining | errors.Failure]:
         """Query all owners for the work they hold for former partition counts."""
         current_layout = self._view.layout
         body = reply.encode(current_layout.generation)
--- a/toucanspring/owners/inbox.py
+++ b/toucanspring/owners/inbox.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class SchedulerQuery:
     """Run a function of the scheduler that has no effects, in the partition's task."""
 
     function: Callable[[scheduler.Scheduler], object]
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start to report needs and to move workers."""
         if self._enabled:
-            self._kernel.find("membership").statements = self.statements
+            self._kernel.find("membership").statements = self.capacity_reports
             counter = self._kernel.find("metrics").counter(
                 "toucanspring_worker_moves_total",
                 "Workers that this process has moved to other partitions.",
@@ -71,7 +71,7 @@
             self._greenlet.kill()
         gevent.killall(list(self._steps.values()))
 
-    def statements(self) -> dict[int, capacity_report.CapacityReport]:
+    def capacity_reports(self) -> dict[int, capacity_report.CapacityReport]:
         """Return the capacity reports of owned partitions, for heartbeats."""
         owned = self._kernel.find("claims").owned()
         return {
@@ -90,7 +90,7 @@
                 if epoch > found.get(number, (0, None))[0]:
                     found[number] = epoch, report
         owned = self._kernel.find("claims").owned()
-        for number, report in self.statements().items():
+        for number, report in self.capacity_reports().items():
             if owned[number] >= found.get(number, (0, None))[0]:
                 found[number] = owned[number], report
         return {number: report for number, (_, report) in found.items()}
--- a/toucanspring/owners/owner_calls.py
+++ b/toucanspring/owners/owner_calls.py
@@ -99,7 +99,9 @@
         name = body.decode()
         found = self._ask(
             number,
-            lambda result: inbox.Ask(lambda scheduler: scheduler.lookup(name), result),
+            lambda result: inbox.SchedulerQuery(
+                lambda scheduler: scheduler.lookup(name), result
+            ),
         )
         owned = self._owned.get(number)
         if isinstance(found, effects.JobStatus) and not (
@@ -114,7 +116,7 @@
         return reply.encode_result(
             self._ask(
                 number,
-                lambda result: inbox.Ask(
+                lambda result: inbox.SchedulerQuery(
                     lambda scheduler: scheduler.explain(name), result
                 ),
             )
@@ -125,7 +127,9 @@
         owned = self._owned.get(number)
         if owned is None:
             return reply.encode_result(errors.Unavailable(reason="not the owner"))
-        found = self._ask(number, lambda result: inbox.Ask(_free_resources, result))
+        found = self._ask(
+            number, lambda result: inbox.SchedulerQuery(_free_resources, result)
+        )
         if isinstance(found, errors.Failure):
             return reply.encode_result(found)
         links = self._kernel.find("fleet").links(number)
--- a/toucanspring/owners/partition.py
+++ b/toucanspring/owners/partition.py
@@ -119,7 +119,7 @@
         Returns a failure if the function raises or the task does not answer in time.
         """
         result = gevent.event.AsyncResult()
-        self.post(inbox.Ask(function, result))
+        self.post(inbox.SchedulerQuery(function, result))
         try:
             return result.get(timeout=ASK_TIMEOUT_S)
         except gevent.Timeout:
@@ -135,7 +135,7 @@
         self.journal.interval_s = journal.flush_interval(count)
         # Posted without waiting: event listeners must not block on the task.
         self.post(
-            inbox.Ask(
+            inbox.SchedulerQuery(
                 lambda _scheduler: self._apply_partition_count(count),
                 gevent.event.AsyncResult(),
             )
@@ -261,7 +261,7 @@
                 self._acceptance.submit(message)
             case inbox.Cancel(job_ids=job_ids, result=result):
                 self._acceptance.cancel(job_ids, result)
-            case inbox.Ask(function=function, result=result):
+            case inbox.SchedulerQuery(function=function, result=result):
                 result.set(self._answer(function))
             case inbox.Durable(action=action, failure=failure):
                 self._executor.carry_out(action(failure))
@@ -362,5 +362,5 @@
                     result.set([failure] * len(specs))
                 case inbox.Cancel(job_ids=job_ids, result=result):
                     result.set(dict.fromkeys(job_ids, failure))
-                case inbox.Ask(result=result):
+                case inbox.SchedulerQuery(result=result):
                     result.set(failure)
--- a/toucanspring/owners/partitions.py
+++ b/toucanspring/owners/partitions.py
@@ -49,7 +49,7 @@
     def start(self) -> None:
         """Subscribe to ownership changes and serve calls of other processes."""
         self._kernel.subscribe(claims.PartitionAcquired, self._acquire)
-        self._kernel.subscribe(claims.PartitionLost, self._lose)
+        self._kernel.subscribe(claims.PartitionLost, self._handle_lost_partition)
         self._kernel.subscribe(documents.ConfigurationChanged, self._documents_changed)
         self._kernel.subscribe(
             documents.AvailabilityZonesChanged, self._documents_changed
@@ -78,7 +78,7 @@
         self._owned[event.partition] = owned
         owned.__enter__()
 
-    def _lose(self, event: claims.PartitionLost) -> None:
+    def _handle_lost_partition(self, event: claims.PartitionLost) -> None:
         owned = self._owned.get(event.partition)
         if owned is not None and event.superseded:
             owned.superseded = True
