--- a/test/test_text.py
+++ b/test/test_text.py
@@ -12,8 +12,8 @@
     derandomize=True, deadline=None, max_examples=150, database=None
 )
 
-# Edits of the example text, `\n` for a line break, each followed by the path and
-# the reason of the error that it must be rejected with.
+# Edits of the example configuration, `\n` for a line break, each followed by the path
+# and the reason of the error that it must be rejected with.
 FAULTS = r"""
 share: 5 => share: 0
   teams.desk.share | share is not positive
@@ -79,7 +79,7 @@
 
 class TextTest(testtools.TestCase):
     def test_a_fault_names_path_line_value_and_expected_form(self):
-        # Guards against an invalid text that is accepted and an error without a place.
+        # Guards against an accepted invalid configuration and an error without a path.
         for old, new, path, reason in read_faults():
             source = KERNHALDE.replace(old, new, 1)
             self.assertNotEqual(KERNHALDE, source, old)
@@ -102,7 +102,7 @@
         self.assertEqual(["teams.desk.share", "jobs.demand-model.kind"], paths)
 
     def test_oversized_and_deep_texts_are_refused_before_they_are_read(self):
-        # Guards against a text that exhausts memory or the stack.
+        # Guards against a document that exhausts memory or the stack.
         large = KERNHALDE + "#" * syntax.MAX_TEXT_BYTES
         self.assertEqual("the text is too large", reader.parse(large).reason)
         for deep in ("[" * 100_000, "cell: " + "{a: " * 5_000, "- " * 50_000):
--- a/toucanspring/callers/api_operators.py
+++ b/toucanspring/callers/api_operators.py
@@ -38,7 +38,7 @@
     """`GET` and `PUT /v1/config`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the configuration text in force; `ETag` is its version."""
+        """Answer with the configuration in force; `ETag` is its version."""
         self._access.require_operator(request)
         source = self._documents.source()
         response.content_type = YAML
@@ -47,7 +47,7 @@
         response.data = source.source.encode()
 
     def on_put(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Apply a configuration text if `If-Match` names the version in force."""
+        """Apply a configuration if `If-Match` names the version in force."""
         operator = self._access.require_operator(request)
         expected = expected_version(request)
         body = api.read_body(request, syntax.MAX_TEXT_BYTES)
@@ -61,14 +61,16 @@
             raise api.ApiError(cell[0], extra={"faults": faults})
         if not cell.name:
             raise api.ApiError(
-                errors.Invalid(reason="empty text", path="cell", expected="a cell")
+                errors.Invalid(
+                    reason="empty configuration", path="cell", expected="a cell"
+                )
             )
         before = self._documents.cell()
         version = api.unwrap(self._documents.apply(source, expected, operator))
         unchanged = version == expected
         if not unchanged:
             log.info("operator {} applied configuration {}", operator, version)
-        # The autostart service submits these jobs once the text is in force.
+        # The autostart service submits these jobs once the configuration is in force.
         jobs_to_start = [] if unchanged else text.jobs_to_start(before, cell)
         starts = [text.apply_id(each) for each in jobs_to_start]
         api.send_json(
@@ -97,7 +99,7 @@
     """`GET /v1/config/history`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the versions, the newest first; `source=1` adds their texts."""
+        """Answer with the versions, the newest first; `source=1` adds their content."""
         self._access.require_operator(request)
         with_source = request.get_param_as_bool("source", default=False)
         items = []
@@ -145,7 +147,7 @@
             {"name": name, "region": zone.region, "out": name in out}
             for name, zone in self._documents.cell().availability_zones.items()
         ]
-        # A zone that was taken out stays out when the text no longer names it.
+        # A zone that was taken out stays out when the configuration no longer names it.
         declared = {zone["name"] for zone in zones}
         zones += [
             {"name": name, "region": "", "out": True} for name in sorted(out - declared)
--- a/toucanspring/callers/api_partitions.py
+++ b/toucanspring/callers/api_partitions.py
@@ -28,7 +28,7 @@
     """`GET` and `PUT /v1/partitions`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the number, the former numbers and what they still hold."""
+        """Answer with the partition count, the former ones and the work they hold."""
         self._access.require_operator(request)
         service = self._kernel.find("layout")
         failure = service.reread()
@@ -43,7 +43,7 @@
         api.send_json(response, value, ETag=f'"{present.generation}"')
 
     def on_put(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Change the number if `If-Match` names the current generation."""
+        """Change the partition count if `If-Match` names the current generation."""
         operator = self._access.require_operator(request)
         expected = api_operators.expected_version(request)
         body = api.read_json(request, PartitionCount, MAX_BODY_BYTES)
--- a/toucanspring/callers/listing.py
+++ b/toucanspring/callers/listing.py
@@ -1,4 +1,4 @@
-"""Cache of the VM list, with the time until which requests may be sent by it."""
+"""Cache of the VM list, with the time until which requests may be routed by it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self._usable_until = ownership.NEVER
 
     def usable_until(self) -> float:
-        """Return the monotonic time after which the list must be read again first."""
+        """Return the monotonic time after which the list must be read before a send."""
         return self._usable_until
 
     def update(self) -> float:
--- a/toucanspring/callers/requests.py
+++ b/toucanspring/callers/requests.py
@@ -356,7 +356,7 @@
             case Answer(status=status):
                 good = status < 500
             case errors.Conflict() | errors.NotFound() | errors.Forbidden():
-                return  # a caller's mistake does not use up the error budget
+                return  # errors of the caller are not counted
             case _:
                 good = False
         rule = service.classes.get(request.job_class)
--- a/toucanspring/configuration/changes.py
+++ b/toucanspring/configuration/changes.py
@@ -54,9 +54,9 @@
 
 
 class ConfigChange:
-    """Replace the configuration text if its version is as expected.
+    """Replace the configuration if its version is as expected.
 
-    If the text is already in force at that version, no new version is written.
+    If the same content is already in force at that version, no new version is written.
     """
 
     name = "config"
@@ -76,7 +76,7 @@
     def plan(
         self, rows: Rows, current: freshness.Versions
     ) -> Plan | InEffect | errors.Failure:
-        """Write the text and its history row."""
+        """Write the configuration and its history row."""
         if current.config == self._expected:
             present = records.decode(records.ConfigVersion, rows[records.CONFIG].value)
             if isinstance(present, errors.Failure):
--- a/toucanspring/configuration/documents.py
+++ b/toucanspring/configuration/documents.py
@@ -52,7 +52,7 @@
 
 
 def import_parser() -> Callable[[str], object]:
-    """Return the parser of the configuration text."""
+    """Return the parser of the configuration."""
     from toucanspring.configuration import reader
 
     return reader.parse
@@ -105,7 +105,7 @@
         return self._cell
 
     def source(self) -> records.ConfigVersion:
-        """Return the configuration in force with its text."""
+        """Return the configuration in force with its source."""
         return self._documents["config"]
 
     def versions(self) -> freshness.Versions:
@@ -184,7 +184,7 @@
     def apply(
         self, source: str, expected_version: int, operator: str
     ) -> int | errors.Failure:
-        """Apply a configuration text and return its version.
+        """Apply a configuration and return its version.
 
         Fails with `Invalid`, `Conflict` with both versions, `Unavailable` (not in
         force) or `Ambiguous`.
@@ -235,7 +235,7 @@
         return self._finish(change.name, document)
 
     def _finish(self, name: str, document: records.Document) -> int | errors.Ambiguous:
-        """Put a stored change into force and wait until enough members have it."""
+        """Apply a stored change and wait until enough members have it."""
         self._adopt(name, document)
         failure = self.confirmation.wait(name, document.version)
         return document.version if failure is None else failure
@@ -353,13 +353,13 @@
         return self._adopt(name, document)
 
     def _adopt(self, name: str, document: records.Document) -> bool:
-        """Put a document into force unless a newer one is; versions never decrease."""
+        """Apply a document unless it is outdated; versions never decrease."""
         if document.version <= getattr(self._view.versions, name):
             return False
         if name == "config":
             cell = self._parse(document.source)
             if isinstance(cell, errors.Failure):
-                # Not put into force, so it is not confirmed and the view expires soon.
+                # Not applied, so it is not confirmed and the view expires soon.
                 log.error(
                     "configuration {} is invalid in this process: {}",
                     document.version,
--- a/toucanspring/configuration/model.py
+++ b/toucanspring/configuration/model.py
@@ -1,4 +1,4 @@
-"""Schema of the configuration text, and parsers of quantities with units.
+"""Schema of the configuration, and parsers of quantities with units.
 
 Each entry of a section is validated on its own, so that an invalid entry does not hide
 the errors in others.
--- a/toucanspring/configuration/reader.py
+++ b/toucanspring/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Parser of the configuration text: validates it and builds a `text.Cell`."""
+"""Parser of the configuration: validates it and builds a `text.Cell`."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 def parse_all(source: str) -> text.Cell | list[errors.Invalid]:
     """Return the declared cell, or its validation errors in the order of lines.
 
-    An empty text is the state before the first configuration: a cell without entries.
+    An empty source is the state before the first configuration: a cell without entries.
     """
     if not source:
         return text.Cell()
@@ -221,7 +221,7 @@
         return {key: build(key, entry) for key, entry in self._models[name].items()}
 
     def limits(self, entry: object) -> resources.Resources | None:
-        """Return the size of the largest worker, if the text states it."""
+        """Return the size of the largest worker, if the configuration states it."""
         if entry is None:
             return None
         limits = _convert(entry, model.Limits, ("limits",), self._faults)
--- a/toucanspring/configuration/records.py
+++ b/toucanspring/configuration/records.py
@@ -30,7 +30,7 @@
 
 
 class ConfigVersion(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the configuration text; `applied_at` is for display only."""
+    """One version of the configuration; `applied_at` is for display only."""
 
     version: int = 0
     source: str = ""
--- a/toucanspring/configuration/syntax.py
+++ b/toucanspring/configuration/syntax.py
@@ -1,8 +1,8 @@
 """YAML reader that returns plain values with line numbers.
 
 Only a subset of YAML is accepted: anchors, aliases and tags are rejected, because a
-short text with aliases can expand to an arbitrarily large value. Plain scalars follow
-the YAML 1.2 core schema, so that `no` is a string and not a boolean.
+short document with aliases can expand to an arbitrarily large value. Plain scalars
+follow the YAML 1.2 core schema, so that `no` is a string and not a boolean.
 """
 
 import dataclasses
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Value of a text with the 1-based line of each path in it."""
+    """Value of a YAML document with the 1-based line of each path in it."""
 
     value: object
     lines: dict[Path, int]
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -1,8 +1,9 @@
 """Service `handover`: transfer of ended work after a change of the partition count.
 
 A new ID is accepted only after each partition to which a former partition count maps it
-has denied having it. Ended work is handed over to the log of the partition of the
-current partition count, so that a former count can be removed once its work has ended.
+has answered that it does not have it. Ended work is handed over to the log of the
+partition of the current partition count, so that a former count can be removed once its
+work has ended.
 """
 
 from __future__ import annotations
@@ -326,7 +327,8 @@
         )
         if failure is None:
             log.info(
-                "removed former numbers {}, which held no more work", sorted(ended)
+                "removed former numbers {}, which held no more work",
+                sorted(ended),
             )
 
     def remaining_work(self) -> dict[int, Remaining | errors.Failure]:
--- a/toucanspring/owners/log_check.py
+++ b/toucanspring/owners/log_check.py
@@ -10,7 +10,7 @@
 
 
 class LogCheck:
-    """Checks one owner's copy of the log against the current layout version."""
+    """Check one owner's copy of the log against the current layout version."""
 
     def __init__(self, core: kernel.Kernel, log: journal.Journal, row: int) -> None:
         self._kernel = core
--- a/toucanspring/owners/outcomes.py
+++ b/toucanspring/owners/outcomes.py
@@ -30,7 +30,7 @@
     digest: bytes = b""
 
     def encode(self) -> str:
-        """Encode the start as text for a log record."""
+        """Encode the start as a string for a log record."""
         return " ".join((self.server, self.team, self.service, self.digest.hex()))
 
 
--- a/toucanspring/owners/runner.py
+++ b/toucanspring/owners/runner.py
@@ -2,7 +2,7 @@
 
 The server of each request is written to the log before the request is sent, so that a
 successor knows which server to ask. The record also contains what is needed to compare
-a repeated request with the first one; both are encoded as one text.
+a repeated request with the first one; both are encoded as one string.
 """
 
 from __future__ import annotations
--- a/toucanspring/settings.py
+++ b/toucanspring/settings.py
@@ -40,7 +40,7 @@
     :param http_certificate: PEM file with the certificate for callers and operators
     :param http_key: PEM file with the private key for callers and operators
     :param operator_key_hash: SHA-256 of the operators' key in hexadecimal
-    :param log_level: least level that is logged
+    :param log_level: minimum level that is logged
     :param log_format: plain or json
     :param lease_s: ownership lease
     :param renew_s: interval of renewals in the table service
@@ -86,7 +86,7 @@
 
 
 def check(settings: Settings) -> errors.Invalid | None:
-    """Return a failure for the first setting that is not valid."""
+    """Return a failure for the first invalid setting."""
     rules: list[tuple[str, bool, str]] = [
         ("process", bool(NAME.fullmatch(settings.process)), "a name of letters, "
          "digits, '.', '_' and '-'"),
