--- a/toucanspring/reporting/budgets.py
+++ b/toucanspring/reporting/budgets.py
@@ -159,7 +159,7 @@
         self._unwritten = burn.Counts()
         self._attempt: Attempt | None = None
         self._may_be_folded = False
-        self._fold_own = True  # rows of earlier runs under this name
+        self._fold_earlier_runs = True  # rows of earlier runs under this name
         self._fold_all_at = clock() + FOLD_INTERVAL_S
         self._lost = 0
         self._greenlet: gevent.Greenlet | None = None
@@ -264,7 +264,7 @@
             self._clock() >= self._fold_all_at
             and 0 in self._kernel.find("claims").owned()
         )
-        if not fold_all and not self._fold_own:
+        if not fold_all and not self._fold_earlier_runs:
             return {}
         found = read_rows(self._tables, PREFIX if fold_all else self._prefix)
         if isinstance(found, errors.Failure):
@@ -276,7 +276,7 @@
             if self._has_ended(key, entry[1], minute)
         }
         if len(ended) <= ROWS_PER_FOLD:
-            self._fold_own = False
+            self._fold_earlier_runs = False
             if fold_all:
                 self._fold_all_at = self._clock() + FOLD_INTERVAL_S
         return dict(list(ended.items())[:ROWS_PER_FOLD])
@@ -372,4 +372,4 @@
         self._attempt = None
         self._unwritten.add(attempt.new_counts.series())
         # Search again for the rows that the attempt was to fold.
-        self._fold_own = True
+        self._fold_earlier_runs = True
--- a/toucanspring/reporting/report.py
+++ b/toucanspring/reporting/report.py
@@ -64,7 +64,9 @@
     results = []
     for owned in core.find("partitions").owned().values():
         result = event.AsyncResult()
-        owned.post(inbox.SchedulerQuery(lambda decider: decider.summary(now), result))
+        owned.post(
+            inbox.SchedulerQuery(lambda scheduler: scheduler.summary(now), result)
+        )
         results.append(result)
     merged = summary.Summary()
     for result in gevent.wait(results, timeout=ASK_LIMIT_S):
