--- a/toucanspring/callers/api_partitions.py
+++ b/toucanspring/callers/api_partitions.py
@@ -28,14 +28,14 @@
     """`GET` and `PUT /v1/partitions`."""
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer with the number, the former numbers and what they still hold."""
+        """Answer with the partition count, the former ones and the work they hold."""
         self._access.require_operator(request)
         service = self._kernel.find("layout")
         failure = service.reread()
         if failure is not None:
             raise api.ApiError(errors.Unavailable(reason=f"store: {failure.reason}"))
         present = service.layout
-        held = self._kernel.find("handover").survey() if present.former else {}
+        held = self._kernel.find("handover").remaining_work() if present.former else {}
         value = {
             **_describe(present),
             "held": [_describe_held(*each) for each in sorted(held.items())],
@@ -43,7 +43,7 @@
         api.send_json(response, value, ETag=f'"{present.generation}"')
 
     def on_put(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Change the number if `If-Match` names the current generation."""
+        """Change the partition count if `If-Match` names the current generation."""
         operator = self._access.require_operator(request)
         expected = api_operators.expected_version(request)
         body = api.read_json(request, PartitionCount, MAX_BODY_BYTES)
--- a/toucanspring/owners/handover.py
+++ b/toucanspring/owners/handover.py
@@ -1,8 +1,9 @@
 """Service `handover`: transfer of ended work after a change of the partition count.
 
 A new ID is accepted only after each partition to which a former partition count maps it
-has denied having it. Ended work is handed over to the log of the partition of the
-current partition count, so that a former count can be removed once its work has ended.
+has answered that it does not have it. Ended work is handed over to the log of the
+partition of the current partition count, so that a former count can be removed once its
+work has ended.
 """
 
 from __future__ import annotations
@@ -298,7 +299,7 @@
         """Remove former partition counts for which no partition holds any work."""
         service = self._kernel.find("layout")
         current_layout = service.layout
-        answers = self.survey()
+        answers = self.remaining_work()
         needed: set[int] = set()
         for number, found in answers.items():
             if (
@@ -326,10 +327,11 @@
         )
         if failure is None:
             log.info(
-                "removed former numbers {}, which held no more work", sorted(ended)
+                "removed former numbers {}, which held no more work",
+                sorted(ended),
             )
 
-    def survey(self) -> dict[int, Remaining | errors.Failure]:
+    def remaining_work(self) -> dict[int, Remaining | errors.Failure]:
         """Query all owners for the work they hold for former partition counts."""
         current_layout = self._view.layout
         body = reply.encode(current_layout.generation)
