--- a/test/fake_cell.py
+++ b/test/fake_cell.py
@@ -20,7 +20,7 @@
         pass
 
 
-class Wire:
+class FakePeers:
     """Deliver notices between nodes at once, unless the pair is cut."""
 
     port = 1
@@ -48,7 +48,7 @@
         return True
 
     def call(self, process, method, body, timeout_s, abandon=None):
-        return self.cell.nodes[process].wire.handlers[method](self.name, body)
+        return self.cell.nodes[process].peers.handlers[method](self.name, body)
 
 
 class Node:
@@ -65,7 +65,7 @@
         self.steps = len(cell.nodes)  # spreads the work of the nodes over time
         settings = fake_tables.settings_of(name, partitions=partitions)
         self.kernel = kernel.Kernel()
-        self.wire = Wire(cell, name)
+        self.peers = FakePeers(cell, name)
         self.membership = membership.Service(self.kernel, settings, self.clock)
         self.membership._greenlets = NoGreenlets()
         # Nodes created within one microsecond would share an incarnation.
@@ -75,7 +75,7 @@
         self.documents = documents.Service(self.kernel, settings, fake_tables.parse)
         self.claims = claims.Service(self.kernel, settings)
         self.kernel.register("store", fake_tables.FakeStore(self.client))
-        self.kernel.register("peers", self.wire)
+        self.kernel.register("peers", self.peers)
         for event in (claims.PartitionAcquired, claims.PartitionLost):
             self.kernel.subscribe(event, self.events.append)
         for service in ("membership", "layout", "documents", "claims"):
@@ -99,7 +99,7 @@
         arrived = [each for each in self.inbox if each[0] <= self.cell.now]
         self.inbox = [each for each in self.inbox if each[0] > self.cell.now]
         for _, sender, method, body in arrived:
-            self.wire.handlers[method](sender, body)
+            self.peers.handlers[method](sender, body)
         self.steps += 1
         if self.steps % 5 == 0:
             self.membership.poll()
@@ -111,10 +111,10 @@
         """Return whether this node would act as owner now."""
         return self.claims.may_start(partition, self.clock())
 
-    def held(self):
+    def holds_lease(self):
         """Return whether the lease in the store is valid."""
-        standing = self.membership.lease_state(self.clock())
-        return standing is ownership.LeaseState.HELD
+        state = self.membership.lease_state(self.clock())
+        return state is ownership.LeaseState.HELD
 
     def kill(self):
         self.dead = True
@@ -161,7 +161,7 @@
     def owners(self, partition):
         return [node.name for node in self.nodes.values() if node.owns(partition)]
 
-    def disturb(self, rng):
+    def inject_fault(self, rng):
         nodes = list(self.nodes.values())
         node = rng.choice(nodes)
         row = f"members/{node.name}"
@@ -208,7 +208,7 @@
             node.kill()
 
 
-def make_unsteady(count, rng):
+def make_drifting_cell(count, rng):
     """Return a cell with drifting clocks and delayed messages."""
     # Two clocks differ by less than 5%.
     cell = Cell(count, rates=[rng.uniform(0.976, 1.024) for _ in range(count)])
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -222,12 +222,12 @@
             self.cell.run(1.0)
             found = [self.cell.owners(partition) for partition in range(3)]
             self.assertEqual(owners, found)
-        self.assertFalse(self.owner().held())
+        self.assertFalse(self.owner().holds_lease())
         for node in self.cell.nodes.values():
             node.client.down = False
         self.cell.run(5)
         self.assertEqual(owners, [self.cell.owners(p) for p in range(3)])
-        self.assertTrue(all(self.owner(p).held() for p in range(3)))
+        self.assertTrue(all(self.owner(p).holds_lease() for p in range(3)))
 
     def test_owners_in_the_minority_stop_during_an_outage(self):
         # Guards against an owner that goes on without its peers and the store.
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -202,13 +202,13 @@
         ) / 1000 + 0.01
         acquired = self.acquire("two")
         self.assertEqual(2, acquired.lease.epoch)
-        self.assertTrue(acquired.predecessor_may_live)
+        self.assertTrue(acquired.predecessor_may_run)
 
     def test_a_restarted_process_acquires_its_earlier_lease_at_once(self):
         self.acquire()
         acquired = self.acquire()
         self.assertEqual(2, acquired.lease.epoch)
-        self.assertFalse(acquired.predecessor_may_live)
+        self.assertFalse(acquired.predecessor_may_run)
 
     def test_a_lease_acquired_without_a_reply_is_acquired_again(self):
         self.store.lose_answers = 1
@@ -221,7 +221,7 @@
             self.store, "two", "10.0.0.2", "two", takeover_epoch=1
         )
         self.assertEqual(2, acquired.lease.epoch)
-        self.assertTrue(acquired.predecessor_may_live)
+        self.assertTrue(acquired.predecessor_may_run)
         # It may renew worker leases for as long as it considers its own lease valid.
         self.assertEqual(
             leader_lease.LEASE_MS / 1000, acquired.predecessor_lease_left_s
@@ -238,7 +238,7 @@
     def test_a_released_lease_is_free_at_once(self):
         writer = self.make_writer(self.acquire())
         self.assertIsNone(writer.release())
-        self.assertFalse(self.acquire("two").predecessor_may_live)
+        self.assertFalse(self.acquire("two").predecessor_may_run)
 
 
 class FencedWriterTest(LeaderLeaseCase):
--- a/test/test_dispatch.py
+++ b/test/test_dispatch.py
@@ -18,7 +18,7 @@
 
 
 class ShareTest(testtools.TestCase):
-    def use(self, shares, cpus):
+    def mean_usage(self, shares, cpus):
         """Return the mean CPU usage of each team after the first ten seconds."""
         owner = scheduler.Scheduler(0, random.Random(3))
         teams = {
@@ -60,11 +60,13 @@
     def test_large_tasks_get_their_share_beside_many_small_ones(self):
         # Guards against small tasks that occupy freed capacity before there is enough
         # for a large one.
-        used = self.use({"small": 1.0, "large": 1.0}, {"small": 1000, "large": 8000})
+        used = self.mean_usage(
+            {"small": 1.0, "large": 1.0}, {"small": 1000, "large": 8000}
+        )
         self.assertGreater(used["large"], 0.4 * CAPACITY.cpus)
 
     def test_equal_tasks_follow_unequal_shares(self):
-        used = self.use({"a": 3.0, "b": 1.0}, {"a": 1000, "b": 1000})
+        used = self.mean_usage({"a": 3.0, "b": 1.0}, {"a": 1000, "b": 1000})
         self.assertAlmostEqual(0.75, used["a"] / CAPACITY.cpus, delta=0.05)
 
 
--- a/test/test_documents.py
+++ b/test/test_documents.py
@@ -276,7 +276,7 @@
         for seed in range(28, 40):
             self.addDetail("seed", content.text_content(str(seed)))
             rng = random.Random(seed)
-            self.cell = fake_cell.make_unsteady(5, rng)
+            self.cell = fake_cell.make_drifting_cell(5, rng)
             self.stored, self.accepted = [], []
             self.cell.run(6, self.check)
             while self.cell.now < 60:
--- a/test/test_fairness.py
+++ b/test/test_fairness.py
@@ -111,9 +111,9 @@
             tracker.started("b", TASK, 0.0)
         self.assertEqual({"a"}, tracker.yielding(["a", "b"], 0.0))
 
-    def test_average_use_is_a_moving_average(self):
+    def test_average_usage_is_a_moving_average(self):
         tracker = make_tracker({"a": 1}, window_s=10.0)
         for _ in range(50):
             tracker.started("a", TASK, 0.0)
-        self.assertLess(tracker.average_use(1.0)["a"], 0.1)
-        self.assertAlmostEqual(0.5, tracker.average_use(200.0)["a"], places=6)
+        self.assertLess(tracker.average_usage(1.0)["a"], 0.1)
+        self.assertAlmostEqual(0.5, tracker.average_usage(200.0)["a"], places=6)
--- a/test/test_ownership.py
+++ b/test/test_ownership.py
@@ -132,7 +132,7 @@
                 for node in self.cell.nodes.values()
                 if not node.dead and node.owns(partition)
             ]
-            held = [node.name for node in owners if node.held()]
+            held = [node.name for node in owners if node.holds_lease()]
             self.assertTrue(len(held) <= 1, f"{held} hold partition {partition}")
             self.extended += len(owners) > len(held)
             if not owners:
@@ -144,11 +144,11 @@
     def simulate(self, seed, seconds=45):
         self.addDetail("seed", content.text_content(str(seed)))
         rng = random.Random(seed)
-        self.cell = fake_cell.make_unsteady(5, rng)
+        self.cell = fake_cell.make_drifting_cell(5, rng)
         self.cell.run(6, self.check)
         while self.cell.now < seconds:
             for _ in range(rng.randrange(1, 3)):
-                self.cell.disturb(rng)
+                self.cell.inject_fault(rng)
             self.cell.run(rng.choice([0.3, 1, 2.5, 4]), self.check)
             if rng.random() < 0.6:
                 self.cell.heal(rng)
--- a/toucanspring/cell/member_rows.py
+++ b/toucanspring/cell/member_rows.py
@@ -223,9 +223,12 @@
             promise_age_s = self._clock() - self.promised_at
             if claim and promise_age_s < self.timing.promise_expiry_s:
                 return errors.Refused(reason="promised to claim nothing")
-            guarded = {self.key, *self.hooks.expected_versions()}
+            checked_keys = {self.key, *self.hooks.expected_versions()}
             result = self._attempt(checks, writes)
-            if not isinstance(result, errors.Conflict) or result.key not in guarded:
+            if (
+                not isinstance(result, errors.Conflict)
+                or result.key not in checked_keys
+            ):
                 return result
             conflict_failure = self._handle_conflict()
             if conflict_failure is not None:
--- a/toucanspring/cell/ownership.py
+++ b/toucanspring/cell/ownership.py
@@ -204,12 +204,12 @@
     if not members or now - claimed_at >= timing.extension_expiry_s:
         return True  # no promise can count, or the longest extension is over
     known = [promise_free[name] for name in members if name in promise_free]
-    for moment in {interval.until for interval in known}:
-        if moment < claimed_at:
+    for instant in {interval.until for interval in known}:
+        if instant < claimed_at:
             continue
         silent = sum(
-            interval.since <= moment - timing.promise_expiry_s
-            and moment <= interval.until
+            interval.since <= instant - timing.promise_expiry_s
+            and instant <= interval.until
             for interval in known
         )
         if silent * 2 >= len(members):
--- a/toucanspring/coordinator/failover.py
+++ b/toucanspring/coordinator/failover.py
@@ -40,7 +40,8 @@
 RANK_DELAY_S = 0.1
 # A new coordinator is not considered failed while it still connects to its peers.
 NEW_COORDINATOR_GRACE_S = 3.0
-WITNESSES = 2  # peers that are asked whether they are connected to the coordinator
+# How many other peers are asked whether they reach the coordinator.
+REACHABILITY_CHECK_PEERS = 2
 
 
 class Failover:
@@ -166,7 +167,7 @@
 
     def _confirm_unreachable(self, process: str) -> bool:
         """Return whether one of the other peers cannot reach a process either."""
-        for name in self._peers.connected()[:WITNESSES]:
+        for name in self._peers.connected()[:REACHABILITY_CHECK_PEERS]:
             answer = self._peers.call(
                 name, REACHES, process.encode(), PEER_CALL_TIMEOUT_S
             )
--- a/toucanspring/coordinator/leader_lease.py
+++ b/toucanspring/coordinator/leader_lease.py
@@ -53,7 +53,7 @@
     version: int
     # Whether the previous coordinator may still be running and renewing worker leases,
     # and for how many more seconds it may consider its own lease valid.
-    predecessor_may_live: bool
+    predecessor_may_run: bool
     predecessor_lease_left_s: float = 0.0
 
 
@@ -118,12 +118,12 @@
         {rows.LEADER_LEASE_ROW: version}, {rows.LEADER_LEASE_ROW: rows.encode(wanted)}
     )
     match answer:
-        case ports.Committed(at=moment):
-            may_live = lease is not None and lease.expires_ms > 0
-            if not may_live or lease.process == process:
-                return Acquired(wanted, moment.version, False)
+        case ports.Committed(at=committed):
+            may_run = lease is not None and lease.expires_ms > 0
+            if not may_run or lease.process == process:
+                return Acquired(wanted, committed.version, False)
             left_ms = max(0, lease.expires_ms - at.store_ms)
-            return Acquired(wanted, moment.version, True, left_ms / 1000)
+            return Acquired(wanted, committed.version, True, left_ms / 1000)
         case ports.Rejected():
             return errors.Conflict(reason="another process acquired the leader lease")
         case _:
--- a/toucanspring/coordinator/leadership.py
+++ b/toucanspring/coordinator/leadership.py
@@ -283,7 +283,7 @@
             self.cell.register_worker(entry)
         recovery.restore(self.cell, self._jobs.rows.values(), progress, now)
         renewed_until = self._acquired_at + self._max_lease_s
-        if self._acquired.predecessor_may_live:
+        if self._acquired.predecessor_may_run:
             renewed_until += (
                 self._acquired.predecessor_lease_left_s + dispatch.STORE_OUTAGE_GRACE_S
             )
--- a/toucanspring/coordinator/rate_limits.py
+++ b/toucanspring/coordinator/rate_limits.py
@@ -36,8 +36,8 @@
             return False
         capacity = max(MIN_BURST_JOBS, organisation.weight * BURST_S)
         bucket = self._buckets.setdefault(name, TokenBucket(capacity, now))
-        earned = max(0.0, now - bucket.refilled_at) * organisation.weight
-        bucket.tokens = min(capacity, bucket.tokens + earned)
+        refill = max(0.0, now - bucket.refilled_at) * organisation.weight
+        bucket.tokens = min(capacity, bucket.tokens + refill)
         bucket.refilled_at = max(now, bucket.refilled_at)
         if bucket.tokens < 1:
             return True
--- a/toucanspring/scheduling/allowance.py
+++ b/toucanspring/scheduling/allowance.py
@@ -384,10 +384,12 @@
         if target == allowance.held:
             return None
         allowance.target, allowance.requested_at = target, now
-        goal = resources.Resources(*target)
+        target_amount = resources.Resources(*target)
         held = resources.Resources(*allowance.held)
         allowance.returning = any(map(int.__lt__, target, allowance.held))
         if not allowance.returning:
             needed = resources.Resources(*least)
-            return effects.RequestAllowance(team, goal - held, goal, needed)
-        return effects.ReturnAllowance(team, held - goal, goal)
+            return effects.RequestAllowance(
+                team, target_amount - held, target_amount, needed
+            )
+        return effects.ReturnAllowance(team, held - target_amount, target_amount)
--- a/toucanspring/scheduling/dispatch.py
+++ b/toucanspring/scheduling/dispatch.py
@@ -209,8 +209,8 @@
         return started
 
     def _task_limit(self, worker: str, share: int, now: float) -> int:
-        verdict = self._core.quarantine.eligibility(worker, now)
-        return 1 if verdict is quarantine.Eligibility.PROBE else share
+        eligibility = self._core.quarantine.eligibility(worker, now)
+        return 1 if eligibility is quarantine.Eligibility.PROBE else share
 
     def _record_no_room(
         self, record: task_table.JobRecord, rank: int, rejected: placement.NoRoom
--- a/toucanspring/scheduling/draining.py
+++ b/toucanspring/scheduling/draining.py
@@ -80,8 +80,8 @@
     """Return whether a job's waiting tasks would keep its team within its share."""
     team = record.spec.team
     targets = core.shares.targets(core.running_teams() | set(core.queue.teams()))
-    use = core.shares.use(team) + demand.times(record.waiting_count())
-    return use.dominant(core.index.total()) <= targets.get(team, 0.0)
+    usage = core.shares.usage(team) + demand.times(record.waiting_count())
+    return usage.dominant(core.index.total()) <= targets.get(team, 0.0)
 
 
 def checkpoint_cost(
--- a/toucanspring/scheduling/fairness.py
+++ b/toucanspring/scheduling/fairness.py
@@ -46,11 +46,11 @@
         "ranked_integral",
         "integral",
         "updated_at",
-        "use",
+        "current",
     )
 
     def __init__(self, now: float) -> None:
-        self.use = resources.ZERO
+        self.current = resources.ZERO
         self.average = 0.0  # exponential moving average of the dominant share
         self.integral = 0.0  # of the dominant share since the start, in seconds
         self.ranked_integral = 0.0  # `integral` when the deficit was last updated
@@ -87,17 +87,17 @@
     def started(self, team: str, demand: resources.Resources, now: float) -> None:
         """Add the demand of a started task to the usage of its team."""
         usage = self._update_usage(team, now)
-        usage.use += demand
+        usage.current += demand
 
     def ended(self, team: str, demand: resources.Resources, now: float) -> None:
         """Subtract the demand of an ended task from the usage of its team."""
         usage = self._update_usage(team, now)
-        usage.use -= demand
+        usage.current -= demand
 
-    def use(self, team: str) -> resources.Resources:
+    def usage(self, team: str) -> resources.Resources:
         """Return the current usage of a team."""
         usage = self._usage_by_team.get(team)
-        return usage.use if usage else resources.ZERO
+        return usage.current if usage else resources.ZERO
 
     def targets(self, active: Iterable[str]) -> dict[str, float]:
         """Divide the cell among the active teams by share, within their ceilings."""
@@ -157,7 +157,7 @@
         """
         total_held = resources.ZERO
         for usage in self._usage_by_team.values():
-            total_held += usage.use
+            total_held += usage.current
         if total_held.dominant(self._total) < 1 - MAX_IDLE_FRACTION:
             return set()
         return {
@@ -175,20 +175,21 @@
         names = list(active)
         targets = self.targets(self._with_running_teams(names))
         self._update_deficits(frozenset(names), targets, now)
-        total_use = sum(
-            usage.use.dominant(self._total) for usage in self._usage_by_team.values()
+        total_usage = sum(
+            usage.current.dominant(self._total)
+            for usage in self._usage_by_team.values()
         )
         found = {}
         for name in names:
             usage = self._usage_by_team[name]
-            entitled = targets[name] * total_use
+            entitled = targets[name] * total_usage
             bound = MAX_CORRECTION * entitled
             correction = max(-bound, min(bound, usage.deficit / DEFICIT_RECOVERY_S))
-            shortfall = entitled - usage.use.dominant(self._total) + correction
+            shortfall = entitled - usage.current.dominant(self._total) + correction
             found[name] = (shortfall, targets[name])
         return found
 
-    def average_use(self, now: float) -> dict[str, float]:
+    def average_usage(self, now: float) -> dict[str, float]:
         """Return the moving average of the dominant share of each team."""
         return {
             name: self._update_usage(name, now).average
@@ -202,12 +203,12 @@
         team is over its share while the teams together use less than the cell.
         """
         targets = self.targets(self._with_running_teams(active))
-        uses = {
-            name: self._update_usage(name, now).use.dominant(self._total)
+        usages = {
+            name: self._update_usage(name, now).current.dominant(self._total)
             for name in targets
         }
-        total_use = max(1.0, sum(uses.values()))
-        excess = {name: uses[name] - targets[name] * total_use for name in targets}
+        total_usage = max(1.0, sum(usages.values()))
+        excess = {name: usages[name] - targets[name] * total_usage for name in targets}
         over = [name for name in excess if excess[name] > ROUNDING_ERROR]
         return {
             name: excess[name]
@@ -223,7 +224,7 @@
         running = (
             name
             for name, usage in self._usage_by_team.items()
-            if usage.use != resources.ZERO
+            if usage.current != resources.ZERO
         )
         return dict.fromkeys((*names, *running))
 
@@ -243,11 +244,11 @@
             self._update_usage(name, now)
             used[name] = usage.integral - usage.ranked_integral
             usage.ranked_integral = usage.integral
-        total_use = sum(used.values())
+        total_usage = sum(used.values())
         decay = math.exp(-max(0.0, now - self._deficits_updated_at) / self._window_s)
         self._deficits_updated_at = now
         for name, usage in self._usage_by_team.items():
-            gain = targets.get(name, 0.0) * total_use - used[name]
+            gain = targets.get(name, 0.0) * total_usage - used[name]
             if name not in self._last_active:
                 gain = min(0.0, gain)
             usage.deficit = usage.deficit * decay + gain
@@ -261,8 +262,8 @@
         elapsed = now - usage.updated_at
         if elapsed > 0:
             decay = math.exp(-elapsed / self._window_s)
-            use = usage.use.dominant(self._total)
-            usage.average = usage.average * decay + use * (1 - decay)
-            usage.integral += use * elapsed
+            share = usage.current.dominant(self._total)
+            usage.average = usage.average * decay + share * (1 - decay)
+            usage.integral += share * elapsed
             usage.updated_at = now
         return usage
--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -133,8 +133,8 @@
                 active = core.running_teams() | set(core.queue.teams())
                 over_share = core.shares.over_share(active, now)
                 targets = core.shares.targets(active)
-            use = (core.shares.use(spec.team) + demand).dominant(core.index.total())
-            if not over_share or use > targets.get(spec.team, 0.0):
+            usage = (core.shares.usage(spec.team) + demand).dominant(core.index.total())
+            if not over_share or usage > targets.get(spec.team, 0.0):
                 continue
             victims = _find_victims(core, record, LAST_PROTECTED, over_share)
         else:
--- a/toucanspring/scheduling/summary.py
+++ b/toucanspring/scheduling/summary.py
@@ -39,9 +39,9 @@
     """Return the totals of a partition in time linear in its waiting jobs."""
     found = Summary(capacity=core.index.total())
     for team in core.teams:
-        use = core.shares.use(team)
-        if use != resources.ZERO:
-            found.use[team] = use
+        usage = core.shares.usage(team)
+        if usage != resources.ZERO:
+            found.use[team] = usage
     for team in core.queue.teams():
         classes = found.waiting.setdefault(team, {})
         for group in core.queue.next_groups(team):
