--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -230,7 +230,7 @@
         self.assertTrue(all(self.owner(p).holds_lease() for p in range(3)))
 
     def test_owners_in_the_minority_stop_during_an_outage(self):
-        # Guards against an owner that goes on without its peers and the store.
+        # Guards against an owner that keeps acting without its peers and the store.
         self.make(count=5)
         owner = self.owner()
         for node in self.cell.nodes.values():
--- a/test/test_coordinator_processes.py
+++ b/test/test_coordinator_processes.py
@@ -221,7 +221,7 @@
             failover.Failover(name, peers, self.store, takeovers.append, None)
             for name, peers in (("two", watcher), ("three", witness))
         ]
-        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
+        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "instance")
         for each in failovers:
             each.set_coordinator(held)
             each._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
@@ -234,7 +234,7 @@
     def test_a_coordinator_is_stable_after_its_grace_period_while_it_is_heard(self):
         first = failover.Failover("two", Network().join("two"), self.store, None, None)
         self.assertFalse(first.has_stable_coordinator())
-        first.set_coordinator(rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life"))
+        first.set_coordinator(rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "instance"))
         self.assertFalse(first.has_stable_coordinator())
         first._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
         first.record_heartbeat("one")
@@ -251,7 +251,7 @@
         witness.targets = {"one": 0, "two": 0}
         first = failover.Failover("two", watcher, self.store, takeovers.append, None)
         second = failover.Failover("three", witness, self.store, takeovers.append, None)
-        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "life")
+        held = rows.LeaderLease("one", "10.0.0.1", 4, 1, 0, "instance")
         for each in (first, second):
             each.set_coordinator(held)
             each._lease_seen_at -= failover.NEW_COORDINATOR_GRACE_S
--- a/test/test_coordinator_store.py
+++ b/test/test_coordinator_store.py
@@ -181,7 +181,7 @@
 
     def acquire(self, process="one"):
         return leader_lease.acquire(
-            self.store, process, "10.0.0.1", f"life of {process}"
+            self.store, process, "10.0.0.1", f"instance of {process}"
         )
 
     def make_writer(self, acquired):
--- a/test/test_coordinator_workers.py
+++ b/test/test_coordinator_workers.py
@@ -8,7 +8,7 @@
 
 class LeaseTest(testtools.TestCase):
     def test_the_first_clock_reading_is_used(self):
-        # The coordinator has run for long, while the worker's clock starts at zero.
+        # The coordinator has run for a long time; the worker's clock starts at zero.
         worker = workers.Worker(case.entry())
         worker.update_clock(1_500, received_at=11_000.0)
         self.assertEqual(1_500, worker.estimate_clock(11_000.0))
--- a/test/test_freshness.py
+++ b/test/test_freshness.py
@@ -77,7 +77,7 @@
 
     def test_a_change_needs_half_of_each_list_or_the_member_itself(self):
         # Guards against a minority with store access that no longer lists the others
-        # and accepts a change that these do not know while they go on.
+        # and accepts a change that these do not know while they use the old one.
         rows = dict.fromkeys(MEMBERS, MEMBERS)
         for confirmed, accepted in (
             ({"a"}, False),
--- a/test/test_ownership.py
+++ b/test/test_ownership.py
@@ -160,8 +160,8 @@
         self.assertIsNotNone(recovered_s, "not every partition has an owner again")
 
     def test_at_most_one_owner_acts_and_the_cell_recovers(self):
-        # Guards against two holders of a lease, against an owner that goes on after its
-        # successor regards it as gone, and against partitions without an owner.
+        # Guards against two holders of a lease, against an owner that still acts after
+        # its successor regards it as gone, and against partitions without an owner.
         self.extended = 0
         for seed in range(15):
             self.simulate(seed)
--- a/toucanspring/cell/member_removal.py
+++ b/toucanspring/cell/member_removal.py
@@ -101,7 +101,7 @@
 
 
 def delete_dead(members: Members, client: tables.TableClient) -> None:
-    """Delete the rows of members that have been silent for long.
+    """Delete the rows of members that have been silent for a long time.
 
     Only the first live process does so. The row of a member that owns a partition is
     kept, since successors need its list, and so is one whose lease a majority of its
--- a/toucanspring/coordinator/catalogue.py
+++ b/toucanspring/coordinator/catalogue.py
@@ -22,7 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Queue:
-    """A queue: its HTTP route, its pool of workers and its deadline targets."""
+    """A queue: its HTTP route, its pool of workers and its deadline targets.
+
+    The result of a job is due after `stretch` times the sum of its estimated step run
+    times, plus `target_s`.
+    """
 
     name: str
     host: str
--- a/toucanspring/coordinator/job_specs.py
+++ b/toucanspring/coordinator/job_specs.py
@@ -29,7 +29,7 @@
     uses_idle_cpus: bool = False  # CPUs are not counted against the worker's capacity
 
     def occupied(self) -> resources.Resources:
-        """Return the worker capacity that one task is counted with."""
+        """Return the worker capacity that one task occupies."""
         if self.uses_idle_cpus:
             return resources.Resources(0, self.demand.memory, self.demand.accelerators)
         return self.demand
--- a/toucanspring/coordinator/stragglers.py
+++ b/toucanspring/coordinator/stragglers.py
@@ -87,7 +87,7 @@
     for worker in slow:
         worker.slow_until = now + SLOW_WORKER_PAUSE_S
         worker.slowness = worker.speed * SLOW_FRACTION / limit if limit else 1.0
-        worker.samples = 0  # sampled anew after the pause
+        worker.samples = 0  # sampled again after the pause
     return slow
 
 
--- a/toucanspring/scheduling/admission.py
+++ b/toucanspring/scheduling/admission.py
@@ -5,7 +5,7 @@
 from toucanspring import job
 from toucanspring.scheduling import effects, lifecycle, task_table
 
-# All workers of the partition count as known once none was added for this time.
+# The workers of a partition are taken as complete once none was added for this time.
 WORKERS_SETTLED_S = 5.0
 
 
--- a/toucanspring/scheduling/move_planner.py
+++ b/toucanspring/scheduling/move_planner.py
@@ -137,8 +137,10 @@
         self._collect_for_gang(own, served)
         chosen: list[str] = []
         batch = None
-        first = served is not None and self._has_older_gang(served[1], view, now)
-        if served is not None and served[0] != own and not first:
+        serve_own_first = served is not None and self._has_older_gang(
+            served[1], view, now
+        )
+        if served is not None and served[0] != own and not serve_own_first:
             chosen = self._choose_for_gang(served[1], donate=True)
             self._stop_services(chosen)
             batch = self._empty_batch(served[0], chosen, view)
@@ -283,7 +285,7 @@
         """Return workers with the room that a gang lacks, empty ones first.
 
         With `donate` they will leave the partition, so services on them do not count
-        as use. Once the gang has waited for DRAIN_AFTER_S, busy workers are included
+        as usage. Once the gang has waited for DRAIN_AFTER_S, busy workers are included
         and drained.
         """
         found = []
@@ -415,8 +417,8 @@
             group = core.queue.find(request.job_id)
             if group is not None:
                 job_id = request.job_id
-                whole = request.with_tasks(len(group))
-                workers = frozenset(self._choose_for_gang(whole, donate=False))
+                full_request = request.with_tasks(len(group))
+                workers = frozenset(self._choose_for_gang(full_request, donate=False))
         if (job_id, workers) != (core.collecting_gang, core.collected_workers):
             core.collecting_gang, core.collected_workers = job_id, workers
             core.placement_needed = True
--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -36,7 +36,7 @@
 def enforce_ceilings(core: lifecycle.Lifecycle, now: float) -> None:
     """Stop the latest tasks of teams that use more than their allowance."""
     if core.expected_workers:
-        return  # the use by restored tasks is only an upper bound yet
+        return  # the usage of restored tasks is still an upper bound
     for team in core.allowances.teams():
         excess = core.allowances.excess(team)
         if excess != resources.ZERO:
--- a/toucanspring/scheduling/reservation.py
+++ b/toucanspring/scheduling/reservation.py
@@ -17,4 +17,4 @@
     # Capacity left idle until `starts_at`, in seconds of the whole cell.
     idle_cost: float = 0.0
     cost_compared: bool = False  # idle_cost was compared with the cost of checkpoints
-    for_move: bool = False  # made before the task to move has stopped and waits
+    for_move: bool = False  # the task to be moved there may still be running
--- a/toucanspring/scheduling/resizing.py
+++ b/toucanspring/scheduling/resizing.py
@@ -41,7 +41,7 @@
     """Return the receiving partition and the workers to move there, or None.
 
     `counts` is the number of workers by partition, and `starving` lists the partitions
-    whose tasks have been waiting for long.
+    whose tasks have been waiting for a long time.
     """
     ordered = sorted(candidates)
     if donor.number >= partition_count:
