--- a/test/partitioned.py
+++ b/test/partitioned.py
@@ -108,7 +108,7 @@
     def peer_states(self):
         return {
             f"p{owner.number}": types.SimpleNamespace(
-                statements=owner.mover.statements(),
+                capacity_reports=owner.mover.statements(),
                 owned={owner.number: owner.epoch},
             )
             for owner in self.shared.owners.values()
--- a/toucanspring/cell/heartbeat.py
+++ b/toucanspring/cell/heartbeat.py
@@ -38,7 +38,8 @@
     owned: dict[int, int]  # partition -> epoch
     free: resources.Resources = resources.ZERO
     draining: bool = False
-    statements: dict[int, capacity_report.CapacityReport] = {}  # by owned partition
+    # By owned partition.
+    capacity_reports: dict[int, capacity_report.CapacityReport] = {}
 
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
--- a/toucanspring/cell/membership.py
+++ b/toucanspring/cell/membership.py
@@ -70,7 +70,9 @@
         self.observations: dict[str, ownership.Observation] = {}
         self.rows: dict[str, tuple[int, member_rows.MemberRow]] = {}
         self.free_resources: Callable[[], resources.Resources] = lambda: resources.ZERO
-        self.statements: Callable[[], dict[int, capacity_report.CapacityReport]] = dict
+        self.capacity_reports: Callable[
+            [], dict[int, capacity_report.CapacityReport]
+        ] = dict
         self._watches: list[tuple[Callable, Callable]] = []
         self._listeners: list[HeartbeatListener] = []
         self._polls = 0
@@ -382,7 +384,7 @@
             owned=self.local_member.hooks.owned(),
             free=self.free_resources(),
             draining=self.local_member.draining,
-            statements=self.statements(),
+            capacity_reports=self.capacity_reports(),
         )
         for name in self.members():
             if name != self.identity.process:
--- a/toucanspring/coordinator/approval_dispatcher.py
+++ b/toucanspring/coordinator/approval_dispatcher.py
@@ -55,9 +55,8 @@
         self._on_reply = on_reply
         self._queue: list[tuple[int, float, int, plans.ApprovalRequest]] = []
         self._sequence = itertools.count()
-        self._in_flight: dict[
-            str, float
-        ] = {}  # caller -> expected duration of its request
+        # Caller -> expected duration of its request in seconds.
+        self._in_flight: dict[str, float] = {}
         self._retry_at: dict[str, float] = {}  # caller -> when it may be tried again
         self._calls = pool.Group()
 
--- a/toucanspring/owners/mover.py
+++ b/toucanspring/owners/mover.py
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start to report needs and to move workers."""
         if self._enabled:
-            self._kernel.find("membership").statements = self.statements
+            self._kernel.find("membership").capacity_reports = self.statements
             counter = self._kernel.find("metrics").counter(
                 "toucanspring_worker_moves_total",
                 "Workers that this process has moved to other partitions.",
@@ -85,7 +85,7 @@
         found: dict[int, tuple[int, capacity_report.CapacityReport]] = {}
         peers = self._kernel.find("membership").peer_states()
         for message in peers.values():
-            for number, report in message.statements.items():
+            for number, report in message.capacity_reports.items():
                 epoch = message.owned.get(number, 0)
                 if epoch > found.get(number, (0, None))[0]:
                     found[number] = epoch, report
--- a/toucanspring/scheduling/overuse.py
+++ b/toucanspring/scheduling/overuse.py
@@ -23,7 +23,7 @@
 # the effect of a change is visible only after this time.
 SETTLE_S = 6.0
 MIN_FRACTION = 0.05  # of a task's processors
-REASON = "the worker ran out of memory"
+MEMORY_STOP_REASON = "the worker ran out of memory"
 
 
 def apply_usage(
@@ -135,7 +135,7 @@
             continue
         _record_size(core, task)
         interruption.interrupt(
-            core, task, REASON, "checkpoint", event_kinds.StopCause.MEMORY
+            core, task, MEMORY_STOP_REASON, "checkpoint", event_kinds.StopCause.MEMORY
         )
         excess -= task.usage.memory
 
