--- a/toucanspring/cell/layout.py
+++ b/toucanspring/cell/layout.py
@@ -171,16 +171,18 @@
         response was lost and the row could not be read in time.
         """
         if not self._resizable:
-            return errors.Refused(reason="needs the setting moves to be on")
-        name = uuid.uuid4().hex
+            return errors.Refused(
+                reason="the partition count is fixed unless the setting moves is on"
+            )
+        change_id = uuid.uuid4().hex
         return self._write(
             lambda present: (
                 present
                 if number == present.current and present.generation == expected
-                else with_partition_count(present, number, name, operator)
+                else with_partition_count(present, number, change_id, operator)
             ),
             expected,
-            name,
+            change_id,
         )
 
     def remove_former(
@@ -213,7 +215,7 @@
         self,
         plan: Callable[[Layout], Layout | errors.Failure],
         expected: int,
-        name: str,
+        change_id: str,
     ) -> Layout | errors.Failure:
         """Write the planned layout; retry until the outcome is certain.
 
@@ -223,7 +225,7 @@
         deadline = self._clock() + CHANGE_TIMEOUT_S
         lost: errors.Ambiguous | None = None
         while True:
-            result = self._attempt(plan, expected, name)
+            result = self._attempt(plan, expected, change_id)
             match result:
                 case errors.Ambiguous():
                     lost = result
@@ -241,14 +243,14 @@
         self,
         plan: Callable[[Layout], Layout | errors.Failure],
         expected: int,
-        name: str,
+        change_id: str,
     ) -> Layout | errors.Failure:
         failure = self.reread()
         if failure is not None:
             # A failed read has no effect, so the outcome is not ambiguous.
             return errors.StoreUnavailable(reason=f"store: {failure.reason}")
         present, version = self.view.layout, self.view.version
-        if present.change == name:
+        if present.change == change_id:
             return present  # an earlier attempt whose response was lost
         if present.generation != expected:
             return errors.Conflict(
--- a/toucanspring/cell/member_rows.py
+++ b/toucanspring/cell/member_rows.py
@@ -222,7 +222,9 @@
             # A promise may have been made while this write waited for the lock.
             promise_age_s = self._clock() - self.promised_at
             if claim and promise_age_s < self.timing.promise_expiry_s:
-                return errors.Refused(reason="promised to claim nothing")
+                return errors.Refused(
+                    reason="this process has promised to claim nothing"
+                )
             checked_keys = {self.key, *self.hooks.expected_versions()}
             result = self._attempt(checks, writes)
             if (
@@ -293,7 +295,9 @@
             or current.member.incarnation != self.identity.incarnation
             or current.counter != counter
         ):
-            return errors.Unavailable(reason=f"not in effect: {lost.reason}")
+            return errors.Unavailable(
+                reason=f"the write did not take effect: {lost.reason}"
+            )
         versions = {
             key: rows[key].version if rows[key].value == value else 0
             for key, value in writes.items()
--- a/toucanspring/cell/ownership.py
+++ b/toucanspring/cell/ownership.py
@@ -125,7 +125,7 @@
 class Observation:
     """Time at which the current counter and incarnation of a row were first read.
 
-    Both are the times at which the response arrived, hence later than the renewal.
+    Both are the times at which the response arrived, which is later than the renewal.
     """
 
     incarnation: int
--- a/toucanspring/coordinator/leader_lease.py
+++ b/toucanspring/coordinator/leader_lease.py
@@ -105,7 +105,7 @@
         return found
     lease, version, at = found
     if lease is not None:
-        # A lease under the own process name is from an earlier run, which has ended.
+        # A lease under this process's name is from an earlier run, which has ended.
         free = lease.process == process or lease.epoch == takeover_epoch
         if not free and not is_expired(lease, at.store_ms):
             left_ms = lease.expires_ms + CLOCK_MARGIN_MS - at.store_ms
--- a/toucanspring/coordinator/table_cache.py
+++ b/toucanspring/coordinator/table_cache.py
@@ -154,7 +154,10 @@
                         # The table did not change while the store waited.
                         sent += self._wait_s
                 case ports.HistoryGone():
-                    log.info("table {}: history is gone, reading all rows", self._table)
+                    log.info(
+                        "table {}: change history has expired; reading all rows",
+                        self._table,
+                    )
                     self._version = None
                     return None
                 case errors.Failure():
@@ -201,12 +204,12 @@
         self, rows: dict[ports.RowId, ports.Row], unread_parts: Container[str]
     ) -> None:
         gone = [
-            place
-            for place in self.rows
-            if place not in rows and place.part not in unread_parts
+            row_id
+            for row_id in self.rows
+            if row_id not in rows and row_id.part not in unread_parts
         ]
-        for place in gone:
-            self._apply(ports.Row(place, b"", 0))
+        for row_id in gone:
+            self._apply(ports.Row(row_id, b"", 0))
         for row in rows.values():
             known = self.rows.get(row.id)
             if known is None or known.version != row.version:
@@ -220,4 +223,4 @@
         try:
             self._on_change(row)
         except Exception:
-            log.exception("table {}: row {}", self._table, row.id.key)
+            log.exception("table {}: handling row {} failed", self._table, row.id.key)
