--- a/toucanspring/scheduling/draining.py
+++ b/toucanspring/scheduling/draining.py
@@ -80,7 +80,7 @@
     """Return whether a job's waiting tasks would keep its team within its share."""
     team = record.spec.team
     targets = core.shares.targets(core.running_teams() | set(core.queue.teams()))
-    usage = core.shares.usage(team) + demand.times(record.waiting_count())
+    usage = core.shares.current_usage(team) + demand.times(record.waiting_count())
     return usage.dominant(core.index.total()) <= targets.get(team, 0.0)
 
 
--- a/toucanspring/scheduling/fairness.py
+++ b/toucanspring/scheduling/fairness.py
@@ -94,7 +94,7 @@
         usage = self._update_usage(team, now)
         usage.current -= demand
 
-    def usage(self, team: str) -> resources.Resources:
+    def current_usage(self, team: str) -> resources.Resources:
         """Return the current usage of a team."""
         usage = self._usage_by_team.get(team)
         return usage.current if usage else resources.ZERO
--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -133,7 +133,9 @@
                 active = core.running_teams() | set(core.queue.teams())
                 over_share = core.shares.over_share(active, now)
                 targets = core.shares.targets(active)
-            usage = (core.shares.usage(spec.team) + demand).dominant(core.index.total())
+            usage = (core.shares.current_usage(spec.team) + demand).dominant(
+                core.index.total()
+            )
             if not over_share or usage > targets.get(spec.team, 0.0):
                 continue
             victims = _find_victims(core, record, LAST_PROTECTED, over_share)
--- a/toucanspring/scheduling/summary.py
+++ b/toucanspring/scheduling/summary.py
@@ -39,7 +39,7 @@
     """Return the totals of a partition in time linear in its waiting jobs."""
     found = Summary(capacity=core.index.total())
     for team in core.teams:
-        usage = core.shares.usage(team)
+        usage = core.shares.current_usage(team)
         if usage != resources.ZERO:
             found.use[team] = usage
     for team in core.queue.teams():
