--- a/toucanspring/scheduling/preemption.py
+++ b/toucanspring/scheduling/preemption.py
@@ -36,7 +36,7 @@
 def enforce_ceilings(core: lifecycle.Lifecycle, now: float) -> None:
     """Stop the latest tasks of teams that use more than their allowance."""
     if core.expected_workers:
-        return  # the use by restored tasks is only an upper bound yet
+        return  # the usage of restored tasks is still an upper bound
     for team in core.allowances.teams():
         excess = core.allowances.excess(team)
         if excess != resources.ZERO:
@@ -133,8 +133,10 @@
                 active = core.running_teams() | set(core.queue.teams())
                 over_share = core.shares.over_share(active, now)
                 targets = core.shares.targets(active)
-            use = (core.shares.use(spec.team) + demand).dominant(core.index.total())
-            if not over_share or use > targets.get(spec.team, 0.0):
+            usage = (core.shares.current_usage(spec.team) + demand).dominant(
+                core.index.total()
+            )
+            if not over_share or usage > targets.get(spec.team, 0.0):
                 continue
             victims = _find_victims(core, record, LAST_PROTECTED, over_share)
         else:
