--- a/toucanspring/coordinator/fenced_writer.py
+++ b/toucanspring/coordinator/fenced_writer.py
@@ -137,7 +137,7 @@
                     return self._resolve_rejection(found, uncertain)
                 case errors.Ambiguous():
                     uncertain = True
-            log.warning("write {} failed; retrying: {}", wanted.sequence, answer)
+            log.warning("commit {} failed; retrying: {}", wanted.sequence, answer)
             self.on_failing(self._clock() - began)
             gevent.sleep(pause)
             pause = min(RETRY_MAX_S, pause * 2)
--- a/toucanspring/coordinator/table_cache.py
+++ b/toucanspring/coordinator/table_cache.py
@@ -195,7 +195,7 @@
                 gevent.sleep(self._pause_s)
                 continue
             if not self._failing:
-                log.warning("table {}: cannot follow changes: {}", self._table, failure)
+                log.warning("table {}: not followed: {}", self._table, failure)
             self._failing = True
             gevent.sleep(pause)
             pause = min(RETRY_MAX_S, pause * 2)
