--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -35,13 +35,13 @@
         return keep_running(say)
     accounts = [deployment.execute(each, say) for each in deployment.DEPLOYMENTS]
     print()
-    for account in accounts:
-        print("\n".join(account.lines()))
+    for summary in accounts:
+        print("\n".join(summary.lines()))
     print()
     print("To keep a deployment running and use the command line on it:")
     print("    .venv/bin/python -m demo --keep")
     print(f"took {time.monotonic() - began:.1f} s")
-    return 0 if all(account.good for account in accounts) else 1
+    return 0 if all(summary.good for summary in accounts) else 1
 
 
 def keep_running(say) -> int:
--- a/demo/callers.py
+++ b/demo/callers.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from demo import account, entry
+from demo import entry, summary
 from standins import backend_servers, replies
 
 NOT_RUN = {
@@ -40,7 +40,7 @@
     def __init__(
         self,
         front: entry.Entry,
-        counts: account.Account,
+        counts: summary.Account,
         service: str,
         key: str,
     ) -> None:
@@ -102,7 +102,7 @@
     """Submit jobs and follow them to their outcomes."""
 
     def __init__(
-        self, front: entry.Entry, counts: account.Account, key: str = ""
+        self, front: entry.Entry, counts: summary.Account, key: str = ""
     ) -> None:
         self._front = front
         self._counts = counts
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -11,7 +11,7 @@
 import gevent
 import yaml
 
-from demo import account, callers, entry
+from demo import callers, entry, summary
 from standins import cluster, facts, judge, processes
 from toucanspring import errors
 from toucanspring.configuration import reader
@@ -38,7 +38,7 @@
 
     cluster: cluster.Cluster
     front: entry.Entry
-    counts: account.Account
+    counts: summary.Account
     keys: dict[str, dict]
     say: Callable[[str], None]
     outages: list[facts.ZoneOutage] = dataclasses.field(default_factory=list)
@@ -174,7 +174,7 @@
         for name in names:
             running.wait_ready(name)
         front = entry.Entry(running, seed=7)
-        counts = account.Account(deployment.name)
+        counts = summary.Account(deployment.name)
         version = front.apply(_with_short_tasks(source), 0)
         front.wait_in_force(version, DAEMONS)
         keys = {team: front.grant(team) for team in cell.teams}
@@ -194,7 +194,7 @@
     return yaml.safe_dump(document, sort_keys=False)
 
 
-def execute(deployment: Deployment, say: Callable[[str], None]) -> account.Account:
+def execute(deployment: Deployment, say: Callable[[str], None]) -> summary.Account:
     """Run one deployment from start to end and judge it."""
     with start(deployment, say) as run:
         deployment.run(run)
