--- a/bench/cell.py
+++ b/bench/cell.py
@@ -21,23 +21,32 @@
 DAEMONS = 9
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-TRAFFIC = re.compile(rb"^toucanspring_\w*bytes\w*\{[^}]*\} (\S+)$", re.MULTILINE)
-SETTLE_LIMIT_S = 20.0
-MAX_JOBS_A_CALL = 500
-MAX_TASKS_A_CALL = 10_000
+BYTES_METRIC = re.compile(rb"^toucanspring_\w*bytes\w*\{[^}]*\} (\S+)$", re.MULTILINE)
+START_LIMIT_S = 20.0
+MAX_JOBS_PER_CALL = 500
+MAX_TASKS_PER_CALL = 10_000
 
 
 def environment_command(facts: cluster.DaemonFacts) -> list[str]:
     """Return a command with settings in the environment, which spares memory."""
-    given = [
+    variables = [
         f"{settings.PREFIX}{field.name.upper()}={getattr(facts, field.name)}"
         for field in dataclasses.fields(facts)
         if field.name != "extra"
     ]
-    return ["env", *given, sys.executable, "-m", "toucanspring.daemon", *facts.extra]
+    return [
+        "env",
+        *variables,
+        sys.executable,
+        "-m",
+        "toucanspring.daemon",
+        *facts.extra,
+    ]
 
 
-def text_for(zones: tuple[str, ...], teams: int = 1, ceiling: bool = False) -> str:
+def make_configuration(
+    zones: tuple[str, ...], teams: int = 1, ceiling: bool = False
+) -> str:
     """Return a text with a number of teams, each with one queue of its own."""
     amounts = {"cpus": 700, "memory": "1400 GiB"}
     document = {
@@ -79,17 +88,17 @@
         workers: int = 24,
         daemons: int = DAEMONS,
         teams: int = 1,
-        **more,
+        **options,
     ) -> None:
         self.cluster = cluster.Cluster(
             workers=workers,
             backend_servers=0,
             build_command=environment_command,
-            **more,
+            **options,
         )
-        self.front = entry.Entry(self.cluster, seed)
+        self.client = entry.EntryClient(self.cluster, seed)
         self.names = [f"entry-{number}" for number in range(1, daemons + 1)]
-        self.source = text_for(self.cluster.zones, teams)
+        self.source = make_configuration(self.cluster.zones, teams)
         self.version = 0
         self.keys: list[str] = []
         self._seen_rows = 0
@@ -101,9 +110,9 @@
                 self.cluster.start_daemon(name, wait=False)
             for name in self.names:
                 self.cluster.wait_ready(name)
-            self.version = self.front.apply(self.source, 0)
-            self.front.wait_in_force(self.version, len(self.names))
-            self.keys = [self.front.grant("team-0")["secret"]]
+            self.version = self.client.apply_configuration(self.source, 0)
+            self.client.wait_in_force(self.version, len(self.names))
+            self.keys = [self.client.grant_key("team-0")["secret"]]
         except BaseException:
             self.cluster.stop()
             raise
@@ -122,7 +131,7 @@
         return Sample(
             at,
             {name: cpu_seconds(self.pid(name)) for name in names},
-            {name: self._traffic(name) for name in names},
+            {name: self._transferred_bytes(name) for name in names},
             *counts,
         )
 
@@ -146,10 +155,10 @@
         """Return the resident memory of each daemon in MB of 2^20 bytes."""
         return {name: resident_mb(self.pid(name)) for name in self.names}
 
-    def _traffic(self, name: str) -> float:
+    def _transferred_bytes(self, name: str) -> float:
         port = self.cluster.daemon_facts[name].http_port
         _, body = cluster.call(port, "GET", "/metrics")
-        return sum(float(value) for value in TRAFFIC.findall(body))
+        return sum(float(value) for value in BYTES_METRIC.findall(body))
 
     # Work
 
@@ -160,57 +169,62 @@
         tasks: int,
         run_ms: float | None,
         cpus: float = 0.5,
-        names: list[str] | None = None,
-        **more: object,
+        job_ids: list[str] | None = None,
+        **options: object,
     ) -> list[str]:
         """Submit jobs of equal tasks; return their IDs once accepted."""
         payload = json.dumps({"run_ms": run_ms})
         items = [
             {
-                "id": names[number] if names else f"{prefix}-{number}",
+                "id": job_ids[number] if job_ids else f"{prefix}-{number}",
                 "queue": "queue-0",
                 "tasks": tasks,
                 "resources": {"cpus": cpus, "memory": "64 MiB"},
                 "run_time": "1 h" if run_ms is None else "1 s",
                 "payload": payload,
-                **more,
+                **options,
             }
             for number in range(jobs)
         ]
-        step = max(1, min(MAX_JOBS_A_CALL, MAX_TASKS_A_CALL // tasks))
-        for start in range(0, jobs, step):
-            body = {"jobs": items[start : start + step]}
-            reply = self.front.call("POST", "/v1/jobs", body, self.keys[0])
+        batch_size = max(1, min(MAX_JOBS_PER_CALL, MAX_TASKS_PER_CALL // tasks))
+        for start in range(0, jobs, batch_size):
+            body = {"jobs": items[start : start + batch_size]}
+            reply = self.client.call("POST", "/v1/jobs", body, self.keys[0])
             if reply.status != 202:
                 raise RuntimeError(f"{reply.status} {reply.body[:300]!r}")
         return [item["id"] for item in items]
 
     def submit_evenly(
-        self, prefix: str, jobs: int, tasks: int, run_ms: float | None, **more: object
+        self,
+        prefix: str,
+        jobs: int,
+        tasks: int,
+        run_ms: float | None,
+        **options: object,
     ) -> list[str]:
         """Submit jobs whose IDs fall on the partitions in turn."""
         partitions = self.cluster.partitions
-        names: list[str] = []
+        job_ids: list[str] = []
         for number in itertools.count():
-            name = f"{prefix}-{number}"
-            if job.partition_of(name, partitions) == len(names) % partitions:
-                names.append(name)
-            if len(names) == jobs:
+            job_id = f"{prefix}-{number}"
+            if job.partition_of(job_id, partitions) == len(job_ids) % partitions:
+                job_ids.append(job_id)
+            if len(job_ids) == jobs:
                 break
-        return self.submit("", jobs, tasks, run_ms, names=names, **more)
+        return self.submit("", jobs, tasks, run_ms, job_ids=job_ids, **options)
 
     def status(self, job_id: str) -> dict:
         """Return the status of a job."""
-        reply = self.front.call("GET", f"/v1/jobs/{job_id}", key=self.keys[0])
+        reply = self.client.call("GET", f"/v1/jobs/{job_id}", key=self.keys[0])
         return reply.json() if reply.status == 200 else {}
 
     def wait_running(self, job_ids: list[str], tasks: int) -> bool:
         """Wait until all tasks of the jobs run."""
-        deadline = time.monotonic() + SETTLE_LIMIT_S
+        deadline = time.monotonic() + START_LIMIT_S
         while time.monotonic() < deadline:
             running = sum(
-                self.status(name).get("counts", {}).get("running", 0)
-                for name in job_ids
+                self.status(job_id).get("counts", {}).get("running", 0)
+                for job_id in job_ids
             )
             if running >= tasks:
                 return True
@@ -220,14 +234,14 @@
     def wait_done(self, job_ids: list[str], limit_s: float) -> bool:
         """Wait until all jobs have an outcome; return whether they are done."""
         deadline = time.monotonic() + limit_s
-        left = list(job_ids)
-        while left and time.monotonic() < deadline:
-            outcome = self.status(left[-1]).get("outcome")
+        unfinished = list(job_ids)
+        while unfinished and time.monotonic() < deadline:
+            outcome = self.status(unfinished[-1]).get("outcome")
             if outcome is None:
                 time.sleep(0.05)
             else:
-                left.pop()
-        return not left
+                unfinished.pop()
+        return not unfinished
 
 
 def cpu_seconds(pid: int) -> float:
@@ -253,11 +267,11 @@
     elapsed = after.at - before.at
     nodes = len(after.cpu_s)
     cpu = {name: after.cpu_s[name] - before.cpu_s[name] for name in after.cpu_s}
-    moved = sum(after.bytes[name] - before.bytes[name] for name in after.bytes)
+    transferred = sum(after.bytes[name] - before.bytes[name] for name in after.bytes)
     return {
         "core_percent": round(100 * sum(cpu.values()) / nodes / elapsed, 2),
         "core_percent_max": round(100 * max(cpu.values()) / elapsed, 2),
-        "bytes_per_s": round(moved / nodes / elapsed),
+        "bytes_per_s": round(transferred / nodes / elapsed),
         "store_writes_per_s": round((after.writes - before.writes) / elapsed, 1),
         "store_reads_per_s": round((after.reads - before.reads) / elapsed, 1),
     }
--- a/bench/change.py
+++ b/bench/change.py
@@ -68,7 +68,7 @@
     return round(ordered[min(len(ordered) - 1, int(fraction * len(ordered)))], 3)
 
 
-def until_all(running: cell.Cell, holds) -> float:
+def time_until_all(running: cell.Cell, holds) -> float:
     """Return the seconds until `holds(name)` for each daemon, which is not asked again.
 
     The first call counts from now; a daemon that never holds raises `RuntimeError`.
@@ -82,7 +82,9 @@
     return time.monotonic() - started
 
 
-def ask(running: cell.Cell, name: str, method: str, path: str, key: str, body=None):
+def call_daemon(
+    running: cell.Cell, name: str, method: str, path: str, key: str, body=None
+):
     """Call one daemon."""
     port = running.cluster.daemon_facts[name].http_port
     headers = {"Authorization": f"Bearer {key}"}
@@ -93,43 +95,45 @@
     """Change the text and return the seconds until all daemons have it."""
     source = running.source.replace("share: 1", f"share: {number + 2}")
     started = time.monotonic()
-    running.version = running.front.apply(source, running.version)
+    running.version = running.client.apply_configuration(source, running.version)
 
     def holds(name: str) -> bool:
-        _, body = ask(running, name, "GET", "/v1/members", running.cluster.operator_key)
+        _, body = call_daemon(
+            running, name, "GET", "/v1/members", running.cluster.operator_key
+        )
         return json.loads(body)["versions"]["config"] >= running.version
 
-    until_all(running, holds)
+    time_until_all(running, holds)
     return time.monotonic() - started
 
 
 def time_withdrawal(running: cell.Cell, number: int) -> float:
     """Withdraw a key and return the seconds until no daemon accepts work for it."""
-    key = running.front.grant("team-0")
+    key = running.client.grant_key("team-0")
     probe = {"queue": "queue-0", "resources": {"cpus": 0.1, "memory": "1 MiB"}}
     items = iter(range(1_000_000))
 
     def accepts(name: str) -> bool:
         item = {**probe, "id": f"probe-{number}-{next(items)}"}
-        status, _ = ask(
+        status, _ = call_daemon(
             running, name, "POST", "/v1/jobs", key["secret"], {"jobs": [item]}
         )
         return status == 202
 
-    until_all(running, accepts)
+    time_until_all(running, accepts)
     started = time.monotonic()
-    running.front.operate("DELETE", f"/v1/keys/{key['id']}")
-    until_all(running, lambda name: not accepts(name))
+    running.client.call_as_operator("DELETE", f"/v1/keys/{key['id']}")
+    time_until_all(running, lambda name: not accepts(name))
     return time.monotonic() - started
 
 
 def time_outage(running: cell.Cell, zone: str) -> tuple[float, float]:
     """Take a zone out and return it; return the times of acceptance and return."""
-    running.front.operate("POST", f"/v1/zones/{zone}/out")
+    running.client.call_as_operator("POST", f"/v1/zones/{zone}/out")
     out_at = time.monotonic()
     time.sleep(OUT_S)
     in_at = time.monotonic()
-    running.front.operate("POST", f"/v1/zones/{zone}/in")
+    running.client.call_as_operator("POST", f"/v1/zones/{zone}/in")
     time.sleep(IN_S)
     return out_at, in_at
 
--- a/bench/events.py
+++ b/bench/events.py
@@ -28,15 +28,15 @@
 LOSS_LIMIT_S = 45.0
 
 
-class Counter:
+class EventWriteCounter:
     """Count the writes of rows of events from one moment to the next."""
 
     def __init__(self, running: cell.Cell) -> None:
         self._cell = running
         self._seen = 0
-        self.take()
+        self.count_new()
 
-    def take(self) -> dict[str, float]:
+    def count_new(self) -> dict[str, float]:
         """Return the writes and bytes since the last call."""
         found = self._cell.cluster.record("tables")
         new = found["events"][self._seen :]
@@ -59,30 +59,32 @@
     result: dict[str, object] = {"bench": "events", "seed": seed}
     with cell.Cell(seed, workers=WORKERS) as running:
         time.sleep(SETTLE_S)
-        counter = Counter(running)
-        result["rest"] = timed(counter, lambda: time.sleep(REST_S))
-        result["bulk"] = timed(counter, lambda: run_bulk(running))
+        counter = EventWriteCounter(running)
+        result["rest"] = measure_writes(counter, lambda: time.sleep(REST_S))
+        result["bulk"] = measure_writes(counter, lambda: run_bulk(running))
         held = running.submit("held", HELD_JOBS, HELD_TASKS // HELD_JOBS, None)
         result["held"] = running.wait_running(held, HELD_TASKS)
-        counter.take()
-        result["losses"] = timed(counter, lambda: lose_all(running, result))
-        result["entries"] = count_kinds(running)
+        counter.count_new()
+        result["losses"] = measure_writes(
+            counter, lambda: fail_all_workers(running, result)
+        )
+        result["entries"] = count_entries_by_kind(running)
     print(json.dumps(result))
 
 
-def count_kinds(running: cell.Cell) -> dict[str, int]:
+def count_entries_by_kind(running: cell.Cell) -> dict[str, int]:
     """Return the number of written entries of each kind."""
     rows = event_rows.read(running.tables(), time.time() - 3600)
     found = event_rows.join(rows, [])
-    return dict(collections.Counter(item["kind"] for item in found))
+    return dict(collections.EventWriteCounter(item["kind"] for item in found))
 
 
-def timed(counter: Counter, work) -> dict[str, float]:
+def measure_writes(counter: EventWriteCounter, work) -> dict[str, float]:
     """Return the writes and bytes of some work in all and for each second."""
     started = time.monotonic()
     work()
     seconds = time.monotonic() - started
-    found = counter.take()
+    found = counter.count_new()
     return {
         **found,
         "seconds": round(seconds, 1),
@@ -100,7 +102,7 @@
     time.sleep(35.0)
 
 
-def lose_all(running: cell.Cell, result: dict[str, object]) -> None:
+def fail_all_workers(running: cell.Cell, result: dict[str, object]) -> None:
     """Let all workers fail at once and wait until the record names them."""
     names = [vm.id for vm in running.cluster.listed() if vm.role == "worker"]
     failed_at = time.monotonic()
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -81,10 +81,10 @@
 )
 
 # A fault is a generator: it begins the fault, yields, and ends it.
-Fault = Callable[["Mix"], Iterator[None]]
+Fault = Callable[["FaultMix"], Iterator[None]]
 
 
-class Mix:
+class FaultMix:
     """Begin and end faults; no daemon has two at a time."""
 
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
@@ -116,7 +116,7 @@
 
 
 def _on_daemon(
-    mix: Mix, begin: Callable[[str], None], end: Callable[[str], None]
+    mix: FaultMix, begin: Callable[[str], None], end: Callable[[str], None]
 ) -> Iterator[None]:
     name = mix.daemon()
     begin(name)
@@ -125,54 +125,54 @@
     mix.busy.discard(name)
 
 
-def kill(mix: Mix) -> Iterator[None]:
+def kill(mix: FaultMix) -> Iterator[None]:
     """Kill a daemon and start it again."""
     return _on_daemon(mix, mix.player.kill, mix.player.restart)
 
 
-def pause(mix: Mix) -> Iterator[None]:
+def pause(mix: FaultMix) -> Iterator[None]:
     """Pause a daemon."""
     return _on_daemon(mix, mix.player.pause, mix.player.resume)
 
 
-def stop(mix: Mix) -> Iterator[None]:
+def stop(mix: FaultMix) -> Iterator[None]:
     """Stop a daemon gracefully and start it again."""
     return _on_daemon(mix, mix.player.stop, mix.player.restart)
 
 
-def cut_store(mix: Mix) -> Iterator[None]:
+def cut_store(mix: FaultMix) -> Iterator[None]:
     """Cut a daemon off from the store."""
     return _on_daemon(mix, mix.player.cut_store, mix.player.heal_store)
 
 
-def store_down(mix: Mix) -> Iterator[None]:
+def store_down(mix: FaultMix) -> Iterator[None]:
     """Take the store down for all."""
     mix.player.store_down()
     yield
     mix.player.store_up()
 
 
-def store_slow(mix: Mix) -> Iterator[None]:
+def store_slow(mix: FaultMix) -> Iterator[None]:
     """Slow the store down for all."""
     mix.player.store_slow(mix.rng.uniform(0.05, 0.5))
     yield
     mix.player.store_up()
 
 
-def lose_answers(mix: Mix) -> Iterator[None]:
+def lose_answers(mix: FaultMix) -> Iterator[None]:
     """Lose answers to writes of one kind."""
     document = mix.rng.choice(sorted(disturbances.ROW_PREFIXES))
     mix.player.lose_writes(mix.rng.randint(1, 3), document)
     yield
 
 
-def lose_worker(mix: Mix) -> Iterator[None]:
+def lose_worker(mix: FaultMix) -> Iterator[None]:
     """End a worker, which returns."""
     mix.player.lose(mix.worker(), mix.rng.uniform(0.2, 2.0))
     yield
 
 
-def cut_worker(mix: Mix) -> Iterator[None]:
+def cut_worker(mix: FaultMix) -> Iterator[None]:
     """Cut a worker off from one daemon."""
     place = mix.worker()
     name = mix.rng.choice(mix.cell.daemons)
@@ -181,7 +181,7 @@
     mix.player.heal_place(name, place)
 
 
-def take_zone(mix: Mix) -> Iterator[None]:
+def take_zone(mix: FaultMix) -> Iterator[None]:
     """Take a zone out of service and return it."""
     if mix.cell.out:
         yield
@@ -193,7 +193,7 @@
     mix.player.zone_in(zone)
 
 
-def change_ceiling(mix: Mix) -> Iterator[None]:
+def change_ceiling(mix: FaultMix) -> Iterator[None]:
     """Put a text with another ceiling into force."""
     if mix.changing:
         yield
@@ -205,7 +205,7 @@
     yield
 
 
-def withdraw_key(mix: Mix) -> Iterator[None]:
+def withdraw_key(mix: FaultMix) -> Iterator[None]:
     """Withdraw the key of the team that has one to lose."""
     template = TEMPLATES[mix.cell.model.name].withdrawn
     team = mix.cell.model.jobs[template].team
@@ -214,7 +214,7 @@
     yield
 
 
-def fail_executor(mix: Mix) -> Iterator[None]:
+def fail_executor(mix: FaultMix) -> Iterator[None]:
     """Stop a backend server, or cut some answers."""
     if mix.rng.random() < 0.5:
         mix.player.answers_cut(1)
@@ -280,7 +280,7 @@
 def run(running: cell.Cell, seed: int, began: float) -> dict[str, int]:
     """Run the load and the faults; return the counts."""
     rng = random.Random(seed)
-    mix = Mix(running, rng)
+    mix = FaultMix(running, rng)
     running.start_all()
     running.apply({})
     mix.player.expect_version(1, None)
@@ -292,10 +292,10 @@
         rounds += 1
         print(f"{time.monotonic() - began:5.1f} s: ", end="")
         print(", ".join(fault.__name__ for fault in chosen), flush=True)
-        parts = [
+        greenlets = [
             gevent.spawn(mix.run, fault, rng.uniform(0.5, 5.0)) for fault in chosen
         ]
-        gevent.joinall(parts, raise_error=True)
+        gevent.joinall(greenlets, raise_error=True)
         gevent.sleep(rng.uniform(0.0, 0.5))
     running.finish(FINISH_AT_S - (time.monotonic() - began))
     return count(running, rounds, sum(mix.began.values()))
@@ -311,7 +311,7 @@
     result["lost"] = sum(each.count("lost") for each in loads)
     result["cut_off"] = sum(each.counts["cut_off_by_stop"] for each in loads)
     result["config_reverts"] = len(running.reverts)
-    others = 0
+    other_violations = 0
     found = running.judge()
     for violation in found:
         kind = type(violation)
@@ -322,11 +322,11 @@
         elif kind in COUNTED:
             result[COUNTED[kind]] += 1
         else:
-            others += 1
+            other_violations += 1
     for line in [*found[:8], *running.problems()[:8], *running.explain_lost()[:4]]:
         print(str(line)[:500])
-    if others:
-        print(f"{others} other violations")
+    if other_violations:
+        print(f"{other_violations} other violations")
         result["runs"] = -1  # no valid run
     return result
 
@@ -341,10 +341,10 @@
     deployment = sorted(TEMPLATES)[(seed + 1) % 2]
     with cell.run(deployment, DAEMONS, WORKERS, EXECUTORS, 3) as running:
         result = run(running, seed, began)
-        good = not any(result[name] for name in MUST_BE_ZERO)
-        good = good and result["unknown"] <= MAX_UNKNOWN * result["accepted"]
-        good = good and result["runs"] > 0
-        if not good:
+        passed = not any(result[name] for name in MUST_BE_ZERO)
+        passed = passed and result["unknown"] <= MAX_UNKNOWN * result["accepted"]
+        passed = passed and result["runs"] > 0
+        if not passed:
             path = running.cluster.directory / "records.json"
             path.write_text(json.dumps(running.cluster.records()))
             kept = running.cluster.directory.rename(
@@ -353,7 +353,7 @@
             print(f"records and logs: {kept}")
     print(f"took {time.monotonic() - began:.1f} s", file=sys.stderr)
     print(json.dumps(result))
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -20,7 +20,7 @@
 WORKERS = 12
 LOAD_S = 8.0
 BATCH_S = 0.5
-TASKS_A_BATCH = 18
+TASKS_PER_BATCH = 18
 # Of the tasks; the partition's own workers have room for less than half of them.
 SKEW = 0.8
 TASK_MS = 2000.0
@@ -28,21 +28,22 @@
 DRAIN_S = 10.0
 
 
-def choose_names(rng: random.Random, prefix: str, count: int) -> list[str]:
+def choose_job_ids(rng: random.Random, prefix: str, count: int) -> list[str]:
     """Return job IDs of which a part of `SKEW` falls on partition 0."""
-    names: list[str] = []
+    job_ids: list[str] = []
     numbers = itertools.count()
-    while len(names) < count:
+    while len(job_ids) < count:
         skewed = rng.random() < SKEW
         wanted = 0 if skewed else rng.randrange(1, PARTITIONS)
-        names.append(
+        job_ids.append(
             next(
-                name
+                job_id
                 for number in numbers
-                if job.partition_of(name := f"{prefix}-{number}", PARTITIONS) == wanted
+                if job.partition_of(job_id := f"{prefix}-{number}", PARTITIONS)
+                == wanted
             )
         )
-    return names
+    return job_ids
 
 
 def run(seed: int, moves: str) -> dict[str, object]:
@@ -57,13 +58,13 @@
         began = time.monotonic()
         for number in range(int(LOAD_S / BATCH_S)):
             time.sleep(max(0.0, began + number * BATCH_S - time.monotonic()))
-            names = choose_names(rng, f"skewed-{number}", TASKS_A_BATCH)
+            job_ids = choose_job_ids(rng, f"skewed-{number}", TASKS_PER_BATCH)
             sent_at = time.monotonic()
-            running.submit("", len(names), 1, TASK_MS, cpus=CPUS, names=names)
-            submitted.update(dict.fromkeys(names, sent_at))
+            running.submit("", len(job_ids), 1, TASK_MS, cpus=CPUS, job_ids=job_ids)
+            submitted.update(dict.fromkeys(job_ids, sent_at))
         ended = time.monotonic()
         running.wait_done(list(submitted), DRAIN_S)
-        gave_up = time.monotonic()
+        gave_up_at = time.monotonic()
         records = running.cluster.records()
     events = records["workers"]["events"]
     first: dict[str, float] = {}
@@ -71,7 +72,7 @@
         if event["kind"] == "start":
             first.setdefault(job.job_of(event["task"]), event["at"])
     # Work that never started counts with the time until the end of the run.
-    waits = [first.get(name, gave_up) - at for name, at in submitted.items()]
+    waits = [first.get(name, gave_up_at) - at for name, at in submitted.items()]
     done = sum(
         event["kind"] == "end" and event["state"] == "done" and event["at"] < ended
         for event in events
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -19,8 +19,8 @@
 # Workers whose tasks end soon are left to end them, so the drain takes a moment.
 DRAIN_S = 30.0
 ZONE = "az0"
-FACTS = work.worker_facts(wait.WORKERS, 3)
-ZONES = {name: zone for name, _, zone, _ in FACTS}
+WORKER_FACTS = work.worker_facts(wait.WORKERS, 3)
+ZONE_BY_WORKER = {name: zone for name, _, zone, _ in WORKER_FACTS}
 
 
 class Policy(wait.Policy):
@@ -30,10 +30,11 @@
         super().__init__(seed)
         self._demands = {spec.id: spec.demand for _, spec in jobs}
         self._is_out = False
-        self.use: list[tuple[float, int, int]] = []  # time, used and usable millicores
+        # (time, used millicores, usable millicores)
+        self.usage: list[tuple[float, int, int]] = []
         self.late_starts = 0
         self.checkpoints = 0  # while the zone is out and drained
-        self.stopped_run = 0.0  # millicore seconds that these tasks had run
+        self.stopped_millicore_s = 0.0  # millicore seconds that these tasks had run
 
     def step(self, now: float) -> None:
         """Change the zone when due, let the machine work, and note what is used."""
@@ -41,15 +42,15 @@
         if is_out != self._is_out:
             self._is_out = is_out
             out = frozenset([ZONE]) if is_out else frozenset()
-            self._apply(self._machine.set_availability_zones(out, now), now)
+            self._apply(self._scheduler.set_availability_zones(out, now), now)
         super().step(now)
-        free = self._machine.free_by_worker()
+        free = self._scheduler.free_by_worker()
         used = usable = 0
-        for name, capacity, zone, _ in FACTS:
+        for name, capacity, zone, _ in WORKER_FACTS:
             if not (is_out and zone == ZONE):
                 used += capacity.cpus - free[name].cpus
                 usable += capacity.cpus
-        self.use.append((now, used, usable))
+        self.usage.append((now, used, usable))
         self._count_late(now)
 
     def _apply(self, found: list[effects.Effect], now: float) -> None:
@@ -63,19 +64,20 @@
         for key in self._running.keys() & set(task_ids):
             self.checkpoints += 1
             cpus = self._demands[job.job_of(key)].cpus
-            self.stopped_run += cpus * (now - self._running[key][1])
+            self.stopped_millicore_s += cpus * (now - self._running[key][1])
 
     def _count_late(self, now: float) -> None:
         if self._is_out:
             self.late_starts += sum(
-                ZONES[worker] == ZONE and started_at >= OUT_FROM_S + wait.TICK_S
+                ZONE_BY_WORKER[worker] == ZONE
+                and started_at >= OUT_FROM_S + wait.TICK_S
                 for _, started_at, worker in self._running.values()
             )
 
 
 def used_ratio(policy: Policy, start: float, end: float) -> float:
     """Return the used part of what was usable in an interval."""
-    found = [entry for entry in policy.use if start <= entry[0] < end]
+    found = [entry for entry in policy.usage if start <= entry[0] < end]
     return sum(used for _, used, _ in found) / sum(usable for *_, usable in found)
 
 
@@ -85,8 +87,8 @@
     So much is done again if the work does not support checkpoints.
     """
     start, end = OUT_FROM_S + DRAIN_S, OUT_UNTIL_S
-    usable = [entry[2] for entry in policy.use if start <= entry[0] < end]
-    return policy.stopped_run / (sum(usable) * wait.TICK_S)
+    usable = [entry[2] for entry in policy.usage if start <= entry[0] < end]
+    return policy.stopped_millicore_s / (sum(usable) * wait.TICK_S)
 
 
 def without_classes(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -87,7 +87,7 @@
         self._servers = [fact.id for fact in facts]
         self._queue: collections.deque[str] = collections.deque()
         self._in_flight = 0
-        self._most = SERVERS * SLOTS // ENTRIES
+        self._max_in_flight = SERVERS * SLOTS // ENTRIES
 
     def offer(self, request, now: float) -> None:
         """Queue a request."""
@@ -95,7 +95,7 @@
 
     def next(self, now: float):
         """Return (request ID, server) to send, the time to try again, or None."""
-        if not self._queue or self._in_flight >= self._most:
+        if not self._queue or self._in_flight >= self._max_in_flight:
             return None
         self._in_flight += 1
         return self._queue.popleft(), self._rng.choice(self._servers)
@@ -132,9 +132,9 @@
         self._rate = load * SERVERS * SLOTS / MEAN_SERVICE_S
         self._busy = {fact.id: 0 for fact in facts}
         self._requests: dict[str, Request] = {}
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._events: list[tuple] = []
-        self._wakes = [0.0] * ENTRIES  # time of the pending wake of each process
+        self._wake_times = [0.0] * ENTRIES  # time of the pending wake of each process
         self.done = 0
         self.refused = 0
 
@@ -162,9 +162,9 @@
             handler(now, *details)
 
     def _schedule(self, at: float, handler, *details) -> None:
-        heapq.heappush(self._events, (at, next(self._order), handler, details))
+        heapq.heappush(self._events, (at, next(self._sequence), handler, details))
 
-    def _pump(self, entry: int, now: float) -> None:
+    def _send_queued(self, entry: int, now: float) -> None:
         """Let an entry process send what it can."""
         while True:
             match self._entries[entry].next(now):
@@ -174,15 +174,15 @@
                     request = self._requests[request_id]
                     self._schedule(now + LATENCY_S, self._on_arrival, request, server)
                 case at:
-                    if not now < self._wakes[entry] <= at:
-                        self._wakes[entry] = at
+                    if not now < self._wake_times[entry] <= at:
+                        self._wake_times[entry] = at
                         self._schedule(at, self._on_wake, entry)
                     return
 
     def _on_offer(self, now: float) -> None:
         request = Request()
         request.id = f"r{len(self._requests)}"
-        weights = [part for part, _ in CLASSES.values()]
+        weights = [fraction for fraction, _ in CLASSES.values()]
         request.job_class = self._rng.choices(list(CLASSES), weights)[0]
         request.arrived = now
         request.wait = None
@@ -191,11 +191,11 @@
         request.entry = self._rng.randrange(ENTRIES)
         self._requests[request.id] = request
         self._entries[request.entry].offer(request, now)
-        self._pump(request.entry, now)
+        self._send_queued(request.entry, now)
         self._schedule(now + self._rng.expovariate(self._rate), self._on_offer)
 
     def _on_wake(self, now: float, entry: int) -> None:
-        self._pump(entry, now)
+        self._send_queued(entry, now)
 
     def _on_arrival(self, now: float, request: Request, server: str) -> None:
         if self._busy[server] < SLOTS:
@@ -211,14 +211,14 @@
 
     def _on_refusal(self, now: float, request: Request, server: str) -> None:
         self._entries[request.entry].refused(request, server, now)
-        self._pump(request.entry, now)
+        self._send_queued(request.entry, now)
 
     def _on_answer(self, now: float, request: Request, server: str) -> None:
         self._entries[request.entry].answered(request, server, now)
         if WARM_UP_S < now <= request.deadline:
             self.done += 1
         request.wait = now - request.arrived - request.seconds
-        self._pump(request.entry, now)
+        self._send_queued(request.entry, now)
 
 
 def simulate(policy_type, load: float, seed: int) -> tuple[float, float]:
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -16,7 +16,7 @@
 WORKERS = 24
 TASKS = 6000
 RUN_SECONDS = (20.0, 300.0)
-WINDOW = 200  # waiting tasks that are looked at after each end
+SCAN_LIMIT = 200  # waiting tasks that are looked at after each end
 
 
 class Policy:
@@ -34,8 +34,8 @@
     def start(self) -> list[tuple[str, job.JobSpec]]:
         """Return the tasks to start now and their workers."""
         started = []
-        for looked_at, group in enumerate(self._queue.next_groups("team")):
-            if looked_at >= WINDOW:
+        for scanned, group in enumerate(self._queue.next_groups("team")):
+            if scanned >= SCAN_LIMIT:
                 break
             worker = self.index.choose(group.spec.demand)
             if isinstance(worker, str):
@@ -44,7 +44,7 @@
                 started.append((worker, group.spec))
         return started
 
-    def waits(self) -> bool:
+    def has_waiting(self) -> bool:
         """Return whether a task waits."""
         return len(self._queue) > 0
 
@@ -72,7 +72,7 @@
             started.append((worker, spec))
         return started
 
-    def waits(self) -> bool:
+    def has_waiting(self) -> bool:
         """Return whether a task waits."""
         return bool(self._specs)
 
@@ -108,22 +108,26 @@
             entry = (now + spec.run_seconds, spec.id, worker, spec.demand)
             heapq.heappush(running, entry)
             used += spec.demand
-        if not policy.waits():
+        if not policy.has_waiting():
             break
         ends_at, _, worker, demand = heapq.heappop(running)
-        for place, amount in enumerate((used.cpus, used.memory, used.accelerators)):
-            integrals[place] += amount * (ends_at - now)
+        for dimension, amount in enumerate((used.cpus, used.memory, used.accelerators)):
+            integrals[dimension] += amount * (ends_at - now)
         now = ends_at
         policy.index.release(worker, demand)
         used -= demand
-    parts = [
+    fractions = [
         integral / now / amount
         for integral, amount in zip(
             integrals, (total.cpus, total.memory, total.accelerators), strict=True
         )
     ]
-    print(type(policy).__name__, [round(part, 4) for part in parts], f"{now:.0f} s")
-    return max(parts)
+    print(
+        type(policy).__name__,
+        [round(fraction, 4) for fraction in fractions],
+        f"{now:.0f} s",
+    )
+    return max(fractions)
 
 
 def main() -> None:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -41,7 +41,7 @@
         self.block_means: list[float] = []
         self._rng = random.Random(seed)
         self._count = count
-        self._goal = load * count * work.PLAIN.cpus
+        self._target_cpus = load * count * work.PLAIN.cpus
         self._used = 0
         self._running: list[tuple] = []
         for facts in work.worker_facts(count, ZONES[count]):
@@ -51,10 +51,10 @@
         """Place tasks up to a load and forget the figures of the load before."""
         self.latencies.clear()
         self.block_means.clear()
-        self._goal = load * self._count * work.PLAIN.cpus
+        self._target_cpus = load * self._count * work.PLAIN.cpus
         index = self.index
         misses = 0
-        while self._used < self._goal and misses < 50:
+        while self._used < self._target_cpus and misses < 50:
             demand = work.make_demand(self._rng)
             worker = index.choose(demand)
             if isinstance(worker, str):
@@ -67,7 +67,7 @@
     def fill_in_order(self) -> None:
         """Fill one worker after another, as first fit does, but in less time."""
         for worker, *_ in work.worker_facts(self._count, ZONES[self._count]):
-            if self._used >= self._goal:
+            if self._used >= self._target_cpus:
                 break
             for _ in range(FILL_TRIES):
                 demand = work.make_demand(self._rng)
@@ -98,7 +98,7 @@
             if placed:
                 self._running.append((worker, demand))
                 self._used += demand.cpus
-            if not placed or self._used > self._goal:
+            if not placed or self._used > self._target_cpus:
                 spent += self._end_task()
         self.block_means.append(spent / decisions)
 
--- a/bench/resizing.py
+++ b/bench/resizing.py
@@ -20,7 +20,7 @@
 BULK_JOBS = 100
 RUN_MS = 1.0
 SETTLE_S = 3.0
-LEAVE_LIMIT_S = 60.0
+REMOVAL_LIMIT_S = 60.0
 
 
 def submit(running: cell.Cell, prefix: str) -> dict[str, float]:
@@ -48,9 +48,9 @@
 
 def set_partitions(running: cell.Cell, number: int) -> float:
     """Change the number; return how long the call took in seconds."""
-    found = running.front.operate("GET", "/v1/partitions").json()
+    found = running.client.call_as_operator("GET", "/v1/partitions").json()
     began = time.monotonic()
-    running.front.operate(
+    running.client.call_as_operator(
         "PUT",
         "/v1/partitions",
         {"partitions": number},
@@ -59,9 +59,9 @@
     return time.monotonic() - began
 
 
-def former(running: cell.Cell) -> list[int]:
+def former_counts(running: cell.Cell) -> list[int]:
     """Return the former numbers that remain."""
-    return running.front.operate("GET", "/v1/partitions").json()["former"]
+    return running.client.call_as_operator("GET", "/v1/partitions").json()["former"]
 
 
 def measure(*, seed: int = 1) -> None:
@@ -80,18 +80,18 @@
         seed, workers=WORKERS, daemons=DAEMONS, partitions=BEFORE
     ) as running:
         time.sleep(SETTLE_S)
-        running.submit("", 1, 1, None, names=[kept])
+        running.submit("", 1, 1, None, job_ids=[kept])
         result["at_rest_before"] = submit(running, f"{seed}-a")
         result["change_s"] = round(set_partitions(running, AFTER), 3)
         time.sleep(SETTLE_S)
-        result["former_before"] = former(running)
+        result["former_before"] = former_counts(running)
         result["with_former"] = submit(running, f"{seed}-b")
-        result["former_after"] = former(running)
-        running.front.call(
+        result["former_after"] = former_counts(running)
+        running.client.call(
             "POST", "/v1/cancellations", {"ids": [kept]}, running.keys[0]
         )
         began = time.monotonic()
-        while former(running) and time.monotonic() - began < LEAVE_LIMIT_S:
+        while former_counts(running) and time.monotonic() - began < REMOVAL_LIMIT_S:
             time.sleep(0.1)
         result["former_removed_s"] = round(time.monotonic() - began, 1)
         result["at_rest_after"] = submit(running, f"{seed}-c")
--- a/bench/roster.py
+++ b/bench/roster.py
@@ -109,7 +109,7 @@
         return Client(self)
 
 
-def build(needy: int) -> partitioned.Partitions:
+def make_partitions(needy: int) -> partitioned.Partitions:
     """Return needy partitions with a worker each, and as many donors."""
     counts = [1] * needy + [1 + SPARE_WORKERS] * needy
     return partitioned.Partitions(*counts, tables=Tables())
@@ -118,7 +118,7 @@
 def run(rng: random.Random, needy: int) -> dict[str, object]:
     """Return the conflicts until each needy partition has a second worker."""
     started = time.process_time()
-    shared = build(needy)
+    shared = make_partitions(needy)
     for number in range(needy):
         shared.submit(number, f"job-{number}", demand=cell.CAPACITY, task_count=2)
     timeline = Timeline()
@@ -127,13 +127,13 @@
         owner.clock = owner.mover._clock = timeline
         owner.client._timeline = timeline
 
-    def work(owner: partitioned.Owner) -> None:
+    def run_owner(owner: partitioned.Owner) -> None:
         timeline.sleep(rng.random() * mover.STEP_INTERVAL_S)
         while True:
             owner.step()
             timeline.sleep(mover.STEP_INTERVAL_S)
 
-    greenlets = [gevent.spawn(work, owner) for owner in shared.owners.values()]
+    greenlets = [gevent.spawn(run_owner, owner) for owner in shared.owners.values()]
     gevent.sleep(0)
     began = timeline.now
     totals = shared.tables.counts
--- a/bench/share.py
+++ b/bench/share.py
@@ -68,12 +68,12 @@
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
         teams = [fairness.Team(name, share=kind.share) for name, kind in TEAMS.items()]
-        self.ledger = fairness.ShareTracker(teams, WINDOW_S)
+        self.tracker = fairness.ShareTracker(teams, WINDOW_S)
         self._backlogs: dict[str, collections.deque] = {}
 
     def prepare(self, backlogs: dict[str, list], total: resources.Resources) -> None:
         """Take over the work."""
-        self.ledger.set_total(total)
+        self.tracker.set_total(total)
         self._backlogs = {
             team: collections.deque(tasks) for team, tasks in backlogs.items()
         }
@@ -82,11 +82,15 @@
         """Return (team, worker, demand, run time) of the tasks to start now."""
         started = []
         blocked: set[str] = set()
-        short = False  # a team under its target is blocked
+        under_target_blocked = False  # a team under its target is blocked
         while True:
-            shortfalls = self.ledger.shortfalls(self._backlogs, now)
-            yielding = self.ledger.yielding(self._backlogs, now) if short else ()
-            for team in self.ledger.rank(self._backlogs, now):
+            shortfalls = self.tracker.shortfalls(self._backlogs, now)
+            yielding = (
+                self.tracker.yielding(self._backlogs, now)
+                if under_target_blocked
+                else ()
+            )
+            for team in self.tracker.rank(self._backlogs, now):
                 if team in blocked or team in yielding:
                     continue
                 demand, seconds = self._backlogs[team][0]
@@ -94,20 +98,20 @@
                 if isinstance(worker, str):
                     self._backlogs[team].popleft()
                     self.index.allocate(worker, demand)
-                    self.ledger.started(team, demand, now)
+                    self.tracker.started(team, demand, now)
                     started.append((team, worker, demand, seconds))
                     break
                 blocked.add(team)
-                if shortfalls[team] > 0 and not short:
-                    short = True
-                    yielding = self.ledger.yielding(self._backlogs, now)
+                if shortfalls[team] > 0 and not under_target_blocked:
+                    under_target_blocked = True
+                    yielding = self.tracker.yielding(self._backlogs, now)
             else:
                 return started
 
     def end(self, team: str, worker: str, demand, now: float) -> None:
         """Give back what a task held."""
         self.index.release(worker, demand)
-        self.ledger.ended(team, demand, now)
+        self.tracker.ended(team, demand, now)
 
 
 class Baseline:
@@ -168,17 +172,17 @@
             number += 1
             heapq.heappush(running, (now + seconds, number, team, worker, demand))
             use[team] += demand
-        everything_held = sum(use.values(), resources.ZERO)
-        busy += everything_held.dominant(total) * TICK_S
+        total_in_use = sum(use.values(), resources.ZERO)
+        busy += total_in_use.dominant(total) * TICK_S
         for team, held in use.items():
             integrals[team] += held.dominant(total) * TICK_S
         now += TICK_S
-    everything = sum(integrals.values())
+    total_integral = sum(integrals.values())
     shares = sum(kind.share for kind in TEAMS.values())
     worst = 0.0
     for team, kind in TEAMS.items():
         target = 100 * kind.share / shares
-        actual = 100 * integrals[team] / everything
+        actual = 100 * integrals[team] / total_integral
         worst = max(worst, abs(actual - target))
         print(f"{type(policy).__name__} {team}: {actual:.2f} of {target:.2f}")
     print(f"{type(policy).__name__} utilisation: {busy / END_S:.4f}")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -41,12 +41,15 @@
     found: dict[str, object] = {"per": unit}
     for name in rows[0]:
         if name != size:
-            grade, base = slope(sizes, [row[name] for row in rows])
-            found[name] = {"slope": float(f"{grade:.4g}"), "base": float(f"{base:.4g}")}
+            gradient, base = slope(sizes, [row[name] for row in rows])
+            found[name] = {
+                "slope": float(f"{gradient:.4g}"),
+                "base": float(f"{base:.4g}"),
+            }
     return found
 
 
-def window(running: cell.Cell, seconds: float = WINDOW_S) -> dict[str, float]:
+def measure_window(running: cell.Cell, seconds: float = WINDOW_S) -> dict[str, float]:
     """Return the rates and the memory over one measuring window."""
     time.sleep(SETTLE_S)
     before = running.sample()
@@ -61,7 +64,7 @@
     """Wait until the owner's link to each worker is attached."""
     deadline = time.monotonic() + ATTACH_LIMIT_S
     while time.monotonic() < deadline:
-        reply = running.front.call(
+        reply = running.client.call(
             "GET", "/v1/workers", key=running.cluster.operator_key
         )
         found = reply.json()["workers"] if reply.status == 200 else []
@@ -79,7 +82,7 @@
             seed, workers=workers, daemons=1, partitions=1, worker_processes=2
         ) as running:
             wait_attached(running, workers)
-            rates = window(running, IDLE_WORKERS_WINDOW_S)
+            rates = measure_window(running, IDLE_WORKERS_WINDOW_S)
             rows.append({"workers": workers, **rates})
     return report("workers", "worker", rows, "workers")
 
@@ -95,7 +98,7 @@
                 names = running.submit(f"held-{number}", 10, added, None, cpus=0.1)
                 running.wait_running(names, tasks - held)
                 held = tasks
-            rows.append({"tasks": tasks, **window(running)})
+            rows.append({"tasks": tasks, **measure_window(running)})
     return report("tasks", "running task", rows, "tasks")
 
 
@@ -106,7 +109,7 @@
         with cell.Cell(seed, daemons=1, partitions=1, teams=teams) as running:
             held = running.submit("held", 1, 100, None)
             running.wait_running(held, 100)
-            rows.append({"teams": teams, **window(running)})
+            rows.append({"teams": teams, **measure_window(running)})
     return report("teams", "team with a ceiling", rows, "teams")
 
 
@@ -115,7 +118,7 @@
     rows = []
     for daemons in (3, 9, 18):
         with cell.Cell(seed, workers=0, daemons=daemons) as running:
-            rows.append({"members": daemons, **window(running)})
+            rows.append({"members": daemons, **measure_window(running)})
     return report("members", "member", rows, "members")
 
 
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -26,8 +26,8 @@
 
     def __init__(self, seed: int, spread_move_s: float) -> None:
         super().__init__(seed)
-        self._machine = scheduler.Scheduler(0, random.Random(seed), spread_move_s)
-        self._machine.set_teams({wait.TEAM: fairness.Team(wait.TEAM)}, 0.0)
+        self._scheduler = scheduler.Scheduler(0, random.Random(seed), spread_move_s)
+        self._scheduler.set_teams({wait.TEAM: fairness.Team(wait.TEAM)}, 0.0)
         self._is_out = False
         self.stops: list[float] = []  # times, after the return
         self.even_at: float | None = None  # when all services had their spread again
@@ -39,11 +39,11 @@
         if is_out != self._is_out:
             self._is_out = is_out
             out = frozenset([outage.ZONE]) if is_out else frozenset()
-            self._apply(self._machine.set_availability_zones(out, now), now)
+            self._apply(self._scheduler.set_availability_zones(out, now), now)
         super().step(now)
         if now < BACK_S:
             return
-        free = self._machine.free_by_worker().values()
+        free = self._scheduler.free_by_worker().values()
         capacity = wait.WORKERS * work.PLAIN.cpus
         self.idle.append(sum(amount.cpus for amount in free) / capacity)
         if self.even_at is None and self._is_even():
@@ -52,11 +52,13 @@
     def _is_even(self) -> bool:
         """Return whether no zone has two tasks of a service more than another."""
         counts: dict[str, collections.Counter] = collections.defaultdict(
-            lambda: collections.Counter(dict.fromkeys(outage.ZONES.values(), 0))
+            lambda: collections.Counter(
+                dict.fromkeys(outage.ZONE_BY_WORKER.values(), 0)
+            )
         )
         for key, (_, _, worker) in self._running.items():
             if key.startswith("service"):
-                counts[job.job_of(key)][outage.ZONES[worker]] += 1
+                counts[job.job_of(key)][outage.ZONE_BY_WORKER[worker]] += 1
         return len(counts) == SERVICES and all(
             max(found.values()) - min(found.values()) < 2
             and sum(found.values()) == SERVICE_TASKS
@@ -111,7 +113,7 @@
     for rate in RATES_S:
         policy = Policy(seed, rate)
         policy.run(make_jobs(seed), END_S)
-        most = max(
+        peak = max(
             (
                 sum(at <= other < at + WINDOW_S for other in policy.stops)
                 for at in policy.stops
@@ -121,7 +123,7 @@
         figures[f"move_{rate:g}_s"] = {
             "even_after_s": policy.even_at and policy.even_at - BACK_S,
             "stops": len(policy.stops),
-            "stops_per_minute_max": most,
+            "stops_per_minute_max": peak,
             "idle": round(sum(policy.idle) / len(policy.idle), 4),
         }
     work.print_result(bench="spread", seed=seed, **figures)
--- a/bench/wait.py
+++ b/bench/wait.py
@@ -34,7 +34,7 @@
     name: str
     entries: int
     gang: bool  # deadline jobs start together
-    members: tuple[int, int]  # tasks of a deadline job
+    task_counts: tuple[int, int]  # tasks of a deadline job
     run_seconds: tuple[float, float]
     slack_s: tuple[float, float]  # between the latest start and arrival
 
@@ -55,7 +55,7 @@
         left = load * capacity
         while left > 0:
             with_deadline = job_class == job.JobClass.DEADLINE
-            members = rng.randint(*deployment.members) if with_deadline else 1
+            task_counts = rng.randint(*deployment.task_counts) if with_deadline else 1
             span = deployment.run_seconds if with_deadline else (20, 200)
             seconds = rng.uniform(*span)
             cpus = rng.randrange(1000, 8001, 500)
@@ -64,7 +64,7 @@
                 name=job_class,
                 team=TEAM,
                 kind=job.Kind.GANG if with_deadline and deployment.gang else "batch",
-                task_count=members,
+                task_count=task_counts,
                 demand=resources.Resources(cpus, rng.randrange(1, 3) * cpus),
                 run_seconds=seconds,
                 job_class=job_class,
@@ -75,7 +75,7 @@
                 ),
             )
             jobs.append((rng.uniform(0, SPAN_S), spec))
-            left -= cpus * members * seconds
+            left -= cpus * task_counts * seconds
 
     add(job.JobClass.DEADLINE, DEADLINE_LOAD)
     add(job.JobClass.NORMAL, (LOAD - DEADLINE_LOAD) / 2)
@@ -87,8 +87,8 @@
     """Run jobs on the state machine of one partition; workers do what it says."""
 
     def __init__(self, seed: int) -> None:
-        self._machine = scheduler.Scheduler(0, random.Random(seed))
-        self._machine.set_teams({TEAM: fairness.Team(TEAM)}, 0.0)
+        self._scheduler = scheduler.Scheduler(0, random.Random(seed))
+        self._scheduler.set_teams({TEAM: fairness.Team(TEAM)}, 0.0)
         self._seconds_left: dict[str, float] = {}
         self._running: dict[str, tuple[int, float, str]] = {}  # attempt, start, worker
         self._ends: list[tuple[float, str, int]] = []
@@ -99,7 +99,7 @@
         for name, capacity, zone, rack in work.worker_facts(WORKERS, 3):
             plain = resources.Resources(capacity.cpus, capacity.memory)
             facts = effects.WorkerFacts(name, 1, plain, zone, rack)
-            self._apply(self._machine.worker_attached(facts, [], [], 0.0), 0.0)
+            self._apply(self._scheduler.worker_attached(facts, [], [], 0.0), 0.0)
         position = 0
         now = 0.0
         while now < end:
@@ -110,13 +110,13 @@
                 spec = jobs[position][1]
                 for index in range(spec.task_count):
                     self._seconds_left[job.task_id(spec.id, index)] = spec.run_seconds
-                self._apply(self._machine.submit([spec], now), now)
+                self._apply(self._scheduler.submit([spec], now), now)
                 position += 1
             self.step(now)
 
     def step(self, now: float) -> None:
         """Let the machine do what is due."""
-        self._apply(self._machine.tick(now), now)
+        self._apply(self._scheduler.tick(now), now)
 
     def ended_at(self, spec: job.JobSpec) -> float:
         """Return when the last task of a job ended; inf if any did not."""
@@ -132,7 +132,7 @@
         attempt, started_at, worker = self._running.pop(task_id)
         run_ms = round((now - started_at) * 1000)
         finished = wire.FinishedTask(task_id, attempt, state, run_ms=run_ms)
-        self._apply(self._machine.worker_report(worker, [finished], {}, now), now)
+        self._apply(self._scheduler.worker_report(worker, [finished], {}, now), now)
 
     def _apply(self, found: list[effects.Effect], now: float) -> None:
         for effect in found:
@@ -145,7 +145,7 @@
                         heapq.heappush(self._ends, (ends_at, key, task.attempt))
                     ids = [task.task_id for task in tasks]
                     self._apply(
-                        self._machine.starts_answered(worker, ids, [], now), now
+                        self._scheduler.starts_answered(worker, ids, [], now), now
                     )
                 case effects.StopTasks(_, task_ids, _):
                     # The task goes on from its checkpoint when it starts again.
--- a/bench/work.py
+++ b/bench/work.py
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self._free: dict[str, resources.Resources] = {}
 
-    def add(self, worker: str, capacity: resources.Resources, *_place: str) -> None:
+    def add(self, worker: str, capacity: resources.Resources, *_location: str) -> None:
         """Add an empty worker."""
         self._free[worker] = capacity
 
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -28,25 +28,25 @@
     signal.signal(signal.SIGINT, signal.default_int_handler)
     began = time.monotonic()
 
-    def say(line: str) -> None:
+    def log(line: str) -> None:
         print(f"[{time.monotonic() - began:5.1f} s] {line}", flush=True)
 
     if keep:
-        return keep_running(say)
-    accounts = [deployment.execute(each, say) for each in deployment.DEPLOYMENTS]
+        return keep_running(log)
+    summaries = [deployment.execute(each, log) for each in deployment.DEPLOYMENTS]
     print()
-    for summary in accounts:
+    for summary in summaries:
         print("\n".join(summary.lines()))
     print()
     print("To keep a deployment running and use the command line on it:")
     print("    .venv/bin/python -m demo --keep")
     print(f"took {time.monotonic() - began:.1f} s")
-    return 0 if all(summary.good for summary in accounts) else 1
+    return 0 if all(summary.passed for summary in summaries) else 1
 
 
-def keep_running(say) -> int:
+def keep_running(log) -> int:
     """Run the first deployment and print how to reach it."""
-    with deployment.start(deployment.DEPLOYMENTS[0], say) as running:
+    with deployment.start(deployment.DEPLOYMENTS[0], log) as running:
         facts = running.cluster.daemon_facts.values()
         endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in facts)
         print("In another terminal:")
@@ -60,7 +60,7 @@
         try:
             gevent.sleep(24 * 3600)
         except KeyboardInterrupt:
-            say("stopping")
+            log("stopping")
     return 0
 
 
--- a/demo/callers.py
+++ b/demo/callers.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """Describe one kind of request to a service."""
 
     job_class: str
@@ -39,12 +39,12 @@
 
     def __init__(
         self,
-        front: entry.Entry,
-        counts: summary.Account,
+        client: entry.EntryClient,
+        counts: summary.Summary,
         service: str,
         key: str,
     ) -> None:
-        self._front = front
+        self._client = client
         self._counts = counts
         self._service = service
         self._key = key
@@ -52,7 +52,7 @@
         self._sent = 0
         self._greenlets: list[gevent.Greenlet] = []
 
-    def start(self, kind: Kind, count: int) -> None:
+    def start(self, kind: RequestKind, count: int) -> None:
         """Start callers that each send one request after the other."""
         self._greenlets += [gevent.spawn(self._run, kind) for _ in range(count)]
 
@@ -61,13 +61,13 @@
         self._stopping = True
         gevent.joinall(self._greenlets)
 
-    def _run(self, kind: Kind) -> None:
+    def _run(self, kind: RequestKind) -> None:
         while not self._stopping:
             self._sent += 1
             self._send(kind, f"{self._service}-{kind.job_class}-{self._sent}")
             gevent.sleep(PAUSE_S)
 
-    def _send(self, kind: Kind, request_id: str) -> None:
+    def _send(self, kind: RequestKind, request_id: str) -> None:
         headers = {
             "X-Request-Id": request_id,
             "X-Class": kind.job_class,
@@ -75,14 +75,16 @@
         }
         body = {"run_ms": kind.run_ms, "answer_bytes": kind.answer_bytes}
         path = f"/v1/services/{self._service}/requests"
-        reply = self._front.call("POST", path, body, self._key, headers)
+        reply = self._client.call("POST", path, body, self._key, headers)
         if reply.status == 0 or reply.failure in ("Unknown", "Ambiguous"):
             # The answer was lost: the same ID at another entry VM gives the outcome.
             gevent.sleep(0.2)
-            reply = self._front.call("POST", path, body, self._key, headers)
-        self._note(kind, request_id, reply)
+            reply = self._client.call("POST", path, body, self._key, headers)
+        self._count_reply(kind, request_id, reply)
 
-    def _note(self, kind: Kind, request_id: str, reply: replies.Reply) -> None:
+    def _count_reply(
+        self, kind: RequestKind, request_id: str, reply: replies.Reply
+    ) -> None:
         if reply.status == 200:
             expected = backend_servers.expected_answer(request_id, kind.answer_bytes)
             if reply.body != expected:
@@ -102,9 +104,9 @@
     """Submit jobs and follow them to their outcomes."""
 
     def __init__(
-        self, front: entry.Entry, counts: summary.Account, key: str = ""
+        self, client: entry.EntryClient, counts: summary.Summary, key: str = ""
     ) -> None:
-        self._front = front
+        self._client = client
         self._counts = counts
         self._key = key
         self.accepted: list[str] = []
@@ -112,16 +114,16 @@
     def submit(self, items: list[dict]) -> None:
         """Submit jobs; a refusal is a problem, a lost answer is repeated."""
         for _ in range(entry.ATTEMPTS):
-            reply = self._front.call("POST", "/v1/jobs", {"jobs": items}, self._key)
+            reply = self._client.call("POST", "/v1/jobs", {"jobs": items}, self._key)
             if 0 < reply.status < 300:
-                self._note(reply)
+                self._count_reply(reply)
                 return
             if reply.status and reply.failure not in ("Unavailable", "Ambiguous"):
                 break
             gevent.sleep(0.2)
         self._counts.problems.append(f"submission: {reply.status} {reply.body[:300]!r}")
 
-    def _note(self, reply: replies.Reply) -> None:
+    def _count_reply(self, reply: replies.Reply) -> None:
         """Count jobs that were accepted and those that were refused one by one."""
         for item in reply.json()["jobs"]:
             if "error" in item:
@@ -133,16 +135,16 @@
         """Wait for all accepted jobs; what has no outcome then is lost."""
         deadline = time.monotonic() + limit_s
         for job_id in self.accepted:
-            outcome = self._follow(job_id, deadline)
+            outcome = self._wait_for_outcome(job_id, deadline)
             if outcome:
                 self._counts.outcomes[outcome] += 1
             else:
                 self._counts.lost.append(job_id)
         self.accepted = []
 
-    def _follow(self, job_id: str, deadline: float) -> str:
+    def _wait_for_outcome(self, job_id: str, deadline: float) -> str:
         while True:
-            reply = self._front.call("GET", f"/v1/jobs/{job_id}", key=self._key)
+            reply = self._client.call("GET", f"/v1/jobs/{job_id}", key=self._key)
             if reply.status == 200:
                 outcome = reply.json().get("outcome")
                 if outcome:
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -26,7 +26,7 @@
     """Describe one deployment: its text, its service and what is run on it."""
 
     name: str
-    source: str
+    file_name: str
     service: str
     partitions: int
     run: Callable[[Run], None]
@@ -37,17 +37,17 @@
     """Hold one running deployment and what is known about it."""
 
     cluster: cluster.Cluster
-    front: entry.Entry
-    counts: summary.Account
+    client: entry.EntryClient
+    counts: summary.Summary
     keys: dict[str, dict]
-    say: Callable[[str], None]
+    log: Callable[[str], None]
     outages: list[facts.ZoneOutage] = dataclasses.field(default_factory=list)
     gangs: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def submitter(self, team: str = "") -> callers.Submitter:
         """Return a submitter with the key of a team, or without a key."""
         secret = self.keys[team]["secret"] if team else ""
-        return callers.Submitter(self.front, self.counts, secret)
+        return callers.Submitter(self.client, self.counts, secret)
 
     def expect(self, holds: bool, problem: str) -> None:
         """Note a problem unless `holds`."""
@@ -55,7 +55,7 @@
             self.counts.problems.append(problem)
 
 
-def work(run_ms: int, answer: str = "") -> str:
+def make_payload(run_ms: int, answer: str = "") -> str:
     """Return the payload of a task for the worker stand-in."""
     return json.dumps({"run_ms": run_ms, "answer": answer})
 
@@ -63,31 +63,39 @@
 def run_kernhalde(run: Run) -> None:
     """Serve checks and builds while a daemon is shut down and a key withdrawn."""
     load = callers.Callers(
-        run.front, run.counts, "request-desk", run.keys["desk"]["secret"]
+        run.client, run.counts, "request-desk", run.keys["desk"]["secret"]
     )
-    load.start(callers.Kind("check", True, 400, 5), 12)
-    load.start(callers.Kind("normal", False, 2000, 20), 6)
-    load.start(callers.Kind("deferrable", True, 200_000, 50), 3)
+    load.start(callers.RequestKind("check", True, 400, 5), 12)
+    load.start(callers.RequestKind("normal", False, 2000, 20), 6)
+    load.start(callers.RequestKind("deferrable", True, 200_000, 50), 3)
     labels = run.submitter("labels")
     labels.submit(
         [
-            {"id": f"proofs-{n}", "template": "proof-rendering", "payload": work(60)}
+            {
+                "id": f"proofs-{n}",
+                "template": "proof-rendering",
+                "payload": make_payload(60),
+            }
             for n in range(20)
         ]
     )
     desk = run.submitter("desk")
     desk.submit(
         [
-            {"id": f"invoices-{n}", "template": "invoice-run", "payload": work(30)}
+            {
+                "id": f"invoices-{n}",
+                "template": "invoice-run",
+                "payload": make_payload(30),
+            }
             for n in range(40)
         ]
     )
     gevent.sleep(2)
-    run.say("shutting down entry-4 under load")
+    run.log("shutting down entry-4 under load")
     status = run.cluster.stop_daemon("entry-4")
     run.expect(status == 0, f"entry-4 ended with status {status}")
     run.cluster.start_daemon("entry-4")
-    run.say("entry-4 ended with all requests answered, and is back")
+    run.log("entry-4 ended with all requests answered, and is back")
     _withdraw_key(run)
     gevent.sleep(1)
     load.stop()
@@ -97,26 +105,30 @@
 
 def _withdraw_key(run: Run) -> None:
     key = run.keys["analytics"]
-    run.front.operate("DELETE", f"/v1/keys/{key['id']}")
+    run.client.call_as_operator("DELETE", f"/v1/keys/{key['id']}")
     gevent.sleep(judge.IN_FORCE_S)
     accepted = 0
     for number in range(18):
         item = {"id": f"late-{number}", "template": "sales-cubes"}
-        reply = run.front.call("POST", "/v1/jobs", {"jobs": [item]}, key["secret"])
+        reply = run.client.call("POST", "/v1/jobs", {"jobs": [item]}, key["secret"])
         accepted += reply.status < 400
     run.expect(accepted == 0, f"{accepted} jobs accepted with a withdrawn key")
-    run.say("withdrew the key of team analytics: 18 of 18 later jobs were refused")
+    run.log("withdrew the key of team analytics: 18 of 18 later jobs were refused")
 
 
 def run_zimna_patna(run: Run) -> None:
     """Run a gang and batch work while an availability zone leaves and returns."""
     load = callers.Callers(
-        run.front, run.counts, "road-ice", run.keys["dispatch"]["secret"]
+        run.client, run.counts, "road-ice", run.keys["dispatch"]["secret"]
     )
-    load.start(callers.Kind("check", True, 300, 5), 8)
-    load.start(callers.Kind("urgent", False, 500, 20), 4)
+    load.start(callers.RequestKind("check", True, 300, 5), 8)
+    load.start(callers.RequestKind("urgent", False, 500, 20), 4)
     ensembles = run.submitter("ensembles")
-    gang = {"id": "night-1", "template": "night-ensemble", "payload": work(2500)}
+    gang = {
+        "id": "night-1",
+        "template": "night-ensemble",
+        "payload": make_payload(2500),
+    }
     # Submitted with its dependencies, each under an ID of its own.
     ensembles.submit([gang])
     run.gangs["night-1"] = 20
@@ -126,20 +138,20 @@
             {
                 "id": f"refresh-{number}",
                 "template": "route-temperatures-sofia",
-                "payload": work(400),
+                "payload": make_payload(400),
             }
             for number in range(12)
         ]
     )
     gevent.sleep(1)
     zone = run.cluster.zones[0]
-    run.say(f"taking availability zone {zone} out of service")
-    run.front.operate("POST", f"/v1/zones/{zone}/out")
+    run.log(f"taking availability zone {zone} out of service")
+    run.client.call_as_operator("POST", f"/v1/zones/{zone}/out")
     out_at = time.monotonic()
     gevent.sleep(judge.IN_FORCE_S + 3)
-    run.front.operate("POST", f"/v1/zones/{zone}/in")
+    run.client.call_as_operator("POST", f"/v1/zones/{zone}/in")
     run.outages.append(facts.ZoneOutage(zone, out_at, time.monotonic()))
-    run.say(f"availability zone {zone} is back in service")
+    run.log(f"availability zone {zone} is back in service")
     gevent.sleep(1)
     load.stop()
     ensembles.wait(JOB_LIMIT_S)
@@ -154,9 +166,9 @@
 
 
 @contextlib.contextmanager
-def start(deployment: Deployment, say: Callable[[str], None]) -> Iterator[Run]:
+def start(deployment: Deployment, log: Callable[[str], None]) -> Iterator[Run]:
     """Start stand-ins and daemons, apply the text and grant the keys."""
-    source = (EXAMPLES / deployment.source).read_text()
+    source = (EXAMPLES / deployment.file_name).read_text()
     cell = reader.parse(source)
     if isinstance(cell, errors.Invalid):
         raise ValueError(cell)
@@ -173,16 +185,16 @@
             running.start_daemon(name, wait=False)
         for name in names:
             running.wait_ready(name)
-        front = entry.Entry(running, seed=7)
-        counts = summary.Account(deployment.name)
-        version = front.apply(_with_short_tasks(source), 0)
-        front.wait_in_force(version, DAEMONS)
-        keys = {team: front.grant(team) for team in cell.teams}
-        say(
+        client = entry.EntryClient(running, seed=7)
+        counts = summary.Summary(deployment.name)
+        version = client.apply_configuration(_with_short_tasks(source), 0)
+        client.wait_in_force(version, DAEMONS)
+        keys = {team: client.grant_key(team) for team in cell.teams}
+        log(
             f"{deployment.name}: {DAEMONS} daemons, 24 workers, 24 executors, "
             f"configuration {version}, {len(keys)} keys"
         )
-        yield Run(running, front, counts, keys, say)
+        yield Run(running, client, counts, keys, log)
 
 
 def _with_short_tasks(source: str) -> str:
@@ -190,13 +202,13 @@
     document = yaml.safe_load(source)
     for template in document["jobs"].values():
         if template.get("kind") != "service":
-            template["payload"] = work(300)
+            template["payload"] = make_payload(300)
     return yaml.safe_dump(document, sort_keys=False)
 
 
-def execute(deployment: Deployment, say: Callable[[str], None]) -> summary.Account:
+def execute(deployment: Deployment, log: Callable[[str], None]) -> summary.Summary:
     """Run one deployment from start to end and judge it."""
-    with start(deployment, say) as run:
+    with start(deployment, log) as run:
         deployment.run(run)
         known = facts.Known(zone_outages=tuple(run.outages), gang_sizes=run.gangs)
         run.counts.violations = judge.check(run.cluster.records(), known)
--- a/demo/entry.py
+++ b/demo/entry.py
@@ -16,7 +16,7 @@
     """Raised when an operator call is refused."""
 
 
-class Entry:
+class EntryClient:
     """Call one of the daemons that take connections."""
 
     def __init__(self, running: cluster.Cluster, seed: int) -> None:
@@ -52,7 +52,7 @@
             return replies.Reply(*answer)
         return replies.Reply(0, b"")
 
-    def operate(
+    def call_as_operator(
         self, method: str, path: str, body: object = None, **headers
     ) -> replies.Reply:
         """Make an operator's call and raise `CallFailed` unless it succeeds."""
@@ -68,9 +68,9 @@
             time.sleep(RETRY_S)
         raise CallFailed(f"{method} {path}: {reply.status} {reply.body.decode()}")
 
-    def apply(self, source: str, version: int) -> int:
+    def apply_configuration(self, source: str, version: int) -> int:
         """Put a text into force; return its version."""
-        reply = self.operate(
+        reply = self.call_as_operator(
             "PUT", "/v1/config", source.encode(), **{"If-Match": str(version)}
         )
         return reply.json()["version"]
@@ -78,13 +78,15 @@
     def wait_in_force(self, version: int, processes: int) -> None:
         """Wait until so many processes confirm a configuration version."""
         for _ in range(CONFIRM_ATTEMPTS):
-            found = self.operate("GET", f"/v1/config/confirmations?version={version}")
+            found = self.call_as_operator(
+                "GET", f"/v1/config/confirmations?version={version}"
+            )
             confirmed = found.json()["processes"]
             if len(confirmed) >= processes and all(confirmed.values()):
                 return
             time.sleep(RETRY_S)
         raise CallFailed(f"configuration {version} is not in force everywhere")
 
-    def grant(self, team: str) -> dict:
+    def grant_key(self, team: str) -> dict:
         """Grant a key to a team."""
-        return self.operate("POST", "/v1/keys", {"team": team}).json()
+        return self.call_as_operator("POST", "/v1/keys", {"team": team}).json()
--- a/demo/summary.py
+++ b/demo/summary.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Account:
+class Summary:
     """Count accepted work by the outcome that its callers were given."""
 
     name: str
@@ -26,7 +26,7 @@
         return sum(isinstance(item, violations.DOUBLED) for item in self.violations)
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Return whether nothing was lost, doubled or otherwise wrong."""
         return not (self.lost or self.violations or self.problems)
 
