--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; each ends with one JSON line."""
+"""Benchmarks; each prints its result as a last line of JSON."""
--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""Jobs of heavy days: urgent checks, proofs of many tasks, builds that are gangs."""
+"""Jobs under heavy load: urgent checks, proofs of many tasks, builds that are gangs."""
 
 import dataclasses
 import random
@@ -6,31 +6,31 @@
 from toucanspring import resources
 from toucanspring.coordinator import catalogue, job_specs
 
-END_S = 60.0
+END_S = 60.0  # of the arrivals
 WORKERS = 24
 POOL = "pool"
-MAX_GANG_FRACTION = 0.5  # of what the approved workers hold when empty
+MAX_GANG_FRACTION = 0.5  # of the tasks that the empty approved workers have room for
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class JobKind:
-    """Describe jobs of one kind; times are seconds."""
+    """Distribution of the jobs of one kind."""
 
-    rate: float  # jobs a second
+    rate: float  # jobs per second
     mean_steps: float
-    mean_width: float
-    mean_s: float
+    mean_width: float  # tasks per step
+    mean_s: float  # run time of a task
     max_s: float
-    cpus: float  # thousandths
-    memory: int
+    cpus: float  # mean millicores of a task
+    memory: int  # MiB
     value: float
     stretch: float
     target_s: float
-    failure_fraction: float  # part of the runs that fail
-    estimate_error: float
-    checkpointing: float  # part of the steps
-    gang: float
-    approved: float  # part of the workers
+    failure_fraction: float  # of the runs
+    estimate_error: float  # largest, as a fraction of the run time
+    checkpointing: float  # fraction of the steps
+    gang: float  # fraction of the steps
+    approved: float  # fraction of the workers
     approval: catalogue.Approval
 
 
@@ -80,13 +80,13 @@
 
 @dataclasses.dataclass(eq=False)
 class Arrival:
-    """Hold a job with what only the simulation knows of it."""
+    """A job with the facts that only the simulation knows."""
 
     spec: job_specs.Job
     kind: str
     at: float
-    task_seconds: list[list[float]]  # of each task by step
-    due_s: float  # seconds after its arrival
+    task_seconds: list[list[float]]  # run time of each task, by step
+    due_s: float  # after arrival
     value: float
     ended_at: float = 0.0
 
@@ -98,7 +98,7 @@
 
 
 def make_arrivals(load: str, rng: random.Random) -> list[Arrival]:
-    """Draw the jobs of one day."""
+    """Generate the jobs of one run."""
     arrivals = []
     for name, kind in KINDS.items():
         now = 0.0
--- a/bench/cell.py
+++ b/bench/cell.py
@@ -1,4 +1,4 @@
-"""A cell of nine daemons on stand-ins, and counters of what its processes use."""
+"""A cell of nine daemons on stand-ins, with counters of its resource usage."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 BYTES_METRIC = re.compile(rb"^toucanspring_\w*bytes\w*\{[^}]*\} (\S+)$", re.MULTILINE)
-START_LIMIT_S = 20.0
+START_LIMIT_S = 20.0  # for all tasks to run
 MAX_JOBS_PER_CALL = 500
 MAX_TASKS_PER_CALL = 10_000
 
 
 def environment_command(facts: cluster.DaemonFacts) -> list[str]:
-    """Return a command with settings in the environment, which spares memory."""
+    """Return a command that passes settings in the environment to save memory."""
     variables = [
         f"{settings.PREFIX}{field.name.upper()}={getattr(facts, field.name)}"
         for field in dataclasses.fields(facts)
@@ -47,7 +47,7 @@
 def make_configuration(
     zones: tuple[str, ...], teams: int = 1, ceiling: bool = False
 ) -> str:
-    """Return a text with a number of teams, each with one queue of its own."""
+    """Return a configuration of teams that each have one queue."""
     amounts = {"cpus": 700, "memory": "1400 GiB"}
     document = {
         "cell": "bench",
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """Hold the counters of the daemons and of the table service at one moment."""
+    """Counters of the daemons and of the table service at one point in time."""
 
     at: float
     cpu_s: dict[str, float]
@@ -80,7 +80,7 @@
 
 
 class Cell:
-    """Run daemons; a context manager."""
+    """Run a cell with an applied configuration; a context manager."""
 
     def __init__(
         self,
@@ -124,7 +124,7 @@
     # Counters
 
     def sample(self) -> Sample:
-        """Read the counters of the daemons and the operations of the tables."""
+        """Read the counters of the daemons and of the table service."""
         counts = self.operations()
         names = [name for name in self.names if name in self.cluster.processes]
         at = time.monotonic()
@@ -140,14 +140,14 @@
         return self.cluster.processes[name].pid
 
     def operations(self) -> tuple[int, int]:
-        """Return the transactions and the reads and scans that the tables served."""
+        """Return how many transactions, and how many reads and scans were served."""
         events = self.cluster.record("tables")["events"]
         writes = sum(item["kind"] in ("commit", "conflict") for item in events)
         reads = sum(item["kind"] in ("read", "scan") for item in events)
         return writes, reads
 
     def tables(self) -> tables.HttpTableClient:
-        """Return a client of the table service that only looks."""
+        """Return a client of the table service for reading only."""
         port = self.cluster.service_ports["tables"]
         return tables.HttpTableClient(ports.ADDRESS, port, "observer", 1.0)
 
@@ -172,7 +172,7 @@
         job_ids: list[str] | None = None,
         **options: object,
     ) -> list[str]:
-        """Submit jobs of equal tasks; return their IDs once accepted."""
+        """Submit jobs of identical tasks; return their IDs once accepted."""
         payload = json.dumps({"run_ms": run_ms})
         items = [
             {
@@ -202,7 +202,7 @@
         run_ms: float | None,
         **options: object,
     ) -> list[str]:
-        """Submit jobs whose IDs fall on the partitions in turn."""
+        """Submit jobs with IDs that map to the partitions in turn."""
         partitions = self.cluster.partitions
         job_ids: list[str] = []
         for number in itertools.count():
@@ -219,7 +219,7 @@
         return reply.json() if reply.status == 200 else {}
 
     def wait_running(self, job_ids: list[str], tasks: int) -> bool:
-        """Wait until all tasks of the jobs run."""
+        """Wait until so many tasks of the jobs run; return whether they do."""
         deadline = time.monotonic() + START_LIMIT_S
         while time.monotonic() < deadline:
             running = sum(
@@ -263,15 +263,15 @@
 
 
 def per_second(before: Sample, after: Sample) -> dict[str, float]:
-    """Return the rates between two samples; CPU and bytes are those of a mean node."""
+    """Return the rates between two samples; CPU and bytes are means per daemon."""
     elapsed = after.at - before.at
-    nodes = len(after.cpu_s)
+    daemons = len(after.cpu_s)
     cpu = {name: after.cpu_s[name] - before.cpu_s[name] for name in after.cpu_s}
     transferred = sum(after.bytes[name] - before.bytes[name] for name in after.bytes)
     return {
-        "core_percent": round(100 * sum(cpu.values()) / nodes / elapsed, 2),
+        "core_percent": round(100 * sum(cpu.values()) / daemons / elapsed, 2),
         "core_percent_max": round(100 * max(cpu.values()) / elapsed, 2),
-        "bytes_per_s": round(transferred / nodes / elapsed),
+        "bytes_per_s": round(transferred / daemons / elapsed),
         "store_writes_per_s": round((after.writes - before.writes) / elapsed, 1),
         "store_reads_per_s": round((after.reads - before.reads) / elapsed, 1),
     }
--- a/bench/change.py
+++ b/bench/change.py
@@ -1,4 +1,4 @@
-"""Measure how long changes take to be in force everywhere, under load."""
+"""Measure how long changes take to apply on all daemons under load."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 CONFIG_CHANGES = 15
 WITHDRAWALS = 8
 OUTAGES = 3
-OUT_S = 3.5
-IN_S = 1.0
-LIMIT_S = 10.0
+OUT_S = 3.5  # length of an outage
+IN_S = 1.0  # between outages
+LIMIT_S = 10.0  # for a change to apply on all daemons
 TASK_MS = 300.0
-JOBS = 12
-TASKS = 500
+JOBS = 12  # per submission
+TASKS = 500  # per job
 
 
 class Load:
@@ -50,7 +50,7 @@
         )
 
     def _waiting(self) -> int:
-        """Return the waiting tasks of the last two submissions."""
+        """Return the number of waiting tasks of the last two submissions."""
         return sum(
             self._running.status(name).get("counts", {}).get("waiting", 0)
             for name in self.submitted[-2 * JOBS :]
@@ -63,36 +63,36 @@
 
 
 def percentile(values: list[float], fraction: float = 0.99) -> float:
-    """Return the smallest value that is not below the fraction of all values."""
+    """Return a percentile of the values; `fraction` is from 0 to 1."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(fraction * len(ordered)))], 3)
 
 
 def time_until_all(running: cell.Cell, holds) -> float:
-    """Return the seconds until `holds(name)` for each daemon, which is not asked again.
+    """Return the seconds until `holds(name)` was true once for each daemon.
 
-    The first call counts from now; a daemon that never holds raises `RuntimeError`.
+    Time counts from the call. If that takes too long, `RuntimeError` is raised.
     """
     started = time.monotonic()
     left = list(running.names)
     while left:
         left = [name for name in left if not holds(name)]
         if time.monotonic() - started > LIMIT_S:
-            raise RuntimeError(f"not in force at {left} after {LIMIT_S} s")
+            raise RuntimeError(f"change not applied on {left} within {LIMIT_S} s")
     return time.monotonic() - started
 
 
 def call_daemon(
     running: cell.Cell, name: str, method: str, path: str, key: str, body=None
 ):
-    """Call one daemon."""
+    """Send a request to one daemon and return its response."""
     port = running.cluster.daemon_facts[name].http_port
     headers = {"Authorization": f"Bearer {key}"}
     return cluster.call(port, method, path, body, headers)
 
 
 def time_config(running: cell.Cell, number: int) -> float:
-    """Change the text and return the seconds until all daemons have it."""
+    """Apply a configuration; return the seconds until all daemons use it."""
     source = running.source.replace("share: 1", f"share: {number + 2}")
     started = time.monotonic()
     running.version = running.client.apply_configuration(source, running.version)
@@ -108,7 +108,7 @@
 
 
 def time_withdrawal(running: cell.Cell, number: int) -> float:
-    """Withdraw a key and return the seconds until no daemon accepts work for it."""
+    """Withdraw a key; return the seconds until all daemons refuse it."""
     key = running.client.grant_key("team-0")
     probe = {"queue": "queue-0", "resources": {"cpus": 0.1, "memory": "1 MiB"}}
     items = iter(range(1_000_000))
@@ -128,7 +128,7 @@
 
 
 def time_outage(running: cell.Cell, zone: str) -> tuple[float, float]:
-    """Take a zone out and return it; return the times of acceptance and return."""
+    """Take a zone out of service and return it; return the times of both changes."""
     running.client.call_as_operator("POST", f"/v1/zones/{zone}/out")
     out_at = time.monotonic()
     time.sleep(OUT_S)
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Measure what control costs a node at rest, and placements in bulk."""
+"""Measure the cost of a daemon at rest and of placing tasks in bulk."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 from bench import cell
 from standins import processes
 
-HELD_TASKS = 1000
+HELD_TASKS = 1000  # that run without end
 HELD_JOBS = 10
 IDLE_S = 12.0
 BULK_JOBS = 60
@@ -58,14 +58,14 @@
         print(result, flush=True)
         result["bulk"] = measure_bulk(running)
     tasks = BULK_JOBS * BULK_TASKS
-    # One log write for each task's outcome, at the rate that was reached.
+    # The baseline is one log write per task outcome at the same placement rate.
     result["baseline_store_writes_per_s"] = result["bulk"]["placements_per_s"]
     result["bulk_tasks"] = tasks
     print(json.dumps(result))
 
 
 def measure_bulk(running: cell.Cell) -> dict[str, object]:
-    """Submit batch tasks in bulk; rates count until the last task has ended."""
+    """Submit batch tasks in bulk; return the rates until the last task has ended."""
     before = running.sample()
     submitted = running.submit(
         "bulk", BULK_JOBS, BULK_TASKS, BULK_RUN_MS, cpus=BULK_CPUS
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""Measure what the record of events costs the store: at rest, in bulk, after losses.
+"""Measure store writes of events: at rest, in bulk and after worker failures.
 
 Run: .venv/bin/python -m bench.events --seed 1
 """
@@ -13,7 +13,8 @@
 from bench import cell
 from toucanspring.reporting import event_rows
 
-# The documents in force are written 30 s after the first events of a start.
+# The documents of the applied configuration are written 30 s after the first events
+# that follow a start.
 SETTLE_S = 45.0
 REST_S = 60.0
 BULK_JOBS = 60
@@ -24,12 +25,13 @@
 HELD_JOBS = 10
 HELD_TASKS = 1000
 WORKERS = 24
-# Lease and grace of a worker are 23.1 s; the record must be written within 5 s more.
+# Lease and grace period of a worker are 23.1 s; the events must be written within a
+# further 5 s.
 LOSS_LIMIT_S = 45.0
 
 
 class EventWriteCounter:
-    """Count the writes of rows of events from one moment to the next."""
+    """Count writes of event rows between two calls."""
 
     def __init__(self, running: cell.Cell) -> None:
         self._cell = running
@@ -52,7 +54,7 @@
 
 
 def measure(*, seed: int = 1) -> None:
-    """Print the costs, and one JSON line.
+    """Print the numbers of writes and bytes as one JSON line.
 
     :param seed: Seed of the choice of entry processes.
     """
@@ -73,14 +75,14 @@
 
 
 def count_entries_by_kind(running: cell.Cell) -> dict[str, int]:
-    """Return the number of written entries of each kind."""
+    """Return the number of written events of each kind."""
     rows = event_rows.read(running.tables(), time.time() - 3600)
     found = event_rows.join(rows, [])
     return dict(collections.EventWriteCounter(item["kind"] for item in found))
 
 
 def measure_writes(counter: EventWriteCounter, work) -> dict[str, float]:
-    """Return the writes and bytes of some work in all and for each second."""
+    """Return the writes and bytes during `work`, in total and per second."""
     started = time.monotonic()
     work()
     seconds = time.monotonic() - started
@@ -94,7 +96,7 @@
 
 
 def run_bulk(running: cell.Cell) -> None:
-    """Run batch tasks in bulk, and the write interval after them."""
+    """Run batch tasks in bulk, then wait until their events are written."""
     submitted = running.submit(
         "bulk", BULK_JOBS, BULK_TASKS, BULK_RUN_MS, cpus=BULK_CPUS
     )
@@ -103,7 +105,7 @@
 
 
 def fail_all_workers(running: cell.Cell, result: dict[str, object]) -> None:
-    """Let all workers fail at once and wait until the record names them."""
+    """Make all workers fail at once; wait until the events name all of them."""
     names = [vm.id for vm in running.cluster.listed() if vm.role == "worker"]
     failed_at = time.monotonic()
     running.cluster.set_faults("workers", workers=names, die=True)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Random mixes of faults on a running cluster under load; ends with one JSON line.
+"""Inject random faults into a running cluster under load; print counts as JSON.
 
 Run: .venv/bin/python -m bench.faults --seed 1
 """
@@ -27,22 +27,24 @@
 WORKERS = 12
 EXECUTORS = 6
 FAULTS_S = 13.0
-# A caller asks again for this long; the default of scenarios let one run take 60.8 s.
+# Time for which a caller retries. With the default of `scenarios.loads`, a run took up
+# to 60.8 s.
 FOLLOW_S = 18.0
-# Counted from the start; the judge and the end of the processes follow.
+# Time since the start of the run at which the load ends; the check of the records and
+# the shutdown of the processes follow.
 FINISH_AT_S = 42.0
-MAX_UNKNOWN = 0.01
+MAX_UNKNOWN = 0.01  # fraction of the accepted work with an unknown outcome
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Templates:
-    """Name what the load of a deployment is made of."""
+    """Job templates and request class that make up the load of a deployment."""
 
     keyed_class: str  # of non-idempotent requests
     batch: str
     single: str  # of non-idempotent jobs
     gang: str
-    withdrawn: str  # of the team whose key is withdrawn
+    withdrawn: str  # of the team with the key that is withdrawn
 
 
 TEMPLATES = {
@@ -80,12 +82,12 @@
     "config_reverts",
 )
 
-# A fault is a generator: it begins the fault, yields, and ends it.
+# A generator that injects a fault, yields, and ends the fault.
 Fault = Callable[["FaultMix"], Iterator[None]]
 
 
 class FaultMix:
-    """Begin and end faults; no daemon has two at a time."""
+    """Inject and end faults, with at most one at a time on each daemon."""
 
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
         self.cell = running
@@ -96,18 +98,18 @@
         self.began: collections.Counter[str] = collections.Counter()
 
     def daemon(self) -> str:
-        """Return a daemon that has no fault at present."""
+        """Reserve a random daemon without a fault and return its name."""
         free = [name for name in self.cell.daemons if name not in self.busy]
         name = self.rng.choice(free)
         self.busy.add(name)
         return name
 
     def worker(self) -> language.Place:
-        """Return a worker."""
+        """Return a random worker."""
         return language.Place("worker", self.rng.randint(1, WORKERS))
 
     def run(self, fault: Fault, seconds: float) -> None:
-        """Begin a fault and end it after a time."""
+        """Inject a fault and end it after some seconds."""
         steps = fault(self)
         self.began[fault.__name__] += 1
         next(steps)
@@ -141,39 +143,39 @@
 
 
 def cut_store(mix: FaultMix) -> Iterator[None]:
-    """Cut a daemon off from the store."""
+    """Disconnect a daemon from the store."""
     return _on_daemon(mix, mix.player.cut_store, mix.player.heal_store)
 
 
 def store_down(mix: FaultMix) -> Iterator[None]:
-    """Take the store down for all."""
+    """Make the store unavailable to all daemons."""
     mix.player.store_down()
     yield
     mix.player.store_up()
 
 
 def store_slow(mix: FaultMix) -> Iterator[None]:
-    """Slow the store down for all."""
+    """Slow the store down for all daemons."""
     mix.player.store_slow(mix.rng.uniform(0.05, 0.5))
     yield
     mix.player.store_up()
 
 
 def lose_answers(mix: FaultMix) -> Iterator[None]:
-    """Lose answers to writes of one kind."""
+    """Drop responses to writes of one kind of row."""
     document = mix.rng.choice(sorted(disturbances.ROW_PREFIXES))
     mix.player.lose_writes(mix.rng.randint(1, 3), document)
     yield
 
 
 def lose_worker(mix: FaultMix) -> Iterator[None]:
-    """End a worker, which returns."""
+    """End a worker, which restarts after a delay."""
     mix.player.lose(mix.worker(), mix.rng.uniform(0.2, 2.0))
     yield
 
 
 def cut_worker(mix: FaultMix) -> Iterator[None]:
-    """Cut a worker off from one daemon."""
+    """Disconnect a worker from one daemon."""
     place = mix.worker()
     name = mix.rng.choice(mix.cell.daemons)
     mix.player.cut_place(name, place)
@@ -187,14 +189,14 @@
         yield
         return
     zone = mix.rng.choice(sorted(mix.cell.model.availability_zones))
-    mix.cell.out[zone] = float("inf")  # not another one meanwhile
+    mix.cell.out[zone] = float("inf")  # prevents an outage of a second zone
     mix.player.zone_out(zone)
     yield
     mix.player.zone_in(zone)
 
 
 def change_ceiling(mix: FaultMix) -> Iterator[None]:
-    """Put a text with another ceiling into force."""
+    """Apply a configuration with another ceiling."""
     if mix.changing:
         yield
         return
@@ -206,7 +208,7 @@
 
 
 def withdraw_key(mix: FaultMix) -> Iterator[None]:
-    """Withdraw the key of the team that has one to lose."""
+    """Withdraw the key of the team that is chosen for it, unless it was already."""
     template = TEMPLATES[mix.cell.model.name].withdrawn
     team = mix.cell.model.jobs[template].team
     if mix.cell.keys[team].id not in mix.cell.withdrawn:
@@ -215,7 +217,7 @@
 
 
 def fail_executor(mix: FaultMix) -> Iterator[None]:
-    """Stop a backend server, or cut some answers."""
+    """Stop a backend server, or truncate a response."""
     if mix.rng.random() < 0.5:
         mix.player.answers_cut(1)
         yield
@@ -241,24 +243,24 @@
     withdraw_key,
     fail_executor,
 )
-# Two of these at once would end each other's effect.
+# These set the same fault of the store, so that the end of one would end the other.
 EXCLUSIVE = {store_down, store_slow}
 NEEDS_STORE = {take_zone, change_ceiling, withdraw_key}
 
 
 def choose(rng: random.Random) -> list[Fault]:
-    """Return one to three faults that do not undo each other."""
+    """Return one to three faults that do not cancel each other."""
     chosen = rng.sample(FAULTS, rng.randint(1, 3))
     if set(chosen) >= EXCLUSIVE:
         chosen.remove(store_slow)
     if store_down in chosen:
-        # Operators' changes are refused during an outage.
+        # Changes by operators are refused while the store is unavailable.
         chosen = [fault for fault in chosen if fault not in NEEDS_STORE]
     return chosen
 
 
 def start_load(running: cell.Cell, player: actions.Player) -> None:
-    """Start all kinds of work."""
+    """Start requests and jobs of all kinds."""
     load = TEMPLATES[running.model.name]
     jobs = running.model.jobs
     service = next(iter(running.model.services.values()))
@@ -302,7 +304,7 @@
 
 
 def count(running: cell.Cell, rounds: int, faults: int) -> dict[str, int]:
-    """Return the counts of a finished run; print what is wrong."""
+    """Return the counts of a finished run; print violations and problems."""
     loads = (*running.jobs.values(), *running.requests.values())
     result = {"runs": rounds, "faults": faults}
     for state in ("accepted", "done", "not_run", "unknown"):
@@ -316,7 +318,7 @@
     for violation in found:
         kind = type(violation)
         if kind is violations.LostWork:
-            continue  # counted by job above
+            continue  # already counted by job
         if kind in violations.DOUBLED:
             result["doubled"] += 1
         elif kind in COUNTED:
@@ -327,7 +329,7 @@
         print(str(line)[:500])
     if other_violations:
         print(f"{other_violations} other violations")
-        result["runs"] = -1  # no valid run
+        result["runs"] = -1  # marks the run as invalid
     return result
 
 
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,4 +1,4 @@
-"""Compare skewed work over three partitions with worker moves and without them."""
+"""Compare skewed load on three partitions with and without worker moves."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 LOAD_S = 8.0
 BATCH_S = 0.5
 TASKS_PER_BATCH = 18
-# Of the tasks; the partition's own workers have room for less than half of them.
+# Fraction of the tasks that go to partition 0, which has workers for less than half of
+# them.
 SKEW = 0.8
 TASK_MS = 2000.0
 CPUS = 4
@@ -29,7 +30,7 @@
 
 
 def choose_job_ids(rng: random.Random, prefix: str, count: int) -> list[str]:
-    """Return job IDs of which a part of `SKEW` falls on partition 0."""
+    """Return job IDs, of which the fraction `SKEW` maps to partition 0."""
     job_ids: list[str] = []
     numbers = itertools.count()
     while len(job_ids) < count:
@@ -47,7 +48,7 @@
 
 
 def run(seed: int, moves: str) -> dict[str, object]:
-    """Return what one cell completes, and how long its tasks wait."""
+    """Run one cell; return how much it completes and how long tasks wait."""
     os.environ[f"{settings.PREFIX}MOVES"] = moves
     rng = random.Random(seed)
     submitted: dict[str, float] = {}
@@ -71,7 +72,7 @@
     for event in events:
         if event["kind"] == "start":
             first.setdefault(job.job_of(event["task"]), event["at"])
-    # Work that never started counts with the time until the end of the run.
+    # A task that never started counts as waiting until the end of the run.
     waits = [first.get(name, gave_up_at) - at for name, at in submitted.items()]
     done = sum(
         event["kind"] == "end" and event["state"] == "done" and event["at"] < ended
@@ -91,7 +92,7 @@
 
 
 def measure(*, seed: int = 1) -> None:
-    """Print the figures of both runs as one JSON line.
+    """Print the results of both runs as one JSON line.
 
     :param seed: Seed of the job IDs and of the choice of entry processes.
     """
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -1,9 +1,9 @@
-"""Measure deadlines and completed work while an availability zone leaves and returns.
+"""Measure deadlines met and capacity used during an outage of an availability zone.
 
-The jobs are those of `bench.wait`, with less deadline work, so that earliest-deadline
-order can meet the deadlines on two of three zones. One zone is out of service in the
-middle third of the span. The policy is the scheduler of one partition; the baseline is
-the same scheduler without classes and deadlines: every job is a normal one.
+The jobs are those of `bench.wait` with less deadline work, so that
+earliest-deadline-first order can meet the deadlines in two of three zones. One zone is
+out of service in the middle third of the span. The policy is the scheduler of one
+partition; the baseline is the same scheduler with only normal jobs without deadlines.
 """
 
 import msgspec
@@ -12,11 +12,11 @@
 from toucanspring import job
 from toucanspring.scheduling import effects
 
-DEADLINE_LOAD = 0.4  # of the capacity of all zones; two thirds of it remain
-SPAN_S = 1800.0  # in which jobs arrive
+DEADLINE_LOAD = 0.4  # fraction of the capacity; two thirds of that remain
+SPAN_S = 1800.0  # time during which jobs arrive
 OUT_FROM_S = SPAN_S / 3
 OUT_UNTIL_S = 2 * SPAN_S / 3
-# Workers whose tasks end soon are left to end them, so the drain takes a moment.
+# Tasks that end soon are not stopped, so a zone takes some time to drain.
 DRAIN_S = 30.0
 ZONE = "az0"
 WORKER_FACTS = work.worker_facts(wait.WORKERS, 3)
@@ -24,7 +24,7 @@
 
 
 class Policy(wait.Policy):
-    """Take a zone out of service and return it."""
+    """Simulate an outage of a zone and record the usage."""
 
     def __init__(self, seed: int, jobs: list[tuple[float, job.JobSpec]]) -> None:
         super().__init__(seed)
@@ -33,11 +33,11 @@
         # (time, used millicores, usable millicores)
         self.usage: list[tuple[float, int, int]] = []
         self.late_starts = 0
-        self.checkpoints = 0  # while the zone is out and drained
-        self.stopped_millicore_s = 0.0  # millicore seconds that these tasks had run
+        self.checkpoints = 0  # after the drain, while the zone is out of service
+        self.stopped_millicore_s = 0.0  # that the checkpointed tasks had run
 
     def step(self, now: float) -> None:
-        """Change the zone when due, let the machine work, and note what is used."""
+        """Change the state of the zone when due, tick, and record the usage."""
         is_out = OUT_FROM_S <= now < OUT_UNTIL_S
         if is_out != self._is_out:
             self._is_out = is_out
@@ -76,15 +76,15 @@
 
 
 def used_ratio(policy: Policy, start: float, end: float) -> float:
-    """Return the used part of what was usable in an interval."""
+    """Return the used fraction of the usable capacity in an interval."""
     found = [entry for entry in policy.usage if start <= entry[0] < end]
     return sum(used for _, used, _ in found) / sum(usable for *_, usable in found)
 
 
 def redone_ratio(policy: Policy) -> float:
-    """Return the part of what was usable while out that stopped tasks had used.
+    """Return the fraction of usable capacity that stopped tasks had used by then.
 
-    So much is done again if the work does not support checkpoints.
+    This is the work that would be repeated if the tasks did not support checkpoints.
     """
     start, end = OUT_FROM_S + DRAIN_S, OUT_UNTIL_S
     usable = [entry[2] for entry in policy.usage if start <= entry[0] < end]
@@ -94,7 +94,7 @@
 def without_classes(
     jobs: list[tuple[float, job.JobSpec]],
 ) -> list[tuple[float, job.JobSpec]]:
-    """Return the jobs as normal ones without deadlines, in the order of arrival."""
+    """Return the jobs as normal jobs without deadlines, in arrival order."""
     return [
         (
             at,
@@ -107,7 +107,7 @@
 
 
 def met_ratio(policy: Policy, jobs: list[tuple[float, job.JobSpec]]) -> float:
-    """Return the part of the deadline jobs of `jobs` that ended in time."""
+    """Return the fraction of the deadline jobs in `jobs` that ended in time."""
     due = [(at, spec) for at, spec in jobs if spec.deadline_seconds is not None]
     met = sum(
         policy.ended_at(spec) <= at + spec.deadline_seconds + 1e-6 for at, spec in due
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,9 @@
 """Measure goodput of idempotent requests from 0.9 to 3 times the capacity.
 
-Nine entry processes with admission queue and router each send to 24 backend servers
-of 8 slots in simulated time. Goodput is the number of requests that end before
-their deadline. The baseline queues all requests in arrival order without limit and
-sends each to a random server, with a fixed part of the slots for each process.
+Nine entry processes, each with an admission queue and a router, send to 24 backend
+servers with 8 slots each in simulated time. Goodput is the number of requests that end
+before their deadline. The baseline queues all requests in arrival order without limit
+and sends each to a random server, with a fixed share of the slots per process.
 """
 
 import collections
@@ -24,7 +24,7 @@
 LATENCY_S = 0.0005  # one way, between entry process and backend server
 MEAN_SERVICE_S = 0.1
 LOADS = (0.9, 1.0, 1.2, 1.5, 2.0, 3.0)
-# Part of the requests and time from arrival to deadline.
+# Fraction of the requests, and seconds from arrival to deadline.
 CLASSES = {
     job.JobClass.CHECK: (0.2, 1.0),
     job.JobClass.URGENT: (0.1, 1.0),
@@ -36,7 +36,7 @@
 
 
 class Policy:
-    """Queue by class and send to the less loaded of two servers."""
+    """Queue by class and send to the less loaded of two random servers."""
 
     def __init__(self, rng: random.Random, facts: list) -> None:
         self._queue = admission.Admission()
@@ -49,7 +49,7 @@
         self._queue.offer(request.id, request.job_class, request.deadline, now)
 
     def next(self, now: float):
-        """Return (request ID, server) to send, the time to try again, or None."""
+        """Return (request ID, server) to send, the next time to try, or None."""
         while True:
             if not len(self._queue):
                 return None
@@ -67,13 +67,13 @@
                 return request_id, server.id
 
     def refused(self, request, server: str, now: float) -> None:
-        """Queue a request again that found no free slot."""
+        """Requeue a request that was refused because all slots were in use."""
         self.router.finished(server, routing.Outcome.REFUSED, 0.0, now)
         entry = admission.QueuedRequest(request.id, request.job_class, request.deadline)
         self._queue.requeue(entry)
 
     def answered(self, request, server: str, now: float) -> None:
-        """Learn from an answer."""
+        """Record the service time of an answered request."""
         seconds = now - self._sent_at.pop(request.id)
         self.router.finished(server, routing.Outcome.OK, seconds, now)
         self._queue.record_service_time(request.job_class, seconds)
@@ -94,30 +94,30 @@
         self._queue.append(request.id)
 
     def next(self, now: float):
-        """Return (request ID, server) to send, the time to try again, or None."""
+        """Return (request ID, server) to send, the next time to try, or None."""
         if not self._queue or self._in_flight >= self._max_in_flight:
             return None
         self._in_flight += 1
         return self._queue.popleft(), self._rng.choice(self._servers)
 
     def refused(self, request, server: str, now: float) -> None:
-        """Queue a request again that found no free slot."""
+        """Requeue a request that was refused because all slots were in use."""
         self._in_flight -= 1
         self._queue.appendleft(request.id)
 
     def answered(self, request, server: str, now: float) -> None:
-        """Count an answer."""
+        """Free the slot of an answered request."""
         self._in_flight -= 1
 
 
 class Request:
-    """Hold one request of the simulation."""
+    """A simulated request."""
 
     __slots__ = ("arrived", "deadline", "entry", "id", "job_class", "seconds", "wait")
 
 
 class Simulation:
-    """Run one load in simulated time."""
+    """Simulation of one load."""
 
     def __init__(self, policy_type, load: float, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -134,7 +134,7 @@
         self._requests: dict[str, Request] = {}
         self._sequence = itertools.count()
         self._events: list[tuple] = []
-        self._wake_times = [0.0] * ENTRIES  # time of the pending wake of each process
+        self._wake_times = [0.0] * ENTRIES  # of each entry process
         self.done = 0
         self.refused = 0
 
@@ -165,7 +165,7 @@
         heapq.heappush(self._events, (at, next(self._sequence), handler, details))
 
     def _send_queued(self, entry: int, now: float) -> None:
-        """Let an entry process send what it can."""
+        """Send the queued requests of an entry process that can be sent now."""
         while True:
             match self._entries[entry].next(now):
                 case None:
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -1,9 +1,9 @@
-"""Measure how much of a full cell is in use, against a computed upper bound.
+"""Measure the utilisation of a full cell against its upper bound.
 
-A list of mixed tasks is given to 24 workers. Until the last task starts, work in
-progress can use at most the whole cell in the scarcest resource; the ratio is the
-part of that which was used. The policy is the waiting queue with the worker index;
-the baseline starts tasks strictly in arrival order on the first worker with room.
+24 workers run a list of mixed tasks. The ratio is the used fraction of the scarcest
+resource until the last task starts; the upper bound is the whole cell. The policy is
+the waiting queue with the worker index; the baseline starts tasks strictly in arrival
+order on the first worker with room.
 """
 
 import heapq
@@ -16,18 +16,18 @@
 WORKERS = 24
 TASKS = 6000
 RUN_SECONDS = (20.0, 300.0)
-SCAN_LIMIT = 200  # waiting tasks that are looked at after each end
+SCAN_LIMIT = 200  # waiting tasks to consider after each task end
 
 
 class Policy:
-    """Look at the waiting queue in its order and pass over tasks without room."""
+    """Start waiting tasks in queue order, but skip those without room."""
 
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
         self._queue = waiting.WaitingQueue()
 
     def submit(self, specs: list[job.JobSpec]) -> None:
-        """Queue all work."""
+        """Queue all jobs."""
         for number, spec in enumerate(specs):
             self._queue.add(spec, [0], now=number * 1e-6)
 
@@ -45,7 +45,7 @@
         return started
 
     def has_waiting(self) -> bool:
-        """Return whether a task waits."""
+        """Return whether any task is waiting."""
         return len(self._queue) > 0
 
 
@@ -57,7 +57,7 @@
         self._specs: list[job.JobSpec] = []
 
     def submit(self, specs: list[job.JobSpec]) -> None:
-        """Queue all work."""
+        """Queue all jobs."""
         self._specs = list(reversed(specs))
 
     def start(self) -> list[tuple[str, job.JobSpec]]:
@@ -73,7 +73,7 @@
         return started
 
     def has_waiting(self) -> bool:
-        """Return whether a task waits."""
+        """Return whether any task is waiting."""
         return bool(self._specs)
 
 
@@ -93,7 +93,7 @@
 
 
 def simulate(policy, specs: list[job.JobSpec]) -> float:
-    """Return the used part of the scarcest resource until the last start."""
+    """Return the used fraction of the scarcest resource until the last start."""
     total = resources.ZERO
     for facts in work.worker_facts(WORKERS, 3):
         policy.index.add(*facts)
@@ -131,7 +131,7 @@
 
 
 def main() -> None:
-    """Run the policy and the baseline on the same work."""
+    """Run the policy and the baseline on the same jobs."""
     seed = work.parse_seed()
     specs = make_work(seed)
     work.print_result(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,12 +1,12 @@
 """Measure the cost of placement decisions at 24 and at 26,000 workers.
 
-Spread decisions place the tasks of jobs of `JOB_TASKS` one by one; compact decisions
-choose the workers of whole gangs. Both are measured at 26,000 workers only.
+Spread decisions place the tasks of jobs with `JOB_TASKS` tasks one by one; compact
+decisions choose the workers of whole gangs. Both are measured at 26,000 workers only.
 
-A decision is choice and allocation. The cell is held at each load in `LOADS` by
-ending random tasks, which counts into the time per decision too. Both sizes are
-measured in alternating blocks, so that a busy machine affects both alike; the
-figures are those of the worst load.
+A decision consists of choice and allocation. Random tasks are ended to keep the cell at
+each load in `LOADS`, and this time counts towards the time per decision. Both sizes are
+measured in alternating blocks, so that other load on the machine affects both alike.
+The results are those of the worst load.
 """
 
 import collections
@@ -22,7 +22,7 @@
 BLOCKS = 10
 BLOCK_DECISIONS = 1500
 BASELINE_DECISIONS = 300
-FILL_TRIES = 25  # tasks that are tried on each worker to fill the baseline's cell
+FILL_TRIES = 25  # tasks to try on each worker to fill the cell of the baseline
 LOADS = (0.5, 0.85, 1.0)  # of the processors; at 1.0 many choices find no room
 ZONES = {SMALL: 3, LARGE: 27}
 CONSTRAINED = 0.1  # fraction of the tasks that name two availability zones
@@ -33,7 +33,7 @@
 
 
 class Cell:
-    """Hold a cell at a load."""
+    """A cell that is kept at a given load."""
 
     def __init__(self, index, seed: int, count: int, load: float) -> None:
         self.index = index
@@ -48,7 +48,7 @@
             index.add(*facts)
 
     def raise_load(self, load: float) -> None:
-        """Place tasks up to a load and forget the figures of the load before."""
+        """Place tasks up to a load and reset the measurements."""
         self.latencies.clear()
         self.block_means.clear()
         self._target_cpus = load * self._count * work.PLAIN.cpus
@@ -65,7 +65,7 @@
                 misses += 1
 
     def fill_in_order(self) -> None:
-        """Fill one worker after another, as first fit does, but in less time."""
+        """Fill one worker after another; same as first fit, but faster."""
         for worker, *_ in work.worker_facts(self._count, ZONES[self._count]):
             if self._used >= self._target_cpus:
                 break
@@ -77,7 +77,7 @@
                     self._used += demand.cpus
 
     def measure(self, decisions: int, constrained: bool) -> None:
-        """Take decisions and record their time."""
+        """Make decisions and record how long they take."""
         rng, index = self._rng, self.index
         names = [f"az{number}" for number in range(ZONES[self._count])]
         spent = 0.0
@@ -103,7 +103,7 @@
         self.block_means.append(spent / decisions)
 
     def measure_spread(self) -> list[float]:
-        """Return the seconds of decisions for tasks that are spread over racks."""
+        """Return the seconds per decision for tasks that are spread over racks."""
         rng, index = self._rng, self.index
         places = {facts[0]: facts[2:] for facts in work.worker_facts(*self._size())}
         spent = []
@@ -125,7 +125,7 @@
         return spent
 
     def measure_compact(self, gangs: int = GANGS) -> list[float]:
-        """Return the seconds of decisions for gangs in one rack or zone."""
+        """Return the seconds per decision for gangs in one rack or zone."""
         spent = []
         for _ in range(gangs):
             demand = work.make_demand(self._rng)
@@ -155,12 +155,12 @@
 
 
 def main() -> None:
-    """Run all sizes and loads."""
+    """Measure both sizes at all loads."""
     seed = work.parse_seed()
     slowest = ratio = p99 = spread = compact = compact_max = 0.0
     baseline_mean = 0.0
     cells = {count: make_cell(seed, count) for count in (SMALL, LARGE)}
-    # The first decision builds the tables that the later ones use.
+    # The first decision builds tables that later ones use, so it is timed separately.
     first = cells[LARGE].measure_compact(1)[0]
     for load in LOADS:
         for cell in cells.values():
--- a/bench/resizing.py
+++ b/bench/resizing.py
@@ -1,4 +1,4 @@
-"""Cost of submissions at rest and while a former number of partitions exists."""
+"""Measure submissions at rest and while a former number of partitions remains."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def submit(running: cell.Cell, prefix: str) -> dict[str, float]:
-    """Return the times of submissions in milliseconds, and what the store served."""
+    """Return submission times in milliseconds, and store operations per job."""
     times: dict[str, list[float]] = {"single": [], "bulk": []}
     before = running.operations()
     for number in range(SINGLE_CALLS):
@@ -47,7 +47,7 @@
 
 
 def set_partitions(running: cell.Cell, number: int) -> float:
-    """Change the number; return how long the call took in seconds."""
+    """Change the number of partitions; return the duration of the call in seconds."""
     found = running.client.call_as_operator("GET", "/v1/partitions").json()
     began = time.monotonic()
     running.client.call_as_operator(
@@ -60,12 +60,12 @@
 
 
 def former_counts(running: cell.Cell) -> list[int]:
-    """Return the former numbers that remain."""
+    """Return the former numbers of partitions that remain."""
     return running.client.call_as_operator("GET", "/v1/partitions").json()["former"]
 
 
 def measure(*, seed: int = 1) -> None:
-    """Print the figures as one JSON line.
+    """Print the results as one JSON line.
 
     :param seed: Seed of the choice of entry processes.
     """
--- a/bench/roster.py
+++ b/bench/roster.py
@@ -1,7 +1,7 @@
-"""Measure conflicts on the row `workers` when many partitions have needs at once.
+"""Measure conflicts on the row `workers` when many partitions need workers at once.
 
-The schedulers, movers and rosters are the product's; time, the table service and the
-workers are stand-ins. Each need can be met by any donor.
+The schedulers, movers and rosters are those of the product; time, the table service and
+the workers are simulated. Any donor can meet any need.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from toucanspring.adapters import tables
 from toucanspring.owners import mover, roster
 
-NEEDY = (2, 8, 32, 128)  # partitions; as many others have idle workers
-SPARE_WORKERS = 2  # of each donor, beside the one that it keeps
-CALL_S = 0.005  # one way to the table service and back, half before the effect
+NEEDY = (2, 8, 32, 128)  # partitions in need; as many others are donors
+SPARE_WORKERS = 2  # per donor, in addition to the one that it keeps
+CALL_S = 0.005  # round trip to the table service; half passes before the effect
 LIMIT_S = 30.0  # of simulated time
 
 
 class Timeline:
-    """Let simulated time pass from one sleeper to the next."""
+    """Simulated clock that advances from one wake-up to the next."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -41,14 +41,14 @@
         return self.now
 
     def sleep(self, seconds: float) -> None:
-        """Wait until simulated time has passed."""
+        """Sleep in simulated time."""
         woken = event.Event()
         entry = (self.now + seconds, next(self._numbers), woken)
         heapq.heappush(self._sleepers, entry)
         woken.wait()
 
     def advance(self) -> None:
-        """Wake the next sleeper and let it run until it sleeps again."""
+        """Advance to the next wake-up and run that greenlet until it sleeps again."""
         self.now, _, woken = heapq.heappop(self._sleepers)
         woken.set()
         gevent.sleep(0)
@@ -56,14 +56,14 @@
 
 
 class Counts:
-    """Count what the owners ask of the table service."""
+    """Counters of calls of the table service by the owners."""
 
     def __init__(self) -> None:
         self.committed = self.conflicts = self.reads = self.workers = 0
 
 
 class Client(fake_tables.FakeClient):
-    """Take time for each call; half of it passes before the effect."""
+    """Table client with latency; half of it passes before the effect."""
 
     def __init__(self, shared: Tables) -> None:
         super().__init__(shared)
@@ -73,7 +73,7 @@
     def transact(
         self, checks: dict[str, int], writes: dict[str, bytes], deletes: tuple = ()
     ) -> tables.Committed | errors.Failure:
-        """Commit after the way there, and answer after the way back."""
+        """Commit after half of the round trip and return after the other half."""
         if not self._timeline:
             return self._commit(checks, writes, deletes)
         self._timeline.sleep(CALL_S / 2)
@@ -86,7 +86,7 @@
         return result
 
     def read(self, keys: list[str]) -> dict[str, tables.Row]:
-        """Read as of the middle of the call."""
+        """Return the rows as of the middle of the call."""
         if not self._timeline:
             return super().read(keys)
         self._counts.reads += 1
@@ -97,7 +97,7 @@
 
 
 class Tables(fake_tables.FakeTables):
-    """Give out clients that take time once a timeline is set."""
+    """Tables with clients that have latency once a timeline is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -105,18 +105,18 @@
         self.counts = Counts()
 
     def client(self) -> Client:
-        """Return a client of its own for one owner."""
+        """Return a new client for one owner."""
         return Client(self)
 
 
 def make_partitions(needy: int) -> partitioned.Partitions:
-    """Return needy partitions with a worker each, and as many donors."""
+    """Return partitions in need with one worker each, and as many donors."""
     counts = [1] * needy + [1 + SPARE_WORKERS] * needy
     return partitioned.Partitions(*counts, tables=Tables())
 
 
 def run(rng: random.Random, needy: int) -> dict[str, object]:
-    """Return the conflicts until each needy partition has a second worker."""
+    """Return the counts until each partition in need has a second worker."""
     started = time.process_time()
     shared = make_partitions(needy)
     for number in range(needy):
@@ -157,15 +157,15 @@
 
 
 def is_met(shared: partitioned.Partitions, needy: int) -> bool:
-    """Return whether each needy partition has got a worker."""
+    """Return whether each partition in need has received a worker."""
     row = shared.row()
     return all(len(row[number]) > 1 for number in range(needy))
 
 
 def measure(*, seed: int = 1) -> None:
-    """Print the figures for each number of needy partitions as one JSON line.
+    """Print the counts for each number of partitions in need as one JSON line.
 
-    :param seed: Seed of the times at which the owners take their steps.
+    :param seed: Seed of the times at which the owners run their steps.
     """
     runs = [run(random.Random(f"{seed}/{needy}"), needy) for needy in NEEDY]
     print(json.dumps({"bench": "roster", "seed": seed, "runs": runs}))
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -1,12 +1,14 @@
-"""Measure whom the coordinator's planning rounds serve in time on heavy days.
+"""Measure which jobs the coordinator's planning rounds complete in time under load.
 
 Simulated workers run three kinds of jobs: urgent checks, proofs of many single tasks
-and builds that are gangs of large tasks. Each placement needs an approval. A job is
-worth its size, a fifth of that when late, nothing beyond three times its time. The
-baseline takes the jobs in order of arrival and the first workers with room.
-
-Loads: `calm`; `burst`, three times the checks for 4 s; `zone`, a third of the workers
-out of service for half of the time; `outage`, no rounds for 4 s while jobs arrive.
+and builds that are gangs of large tasks. Each placement needs an approval. The value of
+a job grows with its size; a job that ends late earns a fifth of its value, and nothing
+after three times its target time. The baseline starts jobs in order of arrival on the
+first workers with room.
+
+Loads: `calm`; `burst`, three times the rate of checks for 4 s; `zone`, a third of the
+workers out of service for half of the time; `outage`, no planning rounds for 4 s while
+jobs arrive.
 """
 
 import collections
@@ -27,40 +29,40 @@
 )
 
 LOADS = ("calm", "burst", "zone", "outage")
-RUNS_PER_LOAD = 3  # of each load, with seeds that follow each other
-DRAIN_S = 30.0  # after the last arrival
-ROUND_S = 0.015  # a round and its durable write
-DISPATCH_S = 0.01
-STOP_S = 0.3
-POLL_S = 1.0
-CHECKPOINT_S = 0.5
-RESTORE_S = 0.1
-MAX_APPROVAL_CALLS = 8  # of the approval service
+RUNS_PER_LOAD = 3  # with consecutive seeds
+DRAIN_S = 30.0  # time for jobs to end after the last arrival
+ROUND_S = 0.015  # a planning round and its durable write
+DISPATCH_S = 0.01  # until a start or stop reaches the worker
+STOP_S = 0.3  # longest time that a task takes to stop
+POLL_S = 1.0  # between polls of a worker
+CHECKPOINT_S = 0.5  # work between two checkpoints
+RESTORE_S = 0.1  # time to restore a checkpoint
+MAX_APPROVAL_CALLS = 8  # concurrent calls of the approval service
 RACK_SIZE = 8
 ZONES = ("a", "b", "c")
-WORTHLESS_AFTER = 3.0  # times its time, after which a job is worth nothing
-LATE_VALUE = 0.2
+WORTHLESS_AFTER = 3.0  # multiple of the target time after which a job has no value
+LATE_VALUE = 0.2  # fraction of the value of a job that ends late
 
 
 @dataclasses.dataclass(eq=False)
 class Run:
-    """Hold one run of a task on a simulated worker."""
+    """One run of a task on a simulated worker."""
 
     task: str
     run: int
     started_at: float
-    done_s: float  # work that a checkpoint saved
+    done_s: float  # work saved by a checkpoint
     total_s: float
     fails: bool
     stopping: bool = False
 
     def progress_s(self, now: float) -> float:
-        """Return the work that is done."""
+        """Return the completed work in seconds."""
         return min(self.total_s, self.done_s + max(0.0, now - self.started_at))
 
 
 class Machine:
-    """Run tasks as a worker does and list what has ended."""
+    """Simulated worker: run tasks and report which have ended."""
 
     def __init__(self, worker) -> None:
         self.worker = worker
@@ -69,7 +71,7 @@
         self.count = 0
 
     def end(self, run: Run, outcome: str, checkpoint: str = "") -> None:
-        """End a run, if it is still there."""
+        """End a run unless it has ended already."""
         if self.runs.get(run.task) is run:
             del self.runs[run.task]
             self.count += 1
@@ -78,7 +80,7 @@
             )
 
     def poll(self, now: float) -> ports.PollReply:
-        """Return what runs and what has ended."""
+        """Return the running tasks and those that ended since the last poll."""
         running = tuple(
             ports.RunningTask(
                 run.task,
@@ -98,7 +100,7 @@
 
 
 class Simulation:
-    """Simulate one day with one planner."""
+    """Simulate one load with one planner."""
 
     def __init__(self, load: str, seed: int, make_planner) -> None:
         self.load = load
@@ -139,7 +141,7 @@
         heapq.heappush(self._events, (when, next(self._sequence), action))
 
     def run(self) -> None:
-        """Play the day."""
+        """Handle events until all jobs have had time to end."""
         for arrival in self.arrival_by_id.values():
             self.at(
                 arrival.at,
@@ -255,7 +257,7 @@
         self._poll(machine, now)
 
     def _end_gang(self, run: Run) -> None:
-        """End the other members without a word, as one end stands for all."""
+        """End the other members without a report, as one end stands for the gang."""
         name = state.parse_task_id(run.task)
         step = self.cell.jobs[name.job].steps[name.occurrence, name.step]
         if step.step.gang:
@@ -292,7 +294,7 @@
         self.lost_core_s += max(0.0, lost_s) * step.demand.cpus / 1000
 
     def summarise(self) -> dict:
-        """Return the worth earned as a part of all worth, by kind and in all."""
+        """Return the fraction of the value that was earned, by kind and in total."""
         total: collections.Counter = collections.Counter()
         earned: collections.Counter = collections.Counter()
         for each in self.arrival_by_id.values():
@@ -317,7 +319,7 @@
         self._planner = planner.Planner(cell)
 
     def plan(self, now: float) -> plans.Plan:
-        """Return what to start and to ask now; takes the room for the starts."""
+        """Return starts and approval requests; allocate resources for the starts."""
         plan = plans.Plan()
         for step_run in list(self._cell.ready.values()):
             queue = self._cell.catalogue.queue(step_run.job.spec.queue)
@@ -352,7 +354,7 @@
 
     @staticmethod
     def _choose(step_run: state.StepRun, usable: list) -> list:
-        """Return a worker for each waiting task that finds one, in order."""
+        """Return workers for the waiting tasks in order, as far as there is room."""
         if step_run.step.gang and len(step_run.waiting) < step_run.step.count:
             return []
         demand, chosen = step_run.step.occupied(), []
@@ -368,7 +370,7 @@
 
 
 def main() -> None:
-    """Play days of each load with both policies; print means of the days."""
+    """Simulate each load with both policies; print the means over the runs."""
     seed = work.parse_seed()
     result: dict[str, dict] = {}
     for load in LOADS:
--- a/bench/scheduler.py
+++ b/bench/scheduler.py
@@ -1,4 +1,4 @@
-"""Measure processor time per task through submit, placement, start and finish."""
+"""Measure processor time per task from submission to completion."""
 
 import random
 import sys
--- a/bench/share.py
+++ b/bench/share.py
@@ -1,9 +1,9 @@
-"""Measure how far teams are from their shares in a full cell.
+"""Measure how far teams are from their target shares in a full cell.
 
-Eight teams with unequal shares, task sizes, run times and backlogs compete for 24
-workers for 60 s of simulated time from an empty cell. The error of a team is the
-difference between its part of the dominant shares of all teams and its target, in
-percentage points over the whole time. The baseline starts tasks in arrival order on
+Eight teams with different shares, task sizes, run times and backlogs compete for 24
+workers for 60 s of simulated time, starting with an empty cell. The error of a team is
+the difference between its fraction of the dominant shares of all teams and its target,
+in percentage points over the whole time. The baseline starts tasks in arrival order on
 the first worker with room.
 """
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Demand:
-    """Describe the work of one team; `tasks` is the length of its backlog."""
+    """Workload of one team; `tasks` is the length of its backlog."""
 
     share: float
     cpus: tuple[int, int]
@@ -34,7 +34,7 @@
 
 
 # The team with the largest share has neither the most nor the longest tasks, so
-# arrival order and equal treatment of tasks both miss the targets.
+# both arrival order and equal treatment of all tasks miss the targets.
 TEAMS = {
     "orders": Demand(30, (1000, 2000), (1024, 4096), (1, 4), 9_000),
     "proofs": Demand(20, (4000, 8000), (4096, 8192), (4, 12), 4_000),
@@ -63,7 +63,7 @@
 
 
 class Policy:
-    """Start the next task of the team most under its target that has room."""
+    """Start the next task of the team furthest below its target that has room."""
 
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
@@ -72,7 +72,7 @@
         self._backlogs: dict[str, collections.deque] = {}
 
     def prepare(self, backlogs: dict[str, list], total: resources.Resources) -> None:
-        """Take over the work."""
+        """Set the backlogs and the total capacity."""
         self.tracker.set_total(total)
         self._backlogs = {
             team: collections.deque(tasks) for team, tasks in backlogs.items()
@@ -82,7 +82,7 @@
         """Return (team, worker, demand, run time) of the tasks to start now."""
         started = []
         blocked: set[str] = set()
-        under_target_blocked = False  # a team under its target is blocked
+        under_target_blocked = False
         while True:
             shortfalls = self.tracker.shortfalls(self._backlogs, now)
             yielding = (
@@ -109,7 +109,7 @@
                 return started
 
     def end(self, team: str, worker: str, demand, now: float) -> None:
-        """Give back what a task held."""
+        """Release the resources of a task."""
         self.index.release(worker, demand)
         self.tracker.ended(team, demand, now)
 
@@ -123,7 +123,7 @@
         self._tasks: list[tuple] = []
 
     def prepare(self, backlogs: dict[str, list], _total) -> None:
-        """Take over the work, which arrives in random order."""
+        """Queue all tasks in random order of arrival."""
         self._tasks = [
             (team, demand, seconds)
             for team, tasks in backlogs.items()
@@ -145,7 +145,7 @@
         return started
 
     def end(self, _team: str, worker: str, demand, _now: float) -> None:
-        """Give back what a task held."""
+        """Release the resources of a task."""
         self.index.release(worker, demand)
 
 
@@ -190,7 +190,7 @@
 
 
 def main() -> None:
-    """Run the policy and the baseline on the same work."""
+    """Run the policy and the baseline on the same tasks."""
     seed = work.parse_seed()
     error = simulate(Policy(seed), seed)
     baseline_error = simulate(Baseline(seed), seed)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,6 +1,6 @@
-"""Measure how cost grows with workers, tasks, teams, members and the log.
+"""Measure how costs grow with workers, tasks, teams, members and the log.
 
-Each part measures three sizes or more and prints the slope of a least squares line.
+Each part measures at least three sizes and prints the slope of a least squares line.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def report(part: str, unit: str, rows: list[dict[str, float]], size: str) -> dict:
-    """Print the rows of one part; return the slope of each figure."""
+    """Print the rows of one part; return the slope of each measured value."""
     for row in rows:
         print(part, json.dumps(row), flush=True)
     sizes = [row[size] for row in rows]
@@ -50,7 +50,7 @@
 
 
 def measure_window(running: cell.Cell, seconds: float = WINDOW_S) -> dict[str, float]:
-    """Return the rates and the memory over one measuring window."""
+    """Return the rates and the memory over a time window."""
     time.sleep(SETTLE_S)
     before = running.sample()
     time.sleep(seconds)
@@ -61,7 +61,7 @@
 
 
 def wait_attached(running: cell.Cell, workers: int) -> None:
-    """Wait until the owner's link to each worker is attached."""
+    """Wait until all workers are attached to their owner."""
     deadline = time.monotonic() + ATTACH_LIMIT_S
     while time.monotonic() < deadline:
         reply = running.client.call(
@@ -75,7 +75,7 @@
 
 
 def measure_workers(seed: int) -> dict:
-    """Return the cost of one daemon by the number of its idle workers."""
+    """Return the cost of one daemon for numbers of idle workers."""
     rows = []
     for workers in (24, 96, 192):
         with cell.Cell(
@@ -88,7 +88,7 @@
 
 
 def measure_tasks(seed: int) -> dict:
-    """Return the cost of one daemon by the number of tasks that run."""
+    """Return the cost of one daemon for numbers of running tasks."""
     rows = []
     with cell.Cell(seed, daemons=1, partitions=1) as running:
         held = 0
@@ -103,7 +103,7 @@
 
 
 def measure_teams(seed: int) -> dict:
-    """Return the cost of one daemon by the number of teams with a ceiling."""
+    """Return the cost of one daemon for numbers of teams with a ceiling."""
     rows = []
     for teams in (1, 100, 350, 700):
         with cell.Cell(seed, daemons=1, partitions=1, teams=teams) as running:
@@ -114,7 +114,7 @@
 
 
 def measure_members(seed: int) -> dict:
-    """Return the cost of a node by the number of daemons, without workers."""
+    """Return the cost per daemon for numbers of daemons, without workers."""
     rows = []
     for daemons in (3, 9, 18):
         with cell.Cell(seed, workers=0, daemons=daemons) as running:
@@ -123,7 +123,7 @@
 
 
 def spec(number: int) -> job.JobSpec:
-    """Return an ordinary batch job of one task."""
+    """Return a batch job with one task."""
     return job.JobSpec(
         id=f"refresh-{number:08d}",
         name="route-temperatures",
@@ -135,7 +135,7 @@
 
 
 def measure_log() -> dict:
-    """Return the bytes of the log by its jobs, and by their finished tasks."""
+    """Return the size of the log for numbers of jobs and of finished tasks."""
     rows = []
     done = job.Outcome(job.State.DONE)
     for jobs in (100, 1000, 10_000):
@@ -156,7 +156,7 @@
 
 
 def measure_recovery(seed: int) -> dict:
-    """Return the processor time and memory to rebuild a partition by its jobs."""
+    """Return the CPU time and memory of recovering a partition, by its jobs."""
     rows = []
     done = job.Outcome(job.State.DONE)
     for jobs in (2000, 10_000, 40_000):
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,7 +1,8 @@
-"""Measure how services regain their spread after an availability zone returns.
+"""Measure how services are spread again after an outage of an availability zone.
 
-A cell of 24 workers in three zones, in simulated time, runs spread services and more
-batch work than it can do. One zone leaves and returns; the rates of moves are compared.
+A simulated cell of 24 workers in three zones runs spread services and more batch work
+than it can do. One zone is taken out of service and returned, with several limits on
+the rate of moves.
 """
 
 import collections
@@ -11,7 +12,7 @@
 from toucanspring import job, resources
 from toucanspring.scheduling import effects, fairness, scheduler
 
-RATES_S = (0.0, 2.0, 10.0, 30.0)  # seconds for each move; 0 moves nothing
+RATES_S = (0.0, 2.0, 10.0, 30.0)  # seconds per move; 0 disables moves
 SERVICES = 4
 SERVICE_TASKS = 12
 LOAD = 1.5
@@ -22,19 +23,19 @@
 
 
 class Policy(wait.Policy):
-    """Run the cell and note stops and spread after the return."""
+    """Run the cell; record stops and the spread after the return of the zone."""
 
     def __init__(self, seed: int, spread_move_s: float) -> None:
         super().__init__(seed)
         self._scheduler = scheduler.Scheduler(0, random.Random(seed), spread_move_s)
         self._scheduler.set_teams({wait.TEAM: fairness.Team(wait.TEAM)}, 0.0)
         self._is_out = False
-        self.stops: list[float] = []  # times, after the return
-        self.even_at: float | None = None  # when all services had their spread again
-        self.idle: list[float] = []  # idle part of the cell after the return
+        self.stops: list[float] = []  # times after the return
+        self.even_at: float | None = None  # when all services were evenly spread again
+        self.idle: list[float] = []  # idle fraction of the cell after the return
 
     def step(self, now: float) -> None:
-        """Change the zone when due, let the machine work, and note the spread."""
+        """Change the state of the zone when due, tick, and record the spread."""
         is_out = OUT_FROM_S <= now < BACK_S
         if is_out != self._is_out:
             self._is_out = is_out
@@ -50,7 +51,7 @@
             self.even_at = now
 
     def _is_even(self) -> bool:
-        """Return whether no zone has two tasks of a service more than another."""
+        """Return whether zones differ by at most one task in each service."""
         counts: dict[str, collections.Counter] = collections.defaultdict(
             lambda: collections.Counter(
                 dict.fromkeys(outage.ZONE_BY_WORKER.values(), 0)
@@ -73,7 +74,7 @@
 
 
 def make_jobs(seed: int) -> list[tuple[float, job.JobSpec]]:
-    """Return spread services, and batch work with its arrival."""
+    """Return (arrival time, job) for spread services and batch jobs."""
     rng = random.Random(seed)
     jobs = [
         (
--- a/bench/wait.py
+++ b/bench/wait.py
@@ -1,12 +1,12 @@
-"""Measure waits of checks and met deadlines at 1.5 times the capacity.
-
-Both deployments of the design page are run in simulated time, with the scheduler of one
-partition. Requests: the model of
-`bench.overload` at 1.5 times the capacity, with 9 entry processes for Kernhalde and 8
-for Zimna Patna. Jobs: a cell of 24 workers gets 1.5 times the work it can do, of which
-0.6 times the capacity has a deadline that earliest-deadline order alone can meet;
-Zimna Patna's deadline jobs are gangs of one night. The baseline serves in arrival
-order, on random servers and on the first worker with room.
+"""Measure waiting times of checks and deadlines met at 1.5 times the capacity.
+
+Both deployments of the design page are simulated, with the scheduler of one partition.
+Requests follow the model of `bench.overload` at 1.5 times the capacity, with 9 entry
+processes for Kernhalde and 8 for Zimna Patna. Jobs: a cell of 24 workers gets 1.5 times
+the work that it can do; work of 0.6 times the capacity has deadlines, which
+earliest-deadline-first order can meet on its own. The deadline jobs of Zimna Patna are
+gangs of one night. The baseline serves in arrival order: requests on random servers and
+jobs on the first worker with room.
 """
 
 import collections
@@ -20,23 +20,23 @@
 from toucanspring.scheduling import effects, fairness, scheduler
 
 LOAD = 1.5
-DEADLINE_LOAD = 0.6  # of the capacity, part of the load
+DEADLINE_LOAD = 0.6  # fraction of the capacity; included in LOAD
 WORKERS = 24
-SPAN_S = 3600.0  # in which jobs arrive
+SPAN_S = 3600.0  # time during which jobs arrive
 TICK_S = 2.0
 TEAM = "team"
 
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """Describe what differs between the deployments."""
+    """Parameters that differ between the deployments."""
 
     name: str
     entries: int
     gang: bool  # deadline jobs start together
-    task_counts: tuple[int, int]  # tasks of a deadline job
+    task_counts: tuple[int, int]  # range of tasks per deadline job
     run_seconds: tuple[float, float]
-    slack_s: tuple[float, float]  # between the latest start and arrival
+    slack_s: tuple[float, float]  # range of the time between arrival and latest start
 
 
 DEPLOYMENTS = (
@@ -46,7 +46,7 @@
 
 
 def make_jobs(deployment: Deployment, seed: int) -> list[tuple[float, job.JobSpec]]:
-    """Return jobs with their arrival, up to the load."""
+    """Return (arrival time, job) for jobs that add up to the load."""
     rng = random.Random(seed)
     capacity = WORKERS * work.PLAIN.cpus * SPAN_S
     jobs = []
@@ -84,7 +84,7 @@
 
 
 class Policy:
-    """Run jobs on the state machine of one partition; workers do what it says."""
+    """Run jobs with the scheduler of one partition and simulated workers."""
 
     def __init__(self, seed: int) -> None:
         self._scheduler = scheduler.Scheduler(0, random.Random(seed))
@@ -95,7 +95,7 @@
         self._ended: dict[str, list[float]] = collections.defaultdict(list)
 
     def run(self, jobs: list[tuple[float, job.JobSpec]], end: float) -> None:
-        """Submit jobs at their arrival and tick until the end."""
+        """Submit jobs when they arrive and tick the scheduler until the end."""
         for name, capacity, zone, rack in work.worker_facts(WORKERS, 3):
             plain = resources.Resources(capacity.cpus, capacity.memory)
             facts = effects.WorkerFacts(name, 1, plain, zone, rack)
@@ -115,11 +115,11 @@
             self.step(now)
 
     def step(self, now: float) -> None:
-        """Let the machine do what is due."""
+        """Tick the scheduler and apply its effects."""
         self._apply(self._scheduler.tick(now), now)
 
     def ended_at(self, spec: job.JobSpec) -> float:
-        """Return when the last task of a job ended; inf if any did not."""
+        """Return when the last task of a job ended, or infinity if one has not."""
         ended = self._ended[spec.id]
         return max(ended) if len(ended) == spec.task_count else math.inf
 
@@ -148,7 +148,7 @@
                         self._scheduler.starts_answered(worker, ids, [], now), now
                     )
                 case effects.StopTasks(_, task_ids, _):
-                    # The task goes on from its checkpoint when it starts again.
+                    # The task resumes from its checkpoint at its next start.
                     for key in task_ids:
                         if key in self._running:
                             self._seconds_left[key] -= now - self._running[key][1]
@@ -164,7 +164,7 @@
         self._waiting: list[tuple[job.JobSpec, int]] = []
 
     def ended_at(self, spec: job.JobSpec) -> float:
-        """Return when the last task of a job ended; inf if any did not."""
+        """Return when the last task of a job ended, or infinity if one has not."""
         ended = self._ended[spec.id]
         return max(ended) if len(ended) == spec.task_count else math.inf
 
@@ -192,12 +192,12 @@
         return started
 
     def end(self, spec: job.JobSpec, worker: str, now: float) -> None:
-        """Note the end of a task."""
+        """Record the end of a task and release its resources."""
         self.index.release(worker, spec.demand)
         self._ended[spec.id].append(now)
 
     def run(self, jobs: list[tuple[float, job.JobSpec]], end: float) -> None:
-        """Run jobs until the end, with a start at each arrival and end."""
+        """Run jobs until the end; start tasks at each arrival and at each task end."""
         for name, capacity, zone, rack in work.worker_facts(WORKERS, 3):
             plain = resources.Resources(capacity.cpus, capacity.memory)
             self.index.add(name, plain, zone, rack)
@@ -217,7 +217,7 @@
 
 
 def met_ratio(policy, jobs: list[tuple[float, job.JobSpec]]) -> float:
-    """Return the part of the deadline jobs that ended in time."""
+    """Return the fraction of the deadline jobs that ended in time."""
     due = [
         (at + spec.deadline_seconds, spec)
         for at, spec in jobs
--- a/bench/work.py
+++ b/bench/work.py
@@ -6,13 +6,14 @@
 
 from toucanspring import resources
 
-# Today's workers; one in eight also has accelerators.
+# Capacity of the present workers; one in eight also has accelerators.
 PLAIN = resources.Resources(32_000, 65_536, 0)
 ACCELERATED = resources.Resources(32_000, 65_536, 8)
 RACK_SIZE = 8
 
-# Weight, processors and memory of the kinds of tasks in the mix, and whether they
-# use accelerators. The declared demand of the mix has the cell's proportions.
+# Kinds of tasks in the mix: weight, range of millicores, range of MiB of memory, and
+# whether they use accelerators. The requested resources of the mix have the proportions
+# of the cell's capacity.
 KINDS = (
     (0.40, (500, 2000), (512, 4096), False),
     (0.25, (2000, 8000), (1024, 8192), False),
@@ -60,7 +61,7 @@
 
 
 class FirstFit:
-    """Choose the first worker in order of arrival that has room (baseline)."""
+    """Baseline: choose the first worker with room, in the order they were added."""
 
     def __init__(self) -> None:
         self._free: dict[str, resources.Resources] = {}
@@ -77,13 +78,13 @@
         return None
 
     def free(self, worker: str) -> resources.Resources:
-        """Return what is not allocated on a worker."""
+        """Return the unallocated resources of a worker."""
         return self._free[worker]
 
     def allocate(self, worker: str, demand: resources.Resources) -> None:
-        """Take `demand` from a worker."""
+        """Allocate `demand` on a worker."""
         self._free[worker] -= demand
 
     def release(self, worker: str, demand: resources.Resources) -> None:
-        """Give `demand` back to a worker."""
+        """Release `demand` on a worker."""
         self._free[worker] += demand
--- a/bench/zone.py
+++ b/bench/zone.py
@@ -1,4 +1,4 @@
-"""Measure the work completed while an availability zone leaves and returns."""
+"""Measure the work completed during an outage of an availability zone."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def work_done(ends: list[dict], first: float, last: float, run_ms: float) -> float:
-    """Return the core seconds of the tasks that were done in a window."""
+    """Return the core seconds of the tasks that completed in a time window."""
     done = sum(
         event["state"] == "done" and first <= event["at"] < last for event in ends
     )
@@ -30,9 +30,9 @@
 
 
 def refill_ms(events: list[dict], first: float, last: float) -> float:
-    """Return the mean time from an end to the next start in its place, in ms.
+    """Return the mean time in ms from a task end to the next start in its place.
 
-    The ends and the starts on a worker are paired in their order.
+    Ends and starts on the same worker are paired in order.
     """
     vacant: dict[str, collections.deque] = collections.defaultdict(collections.deque)
     gaps = []
@@ -62,7 +62,7 @@
             running.client.call_as_operator("POST", f"/v1/zones/{zone}/out")
             out_at = time.monotonic()
             time.sleep(OUT_S)
-            # Starts are allowed from the call on, which may be before its answer.
+            # Starts are allowed from the call on, so they may precede its response.
             in_at = time.monotonic()
             running.client.call_as_operator("POST", f"/v1/zones/{zone}/in")
             time.sleep(AFTER_S)
@@ -89,7 +89,7 @@
         "seed": seed,
         "run_ms": run_ms,
         "completed_ratio": round(window / allowed, 3),
-        # The same load without an outage, against all workers.
+        # The same load without an outage, as a fraction of all workers.
         "baseline_ratio": round(without, 3),
         "refill_ms": round(refill_ms(events, began, steady), 1),
         "late_starts": sum(
--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Runs both deployments of the examples on stand-ins and prints an account."""
+"""Runs both example deployments on stand-ins and prints a summary."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -18,12 +18,12 @@
 
 
 def run(*, keep: bool = False) -> int:
-    """Run both deployments and print an account.
+    """Run both deployments and print a summary.
 
     :param keep: Keep the first deployment running until interrupted.
     """
-    # A stop ends the processes that were started, also with SIGTERM or from a shell
-    # that lets background jobs ignore SIGINT.
+    # Both signals raise an exception, so that the started processes are stopped. SIGINT
+    # needs a handler because a shell may have background jobs ignore it.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_STOPPED))
     signal.signal(signal.SIGINT, signal.default_int_handler)
     began = time.monotonic()
@@ -45,7 +45,7 @@
 
 
 def keep_running(log) -> int:
-    """Run the first deployment and print how to reach it."""
+    """Run the first deployment and print how to connect to it."""
     with deployment.start(deployment.DEPLOYMENTS[0], log) as running:
         facts = running.cluster.daemon_facts.values()
         endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in facts)
--- a/demo/callers.py
+++ b/demo/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a service and submitters of jobs, who check what they are told."""
+"""Callers of a service and submitters of jobs that check the responses."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestKind:
-    """Describe one kind of request to a service."""
+    """Parameters of one kind of request to a service."""
 
     job_class: str
     idempotent: bool
@@ -35,7 +35,7 @@
 
 
 class Callers:
-    """Send requests of several kinds at the same time until stopped."""
+    """Send requests of several kinds concurrently until stopped."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         self._greenlets: list[gevent.Greenlet] = []
 
     def start(self, kind: RequestKind, count: int) -> None:
-        """Start callers that each send one request after the other."""
+        """Start callers that each send one request at a time."""
         self._greenlets += [gevent.spawn(self._run, kind) for _ in range(count)]
 
     def stop(self) -> None:
-        """Let every caller finish its present request."""
+        """Stop all callers after their current requests."""
         self._stopping = True
         gevent.joinall(self._greenlets)
 
@@ -77,7 +77,8 @@
         path = f"/v1/services/{self._service}/requests"
         reply = self._client.call("POST", path, body, self._key, headers)
         if reply.status == 0 or reply.failure in ("Unknown", "Ambiguous"):
-            # The answer was lost: the same ID at another entry VM gives the outcome.
+            # The response was lost; a retry with the same ID, also at another entry VM,
+            # returns the outcome.
             gevent.sleep(0.2)
             reply = self._client.call("POST", path, body, self._key, headers)
         self._count_reply(kind, request_id, reply)
@@ -88,7 +89,7 @@
         if reply.status == 200:
             expected = backend_servers.expected_answer(request_id, kind.answer_bytes)
             if reply.body != expected:
-                self._counts.problems.append(f"wrong answer to {request_id}")
+                self._counts.problems.append(f"wrong response to request {request_id}")
             self._counts.outcomes["done"] += 1
         elif reply.failure in NOT_RUN:
             self._counts.outcomes["not_run"] += 1
@@ -101,7 +102,7 @@
 
 
 class Submitter:
-    """Submit jobs and follow them to their outcomes."""
+    """Submit jobs and wait for their outcomes."""
 
     def __init__(
         self, client: entry.EntryClient, counts: summary.Summary, key: str = ""
@@ -112,7 +113,7 @@
         self.accepted: list[str] = []
 
     def submit(self, items: list[dict]) -> None:
-        """Submit jobs; a refusal is a problem, a lost answer is repeated."""
+        """Submit jobs; retry after a lost response, report a refusal as a problem."""
         for _ in range(entry.ATTEMPTS):
             reply = self._client.call("POST", "/v1/jobs", {"jobs": items}, self._key)
             if 0 < reply.status < 300:
@@ -121,10 +122,12 @@
             if reply.status and reply.failure not in ("Unavailable", "Ambiguous"):
                 break
             gevent.sleep(0.2)
-        self._counts.problems.append(f"submission: {reply.status} {reply.body[:300]!r}")
+        self._counts.problems.append(
+            f"submission failed: {reply.status} {reply.body[:300]!r}"
+        )
 
     def _count_reply(self, reply: replies.Reply) -> None:
-        """Count jobs that were accepted and those that were refused one by one."""
+        """Record the accepted jobs, and the refused ones as problems."""
         for item in reply.json()["jobs"]:
             if "error" in item:
                 self._counts.problems.append(f"{item['id']}: {item['error']}")
@@ -132,7 +135,7 @@
                 self.accepted.append(item["id"])
 
     def wait(self, limit_s: float) -> None:
-        """Wait for all accepted jobs; what has no outcome then is lost."""
+        """Wait for all accepted jobs; count those without an outcome as lost."""
         deadline = time.monotonic() + limit_s
         for job_id in self.accepted:
             outcome = self._wait_for_outcome(job_id, deadline)
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The two deployments of the examples, each with nine daemons in three zones."""
+"""The two example deployments, each with nine daemons in three zones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """Describe one deployment: its text, its service and what is run on it."""
+    """One deployment: its configuration file, its service and its load."""
 
     name: str
     file_name: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Hold one running deployment and what is known about it."""
+    """A running deployment and the facts needed to check its records."""
 
     cluster: cluster.Cluster
     client: entry.EntryClient
@@ -50,7 +50,7 @@
         return callers.Submitter(self.client, self.counts, secret)
 
     def expect(self, holds: bool, problem: str) -> None:
-        """Note a problem unless `holds`."""
+        """Report a problem unless `holds`."""
         if not holds:
             self.counts.problems.append(problem)
 
@@ -93,9 +93,9 @@
     gevent.sleep(2)
     run.log("shutting down entry-4 under load")
     status = run.cluster.stop_daemon("entry-4")
-    run.expect(status == 0, f"entry-4 ended with status {status}")
+    run.expect(status == 0, f"entry-4 exited with status {status}")
     run.cluster.start_daemon("entry-4")
-    run.log("entry-4 ended with all requests answered, and is back")
+    run.log("entry-4 answered all requests before it exited, and was restarted")
     _withdraw_key(run)
     gevent.sleep(1)
     load.stop()
@@ -117,7 +117,7 @@
 
 
 def run_zimna_patna(run: Run) -> None:
-    """Run a gang and batch work while an availability zone leaves and returns."""
+    """Run a gang and batch work during an outage of an availability zone."""
     load = callers.Callers(
         run.client, run.counts, "road-ice", run.keys["dispatch"]["secret"]
     )
@@ -129,7 +129,7 @@
         "template": "night-ensemble",
         "payload": make_payload(2500),
     }
-    # Submitted with its dependencies, each under an ID of its own.
+    # Submitted with its dependencies, each with its own ID.
     ensembles.submit([gang])
     run.gangs["night-1"] = 20
     refreshes = run.submitter("sofia-roads")
@@ -159,7 +159,7 @@
 
 
 DEPLOYMENTS = (
-    # Three partitions show the division of ceilings; one is the default.
+    # Three partitions show how ceilings are divided; the default is one.
     Deployment("Kernhalde", "kernhalde.yaml", "request-desk", 3, run_kernhalde),
     Deployment("Zimna Patna", "zimna-patna.yaml", "road-ice", 1, run_zimna_patna),
 )
@@ -167,7 +167,7 @@
 
 @contextlib.contextmanager
 def start(deployment: Deployment, log: Callable[[str], None]) -> Iterator[Run]:
-    """Start stand-ins and daemons, apply the text and grant the keys."""
+    """Start stand-ins and daemons, apply the configuration and grant the keys."""
     source = (EXAMPLES / deployment.file_name).read_text()
     cell = reader.parse(source)
     if isinstance(cell, errors.Invalid):
@@ -198,7 +198,7 @@
 
 
 def _with_short_tasks(source: str) -> str:
-    """Give the templates payloads that end within the demonstration."""
+    """Return the configuration with tasks that end within the demo."""
     document = yaml.safe_load(source)
     for template in document["jobs"].values():
         if template.get("kind") != "service":
@@ -207,7 +207,7 @@
 
 
 def execute(deployment: Deployment, log: Callable[[str], None]) -> summary.Summary:
-    """Run one deployment from start to end and judge it."""
+    """Run one deployment from start to end and check its records."""
     with start(deployment, log) as run:
         deployment.run(run)
         known = facts.Known(zone_outages=tuple(run.outages), gang_sizes=run.gangs)
--- a/demo/entry.py
+++ b/demo/entry.py
@@ -1,4 +1,4 @@
-"""Calls to the entry processes, spread as the platform's balancer spreads them."""
+"""Calls of the entry processes, distributed like those of a load balancer."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class CallFailed(Exception):
-    """Raised when an operator call is refused."""
+    """Raised when a call by the operator fails."""
 
 
 class EntryClient:
-    """Call one of the daemons that take connections."""
+    """Client that calls a random daemon among those that are ready."""
 
     def __init__(self, running: cluster.Cluster, seed: int) -> None:
         self._cluster = running
@@ -31,7 +31,7 @@
         key: str = "",
         headers: dict[str, str] | None = None,
     ) -> replies.Reply:
-        """Call any ready daemon; one that refuses the connection is passed over."""
+        """Call a random ready daemon; try another if it refuses the connection."""
         sent = dict(headers or {})
         if key:
             sent["Authorization"] = f"Bearer {key}"
@@ -55,7 +55,7 @@
     def call_as_operator(
         self, method: str, path: str, body: object = None, **headers
     ) -> replies.Reply:
-        """Make an operator's call and raise `CallFailed` unless it succeeds."""
+        """Call with the operator key; raise `CallFailed` unless it succeeds."""
         reply = replies.Reply(0, b"")
         for _ in range(ATTEMPTS):
             reply = self.call(
@@ -69,14 +69,14 @@
         raise CallFailed(f"{method} {path}: {reply.status} {reply.body.decode()}")
 
     def apply_configuration(self, source: str, version: int) -> int:
-        """Put a text into force; return its version."""
+        """Apply a configuration and return its version."""
         reply = self.call_as_operator(
             "PUT", "/v1/config", source.encode(), **{"If-Match": str(version)}
         )
         return reply.json()["version"]
 
     def wait_in_force(self, version: int, processes: int) -> None:
-        """Wait until so many processes confirm a configuration version."""
+        """Wait until `processes` processes confirm a configuration version."""
         for _ in range(CONFIRM_ATTEMPTS):
             found = self.call_as_operator(
                 "GET", f"/v1/config/confirmations?version={version}"
@@ -85,7 +85,7 @@
             if len(confirmed) >= processes and all(confirmed.values()):
                 return
             time.sleep(RETRY_S)
-        raise CallFailed(f"configuration {version} is not in force everywhere")
+        raise CallFailed(f"configuration {version} was not confirmed by all processes")
 
     def grant_key(self, team: str) -> dict:
         """Grant a key to a team."""
--- a/demo/summary.py
+++ b/demo/summary.py
@@ -1,4 +1,4 @@
-"""Counts of what callers submitted and what they were told."""
+"""Outcomes of submitted work as reported to its callers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Summary:
-    """Count accepted work by the outcome that its callers were given."""
+    """Counts of accepted work by the outcome reported to its callers."""
 
     name: str
     outcomes: collections.Counter[str] = dataclasses.field(
@@ -22,16 +22,16 @@
 
     @property
     def doubled(self) -> int:
-        """Return how often work ran more than once."""
+        """Return the number of tasks or requests that ran more than once."""
         return sum(isinstance(item, violations.DOUBLED) for item in self.violations)
 
     @property
     def passed(self) -> bool:
-        """Return whether nothing was lost, doubled or otherwise wrong."""
+        """Return whether there was no lost work, violation or problem."""
         return not (self.lost or self.violations or self.problems)
 
     def lines(self) -> list[str]:
-        """Return the account as text."""
+        """Return the summary as lines of text."""
         counts = self.outcomes
         shown = [
             f"{self.name}:",
