--- a/bench/events.py
+++ b/bench/events.py
@@ -13,8 +13,7 @@
 from bench import cell
 from toucanspring.reporting import event_rows
 
-# The documents of the applied configuration are written 30 s after the first events
-# that follow a start.
+# The events of applied documents are written 30 s after the first events of a start.
 SETTLE_S = 45.0
 REST_S = 60.0
 BULK_JOBS = 60
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -27,8 +27,8 @@
 WORKERS = 12
 EXECUTORS = 6
 FAULTS_S = 13.0
-# Time for which a caller retries. With the default of `scenarios.loads`, a run took up
-# to 60.8 s.
+# Time for which a caller retries. With the default of `scenarios.loads`, one run
+# took 60.8 s.
 FOLLOW_S = 18.0
 # Time since the start of the run at which the load ends; the check of the records and
 # the shutdown of the processes follow.
