--- a/bench/events.py
+++ b/bench/events.py
@@ -77,7 +77,7 @@
     """Return the number of written events of each kind."""
     rows = event_rows.read(running.tables(), time.time() - 3600)
     found = event_rows.join(rows, [])
-    return dict(collections.EventWriteCounter(item["kind"] for item in found))
+    return dict(collections.Counter(item["kind"] for item in found))
 
 
 def measure_writes(counter: EventWriteCounter, work) -> dict[str, float]:
