--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""Measure what the record of events costs the store: at rest, in bulk, after losses.
+"""Measure store writes of events: at rest, in bulk and after worker failures.
 
 Run: .venv/bin/python -m bench.events --seed 1
 """
@@ -13,7 +13,7 @@
 from bench import cell
 from toucanspring.reporting import event_rows
 
-# The documents in force are written 30 s after the first events of a start.
+# The events of applied documents are written 30 s after the first events of a start.
 SETTLE_S = 45.0
 REST_S = 60.0
 BULK_JOBS = 60
@@ -24,19 +24,20 @@
 HELD_JOBS = 10
 HELD_TASKS = 1000
 WORKERS = 24
-# Lease and grace of a worker are 23.1 s; the record must be written within 5 s more.
+# Lease and grace period of a worker are 23.1 s; the events must be written within a
+# further 5 s.
 LOSS_LIMIT_S = 45.0
 
 
-class Counter:
-    """Count the writes of rows of events from one moment to the next."""
+class EventWriteCounter:
+    """Count writes of event rows between two calls."""
 
     def __init__(self, running: cell.Cell) -> None:
         self._cell = running
         self._seen = 0
-        self.take()
+        self.count_new()
 
-    def take(self) -> dict[str, float]:
+    def count_new(self) -> dict[str, float]:
         """Return the writes and bytes since the last call."""
         found = self._cell.cluster.record("tables")
         new = found["events"][self._seen :]
@@ -52,37 +53,39 @@
 
 
 def measure(*, seed: int = 1) -> None:
-    """Print the costs, and one JSON line.
+    """Print the numbers of writes and bytes as one JSON line.
 
     :param seed: Seed of the choice of entry processes.
     """
     result: dict[str, object] = {"bench": "events", "seed": seed}
     with cell.Cell(seed, workers=WORKERS) as running:
         time.sleep(SETTLE_S)
-        counter = Counter(running)
-        result["rest"] = timed(counter, lambda: time.sleep(REST_S))
-        result["bulk"] = timed(counter, lambda: run_bulk(running))
+        counter = EventWriteCounter(running)
+        result["rest"] = measure_writes(counter, lambda: time.sleep(REST_S))
+        result["bulk"] = measure_writes(counter, lambda: run_bulk(running))
         held = running.submit("held", HELD_JOBS, HELD_TASKS // HELD_JOBS, None)
         result["held"] = running.wait_running(held, HELD_TASKS)
-        counter.take()
-        result["losses"] = timed(counter, lambda: lose_all(running, result))
-        result["entries"] = count_kinds(running)
+        counter.count_new()
+        result["losses"] = measure_writes(
+            counter, lambda: fail_all_workers(running, result)
+        )
+        result["entries"] = count_entries_by_kind(running)
     print(json.dumps(result))
 
 
-def count_kinds(running: cell.Cell) -> dict[str, int]:
-    """Return the number of written entries of each kind."""
+def count_entries_by_kind(running: cell.Cell) -> dict[str, int]:
+    """Return the number of written events of each kind."""
     rows = event_rows.read(running.tables(), time.time() - 3600)
     found = event_rows.join(rows, [])
     return dict(collections.Counter(item["kind"] for item in found))
 
 
-def timed(counter: Counter, work) -> dict[str, float]:
-    """Return the writes and bytes of some work in all and for each second."""
+def measure_writes(counter: EventWriteCounter, work) -> dict[str, float]:
+    """Return the writes and bytes during `work`, in total and per second."""
     started = time.monotonic()
     work()
     seconds = time.monotonic() - started
-    found = counter.take()
+    found = counter.count_new()
     return {
         **found,
         "seconds": round(seconds, 1),
@@ -92,7 +95,7 @@
 
 
 def run_bulk(running: cell.Cell) -> None:
-    """Run batch tasks in bulk, and the write interval after them."""
+    """Run batch tasks in bulk, then wait until their events are written."""
     submitted = running.submit(
         "bulk", BULK_JOBS, BULK_TASKS, BULK_RUN_MS, cpus=BULK_CPUS
     )
@@ -100,8 +103,8 @@
     time.sleep(35.0)
 
 
-def lose_all(running: cell.Cell, result: dict[str, object]) -> None:
-    """Let all workers fail at once and wait until the record names them."""
+def fail_all_workers(running: cell.Cell, result: dict[str, object]) -> None:
+    """Make all workers fail at once; wait until the events name all of them."""
     names = [vm.id for vm in running.cluster.list_vms() if vm.role == "worker"]
     failed_at = time.monotonic()
     running.cluster.set_faults("workers", workers=names, die=True)
--- a/bench/packing.py
+++ b/bench/packing.py
@@ -1,9 +1,9 @@
-"""Measure how much of a full cell is in use, against a computed upper bound.
+"""Measure the utilisation of a full cell against its upper bound.
 
-A list of mixed tasks is given to 24 workers. Until the last task starts, work in
-progress can use at most the whole cell in the scarcest resource; the ratio is the
-part of that which was used. The policy is the waiting queue with the worker index;
-the baseline starts tasks strictly in arrival order on the first worker with room.
+24 workers run a list of mixed tasks. The ratio is the used fraction of the scarcest
+resource until the last task starts; the upper bound is the whole cell. The policy is
+the waiting queue with the worker index; the baseline starts tasks strictly in arrival
+order on the first worker with room.
 """
 
 import heapq
@@ -16,26 +16,26 @@
 WORKERS = 24
 TASKS = 6000
 RUN_SECONDS = (20.0, 300.0)
-WINDOW = 200  # waiting tasks that are looked at after each end
+SCAN_LIMIT = 200  # waiting tasks to consider after each task end
 
 
 class Policy:
-    """Look at the waiting queue in its order and pass over tasks without room."""
+    """Start waiting tasks in queue order, but skip those without room."""
 
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
         self._queue = waiting.WaitingQueue()
 
     def submit(self, specs: list[job.JobSpec]) -> None:
-        """Queue all work."""
+        """Queue all jobs."""
         for number, spec in enumerate(specs):
             self._queue.add(spec, [0], now=number * 1e-6)
 
     def start(self) -> list[tuple[str, job.JobSpec]]:
         """Return the tasks to start now and their workers."""
         started = []
-        for looked_at, group in enumerate(self._queue.next_groups("team")):
-            if looked_at >= WINDOW:
+        for scanned, group in enumerate(self._queue.next_groups("team")):
+            if scanned >= SCAN_LIMIT:
                 break
             worker = self.index.choose(group.spec.demand)
             if isinstance(worker, str):
@@ -44,8 +44,8 @@
                 started.append((worker, group.spec))
         return started
 
-    def waits(self) -> bool:
-        """Return whether a task waits."""
+    def has_waiting(self) -> bool:
+        """Return whether any task is waiting."""
         return len(self._queue) > 0
 
 
@@ -57,7 +57,7 @@
         self._specs: list[job.JobSpec] = []
 
     def submit(self, specs: list[job.JobSpec]) -> None:
-        """Queue all work."""
+        """Queue all jobs."""
         self._specs = list(reversed(specs))
 
     def start(self) -> list[tuple[str, job.JobSpec]]:
@@ -72,8 +72,8 @@
             started.append((worker, spec))
         return started
 
-    def waits(self) -> bool:
-        """Return whether a task waits."""
+    def has_waiting(self) -> bool:
+        """Return whether any task is waiting."""
         return bool(self._specs)
 
 
@@ -93,7 +93,7 @@
 
 
 def simulate(policy, specs: list[job.JobSpec]) -> float:
-    """Return the used part of the scarcest resource until the last start."""
+    """Return the used fraction of the scarcest resource until the last start."""
     total = resources.ZERO
     for facts in work.worker_facts(WORKERS, 3):
         policy.index.add(*facts)
@@ -108,26 +108,30 @@
             entry = (now + spec.run_seconds, spec.id, worker, spec.demand)
             heapq.heappush(running, entry)
             used += spec.demand
-        if not policy.waits():
+        if not policy.has_waiting():
             break
         ends_at, _, worker, demand = heapq.heappop(running)
-        for place, amount in enumerate((used.cpus, used.memory, used.accelerators)):
-            integrals[place] += amount * (ends_at - now)
+        for dimension, amount in enumerate((used.cpus, used.memory, used.accelerators)):
+            integrals[dimension] += amount * (ends_at - now)
         now = ends_at
         policy.index.release(worker, demand)
         used -= demand
-    parts = [
+    fractions = [
         integral / now / amount
         for integral, amount in zip(
             integrals, (total.cpus, total.memory, total.accelerators), strict=True
         )
     ]
-    print(type(policy).__name__, [round(part, 4) for part in parts], f"{now:.0f} s")
-    return max(parts)
+    print(
+        type(policy).__name__,
+        [round(fraction, 4) for fraction in fractions],
+        f"{now:.0f} s",
+    )
+    return max(fractions)
 
 
 def main() -> None:
-    """Run the policy and the baseline on the same work."""
+    """Run the policy and the baseline on the same jobs."""
     seed = work.parse_seed()
     specs = make_work(seed)
     work.print_result(
--- a/bench/share.py
+++ b/bench/share.py
@@ -1,9 +1,9 @@
-"""Measure how far teams are from their shares in a full cell.
+"""Measure how far teams are from their target shares in a full cell.
 
-Eight teams with unequal shares, task sizes, run times and backlogs compete for 24
-workers for 60 s of simulated time from an empty cell. The error of a team is the
-difference between its part of the dominant shares of all teams and its target, in
-percentage points over the whole time. The baseline starts tasks in arrival order on
+Eight teams with different shares, task sizes, run times and backlogs compete for 24
+workers for 60 s of simulated time, starting with an empty cell. The error of a team is
+the difference between its fraction of the dominant shares of all teams and its target,
+in percentage points over the whole time. The baseline starts tasks in arrival order on
 the first worker with room.
 """
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Demand:
-    """Describe the work of one team; `tasks` is the length of its backlog."""
+    """Workload of one team; `tasks` is the length of its backlog."""
 
     share: float
     cpus: tuple[int, int]
@@ -34,7 +34,7 @@
 
 
 # The team with the largest share has neither the most nor the longest tasks, so
-# arrival order and equal treatment of tasks both miss the targets.
+# both arrival order and equal treatment of all tasks miss the targets.
 TEAMS = {
     "orders": Demand(30, (1000, 2000), (1024, 4096), (1, 4), 9_000),
     "proofs": Demand(20, (4000, 8000), (4096, 8192), (4, 12), 4_000),
@@ -63,17 +63,17 @@
 
 
 class Policy:
-    """Start the next task of the team most under its target that has room."""
+    """Start the next task of the team furthest below its target that has room."""
 
     def __init__(self, seed: int) -> None:
         self.index = placement.WorkerIndex(random.Random(seed))
         teams = [fairness.Team(name, share=kind.share) for name, kind in TEAMS.items()]
-        self.ledger = fairness.ShareTracker(teams, WINDOW_S)
+        self.tracker = fairness.ShareTracker(teams, WINDOW_S)
         self._backlogs: dict[str, collections.deque] = {}
 
     def prepare(self, backlogs: dict[str, list], total: resources.Resources) -> None:
-        """Take over the work."""
-        self.ledger.set_total(total)
+        """Set the backlogs and the total capacity."""
+        self.tracker.set_total(total)
         self._backlogs = {
             team: collections.deque(tasks) for team, tasks in backlogs.items()
         }
@@ -82,11 +82,15 @@
         """Return (team, worker, demand, run time) of the tasks to start now."""
         started = []
         blocked: set[str] = set()
-        short = False  # a team under its target is blocked
+        under_target_blocked = False
         while True:
-            shortfalls = self.ledger.shortfalls(self._backlogs, now)
-            yielding = self.ledger.yielding(self._backlogs, now) if short else ()
-            for team in self.ledger.rank(self._backlogs, now):
+            shortfalls = self.tracker.shortfalls(self._backlogs, now)
+            yielding = (
+                self.tracker.yielding(self._backlogs, now)
+                if under_target_blocked
+                else ()
+            )
+            for team in self.tracker.rank(self._backlogs, now):
                 if team in blocked or team in yielding:
                     continue
                 demand, seconds = self._backlogs[team][0]
@@ -94,20 +98,20 @@
                 if isinstance(worker, str):
                     self._backlogs[team].popleft()
                     self.index.allocate(worker, demand)
-                    self.ledger.started(team, demand, now)
+                    self.tracker.started(team, demand, now)
                     started.append((team, worker, demand, seconds))
                     break
                 blocked.add(team)
-                if shortfalls[team] > 0 and not short:
-                    short = True
-                    yielding = self.ledger.yielding(self._backlogs, now)
+                if shortfalls[team] > 0 and not under_target_blocked:
+                    under_target_blocked = True
+                    yielding = self.tracker.yielding(self._backlogs, now)
             else:
                 return started
 
     def end(self, team: str, worker: str, demand, now: float) -> None:
-        """Give back what a task held."""
+        """Release the resources of a task."""
         self.index.release(worker, demand)
-        self.ledger.ended(team, demand, now)
+        self.tracker.ended(team, demand, now)
 
 
 class Baseline:
@@ -119,7 +123,7 @@
         self._tasks: list[tuple] = []
 
     def prepare(self, backlogs: dict[str, list], _total) -> None:
-        """Take over the work, which arrives in random order."""
+        """Queue all tasks in random order of arrival."""
         self._tasks = [
             (team, demand, seconds)
             for team, tasks in backlogs.items()
@@ -141,7 +145,7 @@
         return started
 
     def end(self, _team: str, worker: str, demand, _now: float) -> None:
-        """Give back what a task held."""
+        """Release the resources of a task."""
         self.index.release(worker, demand)
 
 
@@ -168,17 +172,17 @@
             number += 1
             heapq.heappush(running, (now + seconds, number, team, worker, demand))
             use[team] += demand
-        everything_held = sum(use.values(), resources.ZERO)
-        busy += everything_held.dominant(total) * TICK_S
+        total_in_use = sum(use.values(), resources.ZERO)
+        busy += total_in_use.dominant(total) * TICK_S
         for team, held in use.items():
             integrals[team] += held.dominant(total) * TICK_S
         now += TICK_S
-    everything = sum(integrals.values())
+    total_integral = sum(integrals.values())
     shares = sum(kind.share for kind in TEAMS.values())
     worst = 0.0
     for team, kind in TEAMS.items():
         target = 100 * kind.share / shares
-        actual = 100 * integrals[team] / everything
+        actual = 100 * integrals[team] / total_integral
         worst = max(worst, abs(actual - target))
         print(f"{type(policy).__name__} {team}: {actual:.2f} of {target:.2f}")
     print(f"{type(policy).__name__} utilisation: {busy / END_S:.4f}")
@@ -186,7 +190,7 @@
 
 
 def main() -> None:
-    """Run the policy and the baseline on the same work."""
+    """Run the policy and the baseline on the same tasks."""
     seed = work.parse_seed()
     error = simulate(Policy(seed), seed)
     baseline_error = simulate(Baseline(seed), seed)
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,7 +1,8 @@
-"""Measure how services regain their spread after an availability zone returns.
+"""Measure how services are spread again after an outage of an availability zone.
 
-A cell of 24 workers in three zones, in simulated time, runs spread services and more
-batch work than it can do. One zone leaves and returns; the rates of moves are compared.
+A simulated cell of 24 workers in three zones runs spread services and more batch work
+than it can do. One zone is taken out of service and returned, with several limits on
+the rate of moves.
 """
 
 import collections
@@ -11,7 +12,7 @@
 from toucanspring import job, resources
 from toucanspring.scheduling import effects, fairness, scheduler
 
-RATES_S = (0.0, 2.0, 10.0, 30.0)  # seconds for each move; 0 moves nothing
+RATES_S = (0.0, 2.0, 10.0, 30.0)  # seconds per move; 0 disables moves
 SERVICES = 4
 SERVICE_TASKS = 12
 LOAD = 1.5
@@ -22,41 +23,43 @@
 
 
 class Policy(wait.Policy):
-    """Run the cell and note stops and spread after the return."""
+    """Run the cell; record stops and the spread after the return of the zone."""
 
     def __init__(self, seed: int, spread_move_s: float) -> None:
         super().__init__(seed)
-        self._machine = scheduler.Scheduler(0, random.Random(seed), spread_move_s)
-        self._machine.set_teams({wait.TEAM: fairness.Team(wait.TEAM)}, 0.0)
+        self._scheduler = scheduler.Scheduler(0, random.Random(seed), spread_move_s)
+        self._scheduler.set_teams({wait.TEAM: fairness.Team(wait.TEAM)}, 0.0)
         self._is_out = False
-        self.stops: list[float] = []  # times, after the return
-        self.even_at: float | None = None  # when all services had their spread again
-        self.idle: list[float] = []  # idle part of the cell after the return
+        self.stops: list[float] = []  # times after the return
+        self.even_at: float | None = None  # when all services were evenly spread again
+        self.idle: list[float] = []  # idle fraction of the cell after the return
 
     def step(self, now: float) -> None:
-        """Change the zone when due, let the machine work, and note the spread."""
+        """Change the state of the zone when due, tick, and record the spread."""
         is_out = OUT_FROM_S <= now < BACK_S
         if is_out != self._is_out:
             self._is_out = is_out
             out = frozenset([outage.ZONE]) if is_out else frozenset()
-            self._apply(self._machine.set_availability_zones(out, now), now)
+            self._apply(self._scheduler.set_availability_zones(out, now), now)
         super().step(now)
         if now < BACK_S:
             return
-        free = self._machine.free_by_worker().values()
+        free = self._scheduler.free_by_worker().values()
         capacity = wait.WORKERS * work.PLAIN.cpus
         self.idle.append(sum(amount.cpus for amount in free) / capacity)
         if self.even_at is None and self._is_even():
             self.even_at = now
 
     def _is_even(self) -> bool:
-        """Return whether no zone has two tasks of a service more than another."""
+        """Return whether zones differ by at most one task in each service."""
         counts: dict[str, collections.Counter] = collections.defaultdict(
-            lambda: collections.Counter(dict.fromkeys(outage.ZONES.values(), 0))
+            lambda: collections.Counter(
+                dict.fromkeys(outage.ZONE_BY_WORKER.values(), 0)
+            )
         )
         for key, (_, _, worker) in self._running.items():
             if key.startswith("service"):
-                counts[job.job_of(key)][outage.ZONES[worker]] += 1
+                counts[job.job_of(key)][outage.ZONE_BY_WORKER[worker]] += 1
         return len(counts) == SERVICES and all(
             max(found.values()) - min(found.values()) < 2
             and sum(found.values()) == SERVICE_TASKS
@@ -71,7 +74,7 @@
 
 
 def make_jobs(seed: int) -> list[tuple[float, job.JobSpec]]:
-    """Return spread services, and batch work with its arrival."""
+    """Return (arrival time, job) for spread services and batch jobs."""
     rng = random.Random(seed)
     jobs = [
         (
@@ -111,7 +114,7 @@
     for rate in RATES_S:
         policy = Policy(seed, rate)
         policy.run(make_jobs(seed), END_S)
-        most = max(
+        peak = max(
             (
                 sum(at <= other < at + WINDOW_S for other in policy.stops)
                 for at in policy.stops
@@ -121,7 +124,7 @@
         figures[f"move_{rate:g}_s"] = {
             "even_after_s": policy.even_at and policy.even_at - BACK_S,
             "stops": len(policy.stops),
-            "stops_per_minute_max": most,
+            "stops_per_minute_max": peak,
             "idle": round(sum(policy.idle) / len(policy.idle), 4),
         }
     work.print_result(bench="spread", seed=seed, **figures)
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -18,35 +18,35 @@
 
 
 def run(*, keep: bool = False) -> int:
-    """Run both deployments and print an account.
+    """Run both deployments and print a summary.
 
     :param keep: Keep the first deployment running until interrupted.
     """
-    # A stop ends the processes that were started, also with SIGTERM or from a shell
-    # that lets background jobs ignore SIGINT.
+    # Both signals raise an exception, so that the started processes are stopped. SIGINT
+    # needs a handler because a shell may have background jobs ignore it.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_STOPPED))
     signal.signal(signal.SIGINT, signal.default_int_handler)
     began = time.monotonic()
 
-    def say(line: str) -> None:
+    def log(line: str) -> None:
         print(f"[{time.monotonic() - began:5.1f} s] {line}", flush=True)
 
     if keep:
-        return keep_running(say)
-    accounts = [deployment.execute(each, say) for each in deployment.DEPLOYMENTS]
+        return keep_running(log)
+    summaries = [deployment.execute(each, log) for each in deployment.DEPLOYMENTS]
     print()
-    for account in accounts:
-        print("\n".join(account.lines()))
+    for summary in summaries:
+        print("\n".join(summary.lines()))
     print()
     print("To keep a deployment running and use the command line on it:")
     print("    .venv/bin/python -m demo --keep")
     print(f"took {time.monotonic() - began:.1f} s")
-    return 0 if all(account.good for account in accounts) else 1
+    return 0 if all(summary.passed for summary in summaries) else 1
 
 
-def keep_running(say) -> int:
-    """Run the first deployment and print how to reach it."""
-    with deployment.start(deployment.DEPLOYMENTS[0], say) as running:
+def keep_running(log) -> int:
+    """Run the first deployment and print how to connect to it."""
+    with deployment.start(deployment.DEPLOYMENTS[0], log) as running:
         facts = running.cluster.daemon_options.values()
         endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in facts)
         print("In another terminal:")
@@ -60,7 +60,7 @@
         try:
             gevent.sleep(24 * 3600)
         except KeyboardInterrupt:
-            say("stopping")
+            log("stopping")
     return 0
 
 
