--- a/bench/cell.py
+++ b/bench/cell.py
@@ -27,11 +27,11 @@
 MAX_TASKS_PER_CALL = 10_000
 
 
-def environment_command(facts: cluster.DaemonOptions) -> list[str]:
+def environment_command(options: cluster.DaemonOptions) -> list[str]:
     """Return a command that passes settings in the environment to save memory."""
     variables = [
-        f"{settings.PREFIX}{field.name.upper()}={getattr(facts, field.name)}"
-        for field in dataclasses.fields(facts)
+        f"{settings.PREFIX}{field.name.upper()}={getattr(options, field.name)}"
+        for field in dataclasses.fields(options)
         if field.name != "extra"
     ]
     return [
@@ -40,7 +40,7 @@
         sys.executable,
         "-m",
         "toucanspring.daemon",
-        *facts.extra,
+        *options.extra,
     ]
 
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -92,7 +92,7 @@
     def __init__(self, running: cell.Cell, rng: random.Random) -> None:
         self.cell = running
         self.rng = rng
-        self.player = actions.StepRunner(running, lambda line: None)
+        self.runner = actions.StepRunner(running, lambda line: None)
         self.busy: set[str] = set()
         self.changing = False
         self.began: collections.Counter[str] = collections.Counter()
@@ -129,48 +129,48 @@
 
 def kill(mix: FaultMix) -> Iterator[None]:
     """Kill a daemon and start it again."""
-    return _on_daemon(mix, mix.player.kill, mix.player.restart)
+    return _on_daemon(mix, mix.runner.kill, mix.runner.restart)
 
 
 def pause(mix: FaultMix) -> Iterator[None]:
     """Pause a daemon."""
-    return _on_daemon(mix, mix.player.pause, mix.player.resume)
+    return _on_daemon(mix, mix.runner.pause, mix.runner.resume)
 
 
 def stop(mix: FaultMix) -> Iterator[None]:
     """Stop a daemon gracefully and start it again."""
-    return _on_daemon(mix, mix.player.stop, mix.player.restart)
+    return _on_daemon(mix, mix.runner.stop, mix.runner.restart)
 
 
 def cut_store(mix: FaultMix) -> Iterator[None]:
     """Disconnect a daemon from the store."""
-    return _on_daemon(mix, mix.player.cut_store, mix.player.heal_store)
+    return _on_daemon(mix, mix.runner.cut_store, mix.runner.heal_store)
 
 
 def store_down(mix: FaultMix) -> Iterator[None]:
     """Make the store unavailable to all daemons."""
-    mix.player.store_down()
+    mix.runner.store_down()
     yield
-    mix.player.store_up()
+    mix.runner.store_up()
 
 
 def store_slow(mix: FaultMix) -> Iterator[None]:
     """Slow the store down for all daemons."""
-    mix.player.store_slow(mix.rng.uniform(0.05, 0.5))
+    mix.runner.store_slow(mix.rng.uniform(0.05, 0.5))
     yield
-    mix.player.store_up()
+    mix.runner.store_up()
 
 
 def lose_answers(mix: FaultMix) -> Iterator[None]:
     """Drop responses to writes of one kind of row."""
     document = mix.rng.choice(sorted(fault_steps.ROW_PREFIXES))
-    mix.player.lose_writes(mix.rng.randint(1, 3), document)
+    mix.runner.lose_writes(mix.rng.randint(1, 3), document)
     yield
 
 
 def lose_worker(mix: FaultMix) -> Iterator[None]:
     """End a worker, which restarts after a delay."""
-    mix.player.lose(mix.worker(), mix.rng.uniform(0.2, 2.0))
+    mix.runner.lose(mix.worker(), mix.rng.uniform(0.2, 2.0))
     yield
 
 
@@ -178,9 +178,9 @@
     """Disconnect a worker from one daemon."""
     place = mix.worker()
     name = mix.rng.choice(mix.cell.daemons)
-    mix.player.cut_place(name, place)
+    mix.runner.cut_place(name, place)
     yield
-    mix.player.heal_place(name, place)
+    mix.runner.heal_place(name, place)
 
 
 def take_zone(mix: FaultMix) -> Iterator[None]:
@@ -190,9 +190,9 @@
         return
     zone = mix.rng.choice(sorted(mix.cell.model.availability_zones))
     mix.cell.zones_out[zone] = float("inf")  # prevents an outage of a second zone
-    mix.player.zone_out(zone)
+    mix.runner.zone_out(zone)
     yield
-    mix.player.zone_in(zone)
+    mix.runner.zone_in(zone)
 
 
 def change_ceiling(mix: FaultMix) -> Iterator[None]:
@@ -202,7 +202,7 @@
         return
     mix.changing = True
     team = mix.rng.choice(sorted(mix.cell.model.teams))
-    mix.player.apply(language.Ceiling(team, mix.rng.randint(20, 200)), None)
+    mix.runner.apply(language.Ceiling(team, mix.rng.randint(20, 200)), None)
     mix.changing = False
     yield
 
@@ -212,20 +212,20 @@
     template = TEMPLATES[mix.cell.model.name].withdrawn
     team = mix.cell.model.jobs[template].team
     if mix.cell.keys[team].id not in mix.cell.withdrawn:
-        mix.player.withdraw(team)
+        mix.runner.withdraw(team)
     yield
 
 
 def fail_executor(mix: FaultMix) -> Iterator[None]:
     """Stop a backend server, or truncate a response."""
     if mix.rng.random() < 0.5:
-        mix.player.answers_cut(1)
+        mix.runner.answers_cut(1)
         yield
         return
     number = mix.rng.randint(1, EXECUTORS)
-    mix.player.kill_executor(number)
+    mix.runner.kill_executor(number)
     yield
-    mix.player.revive_executor(number)
+    mix.runner.revive_executor(number)
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -259,7 +259,7 @@
     return chosen
 
 
-def start_load(running: cell.Cell, player: actions.StepRunner) -> None:
+def start_load(running: cell.Cell, runner: actions.StepRunner) -> None:
     """Start requests and jobs of all kinds."""
     load = TEMPLATES[running.model.name]
     jobs = running.model.jobs
@@ -268,15 +268,15 @@
         jobs[name].team for name in (load.batch, load.single, load.gang, load.withdrawn)
     }
     for team in sorted(teams | {running.model.queues[service.queue].team}):
-        player.grant(team)
-    player.keep_sending("checks", "check", 4, {"running": 0.005})
-    player.keep_sending("keyed", load.keyed_class, 4, {"running": 0.03})
-    player.keep_submitting("batch", load.batch, 0.2, {"running": 0.3, "tasks": 4})
-    player.keep_submitting("single", load.single, 0.1, {"running": 0.3})
-    player.keep_submitting(
+        runner.grant(team)
+    runner.keep_sending("checks", "check", 4, {"running": 0.005})
+    runner.keep_sending("keyed", load.keyed_class, 4, {"running": 0.03})
+    runner.keep_submitting("batch", load.batch, 0.2, {"running": 0.3, "tasks": 4})
+    runner.keep_submitting("single", load.single, 0.1, {"running": 0.3})
+    runner.keep_submitting(
         "withdrawn", load.withdrawn, 0.3, {"running": 0.2, "tasks": 2}
     )
-    player.submit(1, "gang", load.gang, {"running": 2.0, "tasks": 6})
+    runner.submit(1, "gang", load.gang, {"running": 2.0, "tasks": 6})
 
 
 def run(running: cell.Cell, seed: int, began: float) -> dict[str, int]:
@@ -285,8 +285,8 @@
     mix = FaultMix(running, rng)
     running.start_all()
     running.apply({})
-    mix.player.expect_version(1, None)
-    start_load(running, mix.player)
+    mix.runner.expect_version(1, None)
+    start_load(running, mix.runner)
     rounds = 0
     end = time.monotonic() + FAULTS_S
     while time.monotonic() < end:
@@ -314,7 +314,7 @@
     result["cut_off"] = sum(each.counts["cut_off_by_stop"] for each in loads)
     result["config_reverts"] = len(running.regressions)
     other_violations = 0
-    found = running.judge()
+    found = running.check_records()
     for violation in found:
         kind = type(violation)
         if kind is violations.LostWork:
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -47,8 +47,8 @@
 def keep_running(log) -> int:
     """Run the first deployment and print how to connect to it."""
     with deployment.start(deployment.DEPLOYMENTS[0], log) as running:
-        facts = running.cluster.daemon_options.values()
-        endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in facts)
+        options = running.cluster.daemon_options.values()
+        endpoints = ",".join(f"127.0.0.1:{item.http_port}" for item in options)
         print("In another terminal:")
         print(f"    export TOUCANSPRING_ENDPOINTS={endpoints}")
         print(f"    export TOUCANSPRING_OPERATOR_KEY={running.cluster.operator_key}")
--- a/demo/entry.py
+++ b/demo/entry.py
@@ -40,10 +40,10 @@
             if not ready:
                 time.sleep(RETRY_S)
                 continue
-            facts = self._cluster.daemon_options[self._rng.choice(ready)]
+            options = self._cluster.daemon_options[self._rng.choice(ready)]
             try:
                 answer = cluster.call(
-                    facts.http_port, method, path, body, sent, timeout_s=40.0
+                    options.http_port, method, path, body, sent, timeout_s=40.0
                 )
             except ConnectionRefusedError:
                 continue
--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -342,7 +342,7 @@
         ]
         return found + [f"reverted: {item}" for item in self.regressions]
 
-    def judge(self) -> list[violations.Violation]:
+    def check_records(self) -> list[violations.Violation]:
         """Check the records of all processes."""
         return checker.check(self.cluster.records(), self.known())
 
--- a/scenarios/expectations.py
+++ b/scenarios/expectations.py
@@ -187,7 +187,7 @@
         """Check all records so far with the judge, except for unfinished work."""
         found = [
             item
-            for item in self._cell.judge()
+            for item in self._cell.check_records()
             if type(item).__name__ not in ("LostWork",)
         ]
         if found:
--- a/scenarios/report.py
+++ b/scenarios/report.py
@@ -65,7 +65,7 @@
         problems += running.problems()
         for line in running.explain_unfinished_jobs():
             print_line(line)
-        violations = running.judge()
+        violations = running.check_records()
         problems += [f"violation {item}" for item in violations]
         if problems:
             path = running.cluster.directory / "records.json"
--- a/test/test_daemon.py
+++ b/test/test_daemon.py
@@ -159,10 +159,10 @@
     def owned(self, cell):
         """Return how many partitions each running daemon owns."""
         found = []
-        for name, facts in cell.daemon_options.items():
+        for name, options in cell.daemon_options.items():
             if name in cell.processes:
                 try:
-                    _, text = cluster.call(facts.http_port, "GET", "/metrics")
+                    _, text = cluster.call(options.http_port, "GET", "/metrics")
                 except OSError:
                     return []
                 match = re.search(r'partitions_owned"} (\d+)', str(text))
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -53,7 +53,7 @@
         load = loads.Requests("r", FakeHttpClient(*replies), KEY, kind)
         return load, load._send("r-1")
 
-    def test_a_wrong_answer_reaches_the_judge(self):
+    def test_the_checker_finds_a_wrong_answer(self):
         load, state = self.send(client.Reply(200, b"cut"))
         self.assertEqual("done", state)
         known = facts.RunFacts(answers=tuple(load.answers))
@@ -87,7 +87,7 @@
         )
         self.assertEqual("lost", state)
 
-    def test_late_acceptance_of_a_withdrawn_key_reaches_the_judge(self):
+    def test_the_checker_finds_late_acceptance_of_a_withdrawn_key(self):
         load, _ = self.send(client.Reply(200, b"x"))
         known = facts.RunFacts(
             key_uses=tuple(load.key_uses), withdrawn_keys={"k1": time.monotonic() - 4}
@@ -224,7 +224,7 @@
         self.runner.expect_nothing_lost()
         self.add_jobs(a="done", b="")
         self.fails(self.runner.expect_nothing_lost)
-        self.assertIn(violations.LostWork(work="b/0"), self.cell.judge())
+        self.assertIn(violations.LostWork(work="b/0"), self.cell.check_records())
 
     def test_an_outcome_without_a_run(self):
         self.add_jobs(a="done")
