--- a/scenarios/cell.py
+++ b/scenarios/cell.py
@@ -31,7 +31,7 @@
 
 
 class Cell:
-    """Hold the processes, the loads, and the facts that the judge compares."""
+    """Hold the processes, the loads, and the facts to check the records against."""
 
     def __init__(self, running: cluster.Cluster, source: str, daemons: int) -> None:
         self.cluster = running
@@ -332,7 +332,7 @@
         )
 
     def problems(self) -> list[str]:
-        """Return the problems so far, apart from the judge's findings."""
+        """Return the problems so far, apart from violations in the records."""
         every = (*self.jobs.values(), *self.requests.values())
         found = [problem for each in every for problem in each.problems]
         found += [
@@ -343,7 +343,7 @@
         return found + [f"reverted: {item}" for item in self.regressions]
 
     def check_records(self) -> list[violations.Violation]:
-        """Check the records of all processes."""
+        """Return the violations in the records of all processes."""
         return checker.check(self.cluster.records(), self.known())
 
 
--- a/scenarios/expectations.py
+++ b/scenarios/expectations.py
@@ -184,7 +184,7 @@
     finish_within_s = 40.0
 
     def expect_invariants(self) -> None:
-        """Check all records so far with the judge, except for unfinished work."""
+        """Check all records so far for violations, except for unfinished work."""
         found = [
             item
             for item in self._cell.check_records()
--- a/test/test_scenario_checks.py
+++ b/test/test_scenario_checks.py
@@ -62,7 +62,7 @@
 
     def test_a_refusal_after_a_lost_answer_is_no_proof_that_it_did_not_run(self):
         # The refusal covers only the second attempt: with the request recorded as not
-        # run, the judge would report the run of the first attempt.
+        # run, the checker would report the run of the first attempt.
         answer = client.Reply(200, b"x")
         load, state = self.send(
             client.Reply(0, cut_off=True), reply(503, refusal("NotRun")), answer
