--- a/test/test_racks.py
+++ b/test/test_racks.py
@@ -107,7 +107,7 @@
             return best
         return best and self.locations[best][0]
 
-    def room_upper_bound(self, location, demand):
+    def max_room(self, location, demand):
         """Return how many tasks fit by the total of what is free in a rack."""
         total = resources.ZERO
         for name, where in self.locations.items():
@@ -122,7 +122,7 @@
         """Return how many tasks fit in each zone by the totals of its racks."""
         bounds = dict.fromkeys(ZONES, 0)
         for location in self.racks:
-            bounds[location[0]] += self.room_upper_bound(location, demand)
+            bounds[location[0]] += self.max_room(location, demand)
         return bounds
 
     def gang(self, demand, count, constraints):
@@ -216,7 +216,5 @@
             if large_enough and demand != resources.ZERO:  # without a bound
                 chosen = reference.index.choose_gang(demand, count, constraints, True)
                 (location,) = {reference.locations[name] for name, _ in chosen}
-                bounds = [
-                    reference.room_upper_bound(other, demand) for other in large_enough
-                ]
+                bounds = [reference.max_room(other, demand) for other in large_enough]
                 self.assertLessEqual(rooms[location], min(bounds))
--- a/toucanspring/coordinator/fenced_writer.py
+++ b/toucanspring/coordinator/fenced_writer.py
@@ -54,14 +54,13 @@
     def holds_lease(self, now: float) -> bool:
         """Return whether no other process can have acquired the lease by expiry."""
         return (
-            not self.lost
-            and self._store_clock.upper_bound_ms(now) < self._lease.expires_ms
+            not self.lost and self._store_clock.latest_ms(now) < self._lease.expires_ms
         )
 
     def overdue_s(self, now: float) -> float:
         """Return the seconds since the lease expired, 0 if it has not."""
         return max(
-            0.0, (self._store_clock.upper_bound_ms(now) - self._lease.expires_ms) / 1000
+            0.0, (self._store_clock.latest_ms(now) - self._lease.expires_ms) / 1000
         )
 
     def commit(
@@ -121,7 +120,7 @@
         while not self.lost:
             sent_at = self._clock()
             wanted = self._next_lease(
-                self._store_clock.upper_bound_ms(sent_at) + leader_lease.LEASE_MS
+                self._store_clock.latest_ms(sent_at) + leader_lease.LEASE_MS
             )
             answer = self._store.transact(
                 {rows.LEADER_LEASE_ROW: self._version},
--- a/toucanspring/coordinator/leader_lease.py
+++ b/toucanspring/coordinator/leader_lease.py
@@ -40,7 +40,7 @@
         ):
             self._store_ms, self._sent_at, self._known = store_ms, sent_at, True
 
-    def upper_bound_ms(self, now: float) -> int:
+    def latest_ms(self, now: float) -> int:
         """Return an upper bound of the store's clock at local time `now`, in ms."""
         return self._store_ms + round((now - self._sent_at) * 1000)
 
--- a/toucanspring/scheduling/racks.py
+++ b/toucanspring/scheduling/racks.py
@@ -30,9 +30,9 @@
         self.racks: dict[str, Rack] = {}
         self.names: list[str] = []  # of the racks, sorted
 
-    def room_upper_bound(self, demand: resources.Resources) -> int:
+    def max_room(self, demand: resources.Resources) -> int:
         """Return an upper bound on how many tasks fit, from the totals of the racks."""
-        return sum(_room_upper_bounds(self.racks.values(), demand))
+        return sum(_max_rooms(self.racks.values(), demand))
 
 
 class Rack:
@@ -241,7 +241,7 @@
         zones = [
             (upper, zone.number, name, zone)
             for name, zone in self._zones.items()
-            if name in zone_pools and (upper := zone.room_upper_bound(demand)) >= count
+            if name in zone_pools and (upper := zone.max_room(demand)) >= count
         ]
         for _, _, name, zone in sorted(zones):
             if _room_in_pools([zone_pools[name]], demand, excluded, count) >= count:
@@ -283,7 +283,7 @@
     # collections, which took up to 100 ms.
     bounds = [
         upper << POSITION_BITS | number
-        for number, upper in enumerate(_room_upper_bounds(racks, demand))
+        for number, upper in enumerate(_max_rooms(racks, demand))
         if upper >= count
     ]
     heapq.heapify(bounds)
@@ -309,7 +309,7 @@
     return best
 
 
-def _room_upper_bounds(racks: Iterable[Rack], demand: resources.Resources) -> list[int]:
+def _max_rooms(racks: Iterable[Rack], demand: resources.Resources) -> list[int]:
     """Return for each rack an upper bound on how many tasks fit, from its totals."""
     cpus, memory, accelerators = demand.cpus, demand.memory, demand.accelerators
     if cpus <= 0 or memory <= 0:
